--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -230,7 +230,7 @@
     prompt: &Prompt,
     is_apart: bool,
 ) -> Result<Chosen, (RefusalReason, Duration)> {
-    if !engine_plan::is_long(model, prompt, call.route.max_pause) {
+    if !engine_plan::is_long(model, prompt, call.route.max_gap) {
         let apart = is_apart.then(|| plan(call, tried, model, prompt, Among::Apart));
         let planned = if let Some(Ok(planned)) = apart {
             planned
@@ -377,8 +377,8 @@
     let rng = &mut rand::rng();
     let aims = Aims {
         due_in: now.until(call.due()),
-        pause: call.route.max_pause,
-        strictest_pause: call.routes.strictest_pause(&call.service),
+        pause: call.route.max_gap,
+        tightest_gap: call.routes.tightest_gap(&call.service),
         late_part: match among {
             Among::All { late_part } => late_part,
             Among::Apart => None,
--- a/daemon/src/relay/log_lines.rs
+++ b/daemon/src/relay/log_lines.rs
@@ -182,7 +182,7 @@
     fn are_good(&self, call: &Call) -> bool {
         let pauses_well = call
             .route
-            .max_pause
+            .max_gap
             .is_none_or(|most| self.longest_pause <= most);
         self.first_event <= call.route.objective && pauses_well
     }
@@ -230,7 +230,7 @@
         waited_ms = times.map(|times| millis(times.waited)),
         expected_ms = times.map(|times| millis(times.expected)),
         longest_pause_ms = times.map(|times| millis(times.longest_pause)),
-        pause_limit_ms = call.route.max_pause.map(millis),
+        pause_limit_ms = call.route.max_gap.map(millis),
         "call ended"
     );
 }
--- a/daemon/src/relay/tries.rs
+++ b/daemon/src/relay/tries.rs
@@ -460,7 +460,7 @@
 /// How long a server may be silent before its run is taken for broken.
 pub fn silence(call: &Call, chosen: &Chosen, first: bool) -> Duration {
     let objective = call.route.objective;
-    match (first, call.route.max_pause) {
+    match (first, call.route.max_gap) {
         (true, _) => (chosen.expected * 3).max(objective) + FIRST_EVENT_SLACK,
         (false, Some(pause)) => (pause * 4).max(NEXT_EVENT_SLACK),
         (false, None) => Duration::MAX,
--- a/lib/src/relay/route_table.rs
+++ b/lib/src/relay/route_table.rs
@@ -42,7 +42,7 @@
     /// Until the first event or the answer, to be on time.
     pub objective: Duration,
     /// Longest pause between events, to be on time.
-    pub max_pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Servers that one call may be sent to.
     pub max_attempts: u32,
     /// Rank; 0 goes first.
@@ -130,7 +130,7 @@
     principals: HashMap<String, Principal>,
     services: HashMap<ServiceName, usize>,
     /// Longest good pause of the most urgent streams of a service.
-    strictest_pauses: HashMap<ServiceName, Duration>,
+    tightest_gaps: HashMap<ServiceName, Duration>,
 }
 
 impl RouteIndex {
@@ -160,7 +160,7 @@
             by_host,
             principals,
             services,
-            strictest_pauses: strictest_pauses(&table),
+            tightest_gaps: tightest_gaps(&table),
             table,
         }
     }
@@ -176,8 +176,8 @@
     }
 
     /// Longest good pause of the most urgent streams of a service, if any states one.
-    pub fn strictest_pause(&self, name: &ServiceName) -> Option<Duration> {
-        self.strictest_pauses.get(name).copied()
+    pub fn tightest_gap(&self, name: &ServiceName) -> Option<Duration> {
+        self.tightest_gaps.get(name).copied()
     }
 
     /// The route of a call; `host` may carry a port.
@@ -217,13 +217,13 @@
     }
 }
 
-fn strictest_pauses(table: &RouteTable) -> HashMap<ServiceName, Duration> {
+fn tightest_gaps(table: &RouteTable) -> HashMap<ServiceName, Duration> {
     let mut least: HashMap<ServiceName, Duration> = HashMap::new();
     for route in &table.routes {
         for target in &route.targets {
-            let Some(max) = route.max_pause else { continue };
-            let slot = least.entry(target.service.clone()).or_insert(max);
-            *slot = max.min(*slot);
+            let Some(gap) = route.max_gap else { continue };
+            let slot = least.entry(target.service.clone()).or_insert(gap);
+            *slot = gap.min(*slot);
         }
     }
     least
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -54,7 +54,7 @@
     Aims {
         due_in,
         pause,
-        strictest_pause: SHORT,
+        tightest_gap: SHORT,
         late_part: None,
     }
 }
@@ -256,7 +256,7 @@
         engine.load.short = 8;
     }
     let aims = Aims {
-        strictest_pause: MIDDLE,
+        tightest_gap: MIDDLE,
         ..aims(Duration::from_secs(3), PATIENT)
     };
 
@@ -343,7 +343,7 @@
         let aims = Aims {
             due_in: Duration::from_millis(rng.random_range(0..5_000)),
             pause,
-            strictest_pause: [SHORT, MIDDLE, None][rng.random_range(0..3)],
+            tightest_gap: [SHORT, MIDDLE, None][rng.random_range(0..3)],
             late_part: None,
         };
         let found = engine_plan::plan(&pool(&engines, boxes), &prompt, aims, &mut rng);
--- a/lib/tests/test_relay_route_table.rs
+++ b/lib/tests/test_relay_route_table.rs
@@ -21,7 +21,7 @@
         kind: CallKind::Whole { repeatable: true },
         time_limit: Duration::from_secs(3),
         objective: Duration::from_millis(300),
-        max_pause: None,
+        max_gap: None,
         max_attempts: 2,
         priority: 1,
         public: false,
@@ -118,12 +118,12 @@
 #[test]
 fn the_most_urgent_streams_of_a_service_are_known() {
     let mut patient = route("/a/", &[("x", 1), ("y", 1)]);
-    patient.max_pause = Some(Duration::from_secs(1));
+    patient.max_gap = Some(Duration::from_secs(1));
     let mut urgent = route("/b/", &[("x", 1)]);
-    urgent.max_pause = Some(Duration::from_millis(250));
+    urgent.max_gap = Some(Duration::from_millis(250));
     let index = index(vec![patient, urgent, route("/c/", &[("z", 1)])], &[]);
 
-    let least = |service: &str| index.strictest_pause(&ServiceName::new(service));
+    let least = |service: &str| index.tightest_gap(&ServiceName::new(service));
 
     assert_eq!(least("x"), Some(Duration::from_millis(250)));
     assert_eq!(least("y"), Some(Duration::from_secs(1)));
--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -107,7 +107,7 @@
     pub(super) scope: Scope,
     /// Boxes that choose among the same engines.
     pub(super) boxes: usize,
-    pub(super) strictest_pause: Option<Duration>,
+    pub(super) tightest_gap: Option<Duration>,
     pub(super) engines: EngineList,
 }
 
@@ -209,7 +209,7 @@
         let aims = Aims {
             due_in: now.until(asked.due),
             pause: Some(asked.pause),
-            strictest_pause: rules.strictest_pause,
+            tightest_gap: rules.tightest_gap,
             late_part: asked.late_part,
         };
         let plan = cells.plan(&asked.prompt, aims, rng)?;
--- a/testutils/src/relay_model/run.rs
+++ b/testutils/src/relay_model/run.rs
@@ -136,7 +136,7 @@
                 model: fleet.engine,
                 scope,
                 boxes: beside,
-                strictest_pause: scenario.strictest_pause(),
+                tightest_gap: scenario.tightest_gap(),
                 engines: EngineList::new(halls, fleet.engines_per_hall),
             },
             agenda: Agenda::default(),
