--- a/cli/src/commands/limits.rs
+++ b/cli/src/commands/limits.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use badgerferry_lib::relay::notice_uses::NoticeLine;
-use badgerferry_lib::relay::notice_uses::NoticeUses;
+use badgerferry_lib::relay::limit_summary::LimitLogLine;
+use badgerferry_lib::relay::limit_summary::LimitSummary;
 
 use crate::exit::CommandError;
 use crate::exit::CommandResult;
@@ -36,14 +36,14 @@
         let error = CommandError::new(Failure::Usage, "no log is named");
         return Err(error.hint("badgerferry limits FILE..."));
     }
-    let mut uses = NoticeUses::default();
+    let mut uses = LimitSummary::default();
     for path in &args.files {
         log_files::read(path, |line| {
             let value = line.map(|line| line.value);
             // Most lines tell of something else.
-            let line = value.and_then(|value| serde_json::from_value::<NoticeLine>(value).ok());
+            let line = value.and_then(|value| serde_json::from_value::<LimitLogLine>(value).ok());
             if let Some(line) = line {
-                uses.take(line);
+                uses.add(line);
             }
         })?;
     }
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-fn text_of(uses: &NoticeUses) -> String {
+fn text_of(uses: &LimitSummary) -> String {
     let (mut limited, mut others) = (
         Table::new(&["SERVER", "CALLS/S", "SINCE", "WENT", "FULL", "LONGEST WAIT"]),
         Table::new(&[
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -174,7 +174,7 @@
         checkpoint,
         from,
     };
-    take_rows(traffic, asker, rows, demand);
+    merge_rows(traffic, asker, rows, demand);
     let frame = peer_wire::seal(key, &answer);
     telemetry::count_peer_bytes("sent", frame.len());
     Some(frame)
@@ -194,7 +194,7 @@
     (newer.map(Head::encode), checkpoint.map(encode))
 }
 
-fn take_rows(traffic: &Traffic, from: BoxRow, rows: Vec<BoxRow>, demand: Vec<DemandRow>) {
+fn merge_rows(traffic: &Traffic, from: BoxRow, rows: Vec<BoxRow>, demand: Vec<DemandRow>) {
     let now = traffic.clock.now();
     let mut membership = lock(&traffic.membership);
     let name = from.name.clone();
@@ -217,7 +217,7 @@
     else {
         return false;
     };
-    take_rows(traffic, from, rows, demand);
+    merge_rows(traffic, from, rows, demand);
     let Some(head) = head.and_then(|bytes| Head::decode(&bytes).ok()) else {
         return false;
     };
--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -4,10 +4,10 @@
 
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::outcome::RefusalReason;
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::route_table::ServiceName;
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_book::ServerRecord;
-use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 
@@ -35,10 +35,10 @@
     pub fn refusal(self) -> (RefusalReason, Duration) {
         match self {
             Self::NoEngines => (RefusalReason::NoServer, NO_SERVER_RETRY),
-            Self::AllClosed(room_in, why) => {
+            Self::AllClosed(retry_in, why) => {
                 // Callers that are refused together do not come back in one instant.
                 let spread = rand::rng().random_range(0.0..RETURN_SPREAD);
-                (why, room_in + room_in.mul_f64(spread))
+                (why, retry_in + retry_in.mul_f64(spread))
             }
             Self::AllLeaving => (RefusalReason::ServersLeaving, NO_SERVER_RETRY),
         }
@@ -48,7 +48,7 @@
     pub fn lasts_until(self, now: Time, at: Time) -> bool {
         match self {
             Self::NoEngines => false,
-            Self::AllClosed(room_in, _) => now + room_in >= at,
+            Self::AllClosed(retry_in, _) => now + retry_in >= at,
             Self::AllLeaving => true,
         }
     }
@@ -76,22 +76,25 @@
     now: Time,
     book: &'a ServerBook,
     wanted: &Wanted<'_>,
-) -> Result<Vec<(&'a ServerRecord, Standing)>, NotNow> {
+) -> Result<Vec<(&'a ServerRecord, Availability)>, NotNow> {
     let Wanted {
         service,
         tried,
         patience,
     } = *wanted;
     let notices = lock(&relay.gate.notices);
-    let standing = |life| {
+    let availability = |life| {
         if tried.is_empty() {
-            notices.standing(now, life)
+            notices.availability(now, life)
         } else {
-            notices.standing_for_repeat(now, life)
+            notices.availability_for_retry(now, life)
         }
     };
-    let mut usable = book.usable(now, service, tried, standing);
-    if usable.iter().any(|(_, standing)| standing.takes_calls()) {
+    let mut usable = book.usable(now, service, tried, availability);
+    if usable
+        .iter()
+        .any(|(_, availability)| availability.accepts_calls())
+    {
         return Ok(usable);
     }
     let listed = book.of_service(service);
@@ -99,20 +102,23 @@
     if listed.peek().is_none() {
         return Err(NotNow::NoEngines);
     }
-    let opens_in = |record: &'a ServerRecord| Some((notices.opens_in(now, record.life)?, record));
-    let first = listed.filter_map(opens_in).min_by_key(|(wait, _)| *wait);
+    let available_in =
+        |record: &'a ServerRecord| Some((notices.available_in(now, record.life)?, record));
+    let first = listed
+        .filter_map(available_in)
+        .min_by_key(|(wait, _)| *wait);
     match first {
         None => Err(NotNow::AllLeaving),
         Some((wait, record)) if wait > patience => {
-            let why = match standing(record.life) {
-                Standing::BackOff => RefusalReason::ServersShedding,
+            let why = match availability(record.life) {
+                Availability::BackOff => RefusalReason::ServersShedding,
                 _ => RefusalReason::ServersLimited,
             };
             Err(NotNow::AllClosed(wait, why))
         }
         Some((_, record)) => {
             usable.retain(|(other, _)| other.key != record.key);
-            usable.push((record, Standing::Limited));
+            usable.push((record, Availability::Limited));
             Ok(usable)
         }
     }
@@ -122,10 +128,12 @@
 pub fn without_slow<'a>(
     relay: &Relay,
     now: Time,
-    candidates: Vec<(&'a ServerRecord, Standing)>,
-) -> Vec<(&'a ServerRecord, Standing)> {
+    candidates: Vec<(&'a ServerRecord, Availability)>,
+) -> Vec<(&'a ServerRecord, Availability)> {
     let paces = lock(&relay.paces);
     let fast = paces.without_slow(now, candidates.clone(), |(record, _)| record.key);
-    let takes_calls = fast.iter().any(|(_, standing)| standing.takes_calls());
-    if takes_calls { fast } else { candidates }
+    let accepts_calls = fast
+        .iter()
+        .any(|(_, availability)| availability.accepts_calls());
+    if accepts_calls { fast } else { candidates }
 }
--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -6,6 +6,7 @@
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::outcome::RefusalReason;
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::engine_cell::Cells;
 use badgerferry_lib::relay::engine_load::EngineKey;
@@ -25,7 +26,6 @@
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_book::ServerRecord;
-use badgerferry_lib::relay::standing::Standing;
 use badgerferry_platform::headers::Reader;
 
 use crate::relay::call::Call;
@@ -357,20 +357,20 @@
     let candidates = candidates::of_service(relay, now, &book, &wanted(call, tried))?;
     let mut candidates = candidates::without_slow(relay, now, candidates);
     if among == Among::Apart {
-        let busy = |(record, _): &(&ServerRecord, Standing)| {
+        let busy = |(record, _): &(&ServerRecord, Availability)| {
             let load = table.get(&record.key);
             load.map_or(0, |load| u32::from(load.short) + u32::from(load.long))
         };
-        candidates.retain(|(_, standing)| standing.takes_calls());
+        candidates.retain(|(_, availability)| availability.accepts_calls());
         candidates = quarantine::apart(candidates, busy, &mut rand::rng());
     }
     // Engines kept for short calls are the first ones, which must take them.
-    candidates.sort_by_key(|(_, standing)| *standing != Standing::Open);
-    let state = |(record, standing): &(&ServerRecord, Standing)| EngineState {
+    candidates.sort_by_key(|(_, availability)| *availability != Availability::Open);
+    let state = |(record, availability): &(&ServerRecord, Availability)| EngineState {
         load: table.get(&record.key).copied().unwrap_or_default(),
         near: record.info.hall == relay.settings.hall,
         preference: relay.preference(record.key),
-        standing: *standing,
+        availability: *availability,
     };
     let states: Vec<EngineState> = candidates.iter().map(state).collect();
     let usable: Vec<&ServerRecord> = candidates.iter().map(|(record, _)| *record).collect();
--- a/daemon/src/relay/followed.rs
+++ b/daemon/src/relay/followed.rs
@@ -4,7 +4,7 @@
 use badgerferry_lib::relay::cells::Boxes;
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::heard_boxes::HeardBoxes;
-use badgerferry_lib::relay::quota_keeper::Keeper;
+use badgerferry_lib::relay::quota_owner::QuotaOwner;
 use badgerferry_lib::relay::server_list::ServerList;
 use badgerferry_lib::time::Time;
 
@@ -45,9 +45,9 @@
     }
 
     /// Who gives out the calls of limited servers of a hall; `own` is this box.
-    pub fn keeper(&self, now: Time, own: &str, hall: &HallName) -> Keeper {
+    pub fn keeper(&self, now: Time, own: &str, hall: &HallName) -> QuotaOwner {
         let lives = |name: &str| self.heard.lives(now, name);
         let up_for = now.since(Time::ZERO);
-        Keeper::of(&self.boxes, own, hall, up_for, lives)
+        QuotaOwner::elect(&self.boxes, own, hall, up_for, lives)
     }
 }
--- a/daemon/src/relay/metrics_page.rs
+++ b/daemon/src/relay/metrics_page.rs
@@ -86,17 +86,17 @@
         let quarantine = lock(&relay.quarantine);
         let held = quarantine.held(relay.clock.now());
         gauge!("badgerferry_works_held").set(held as f64);
-        gauge!("badgerferry_works_pushed_out").set(quarantine.pushed_out() as f64);
+        gauge!("badgerferry_works_pushed_out").set(quarantine.evicted() as f64);
     }
     {
         let notices = lock(&relay.gate.notices);
         let limits = &notices.limits;
         gauge!("badgerferry_servers_limited").set(limits.limited().count() as f64);
-        gauge!("badgerferry_limits_pushed_out").set(limits.pushed_out() as f64);
+        gauge!("badgerferry_limits_pushed_out").set(limits.evicted() as f64);
         gauge!("badgerferry_servers_leaving").set(notices.leaving.len() as f64);
-        let paused = notices.shedding.paused(relay.clock.now());
+        let paused = notices.shedding.paused_count(relay.clock.now());
         gauge!("badgerferry_servers_paused").set(paused as f64);
-        gauge!("badgerferry_leaving_pushed_out").set(notices.leaving.pushed_out() as f64);
+        gauge!("badgerferry_leaving_pushed_out").set(notices.leaving.evicted() as f64);
     }
     gauge!("badgerferry_boxes_known").set(relay.boxes() as f64);
     gauge!("badgerferry_ready").set(f64::from(u8::from(relay.is_ready())));
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -290,7 +290,7 @@
     let mut passed_on = PassedOn::default();
     loop {
         let datagram = match socket.recv_from(&mut buf).await {
-            Ok((len, from)) if PermitFrame::is_one(&buf[..len]) => {
+            Ok((len, from)) if PermitFrame::has_version_byte(&buf[..len]) => {
                 if let Some(answer) = relay.gate.heard(&buf[..len]) {
                     relay.gate.permits.send(from, &answer);
                 }
@@ -312,11 +312,11 @@
             }
         };
         let now = relay.clock.now();
-        take_rows(relay, now, &mut datagram);
+        merge_rows(relay, now, &mut datagram);
         note_neighbour(relay, now, &datagram);
         suspects::heard(relay, now, &datagram);
         let teller = teller_name(&datagram);
-        relay.gate.take_rows(&datagram.notices, teller);
+        relay.gate.merge_rows(&datagram.notices, teller);
         if passed_on.is_due(relay, now, &datagram) {
             pass_on(relay, socket, &datagram).await;
         }
@@ -399,7 +399,7 @@
     send_to_all(socket, &mut datagram, &others(relay)).await;
 }
 
-fn take_rows(relay: &Relay, now: Time, datagram: &mut LoadDatagram) {
+fn merge_rows(relay: &Relay, now: Time, datagram: &mut LoadDatagram) {
     let (lifetime, sequence) = (datagram.lifetime, datagram.sequence);
     let from = &datagram.from;
     match &datagram.teller {
--- a/daemon/src/relay/permit_post.rs
+++ b/daemon/src/relay/permit_post.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-use badgerferry_lib::relay::permit_wire::PermitAnswer;
+use badgerferry_lib::relay::permit_wire::PermitDecision;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
-use badgerferry_lib::relay::permit_wire::Verdict;
+use badgerferry_lib::relay::permit_wire::PermitResponse;
 use metrics::counter;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -31,7 +31,7 @@
     tx: mpsc::Sender<Outgoing>,
     /// Taken by the thread that sends.
     rx: Mutex<Option<mpsc::Receiver<Outgoing>>>,
-    expected: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
+    expected: Mutex<HashMap<u64, oneshot::Sender<PermitDecision>>>,
 }
 
 impl Default for PermitPost {
@@ -60,7 +60,7 @@
     }
 
     /// Waits for an answer, in place of who waited for it before.
-    pub fn expect(&self, id: u64) -> oneshot::Receiver<Verdict> {
+    pub fn expect(&self, id: u64) -> oneshot::Receiver<PermitDecision> {
         let (tx, rx) = oneshot::channel();
         lock(&self.expected).insert(id, tx);
         rx
@@ -72,9 +72,9 @@
     }
 
     /// Takes an answer; one that nobody waits for came too late.
-    pub fn take(&self, answer: PermitAnswer) {
+    pub fn take(&self, answer: PermitResponse) {
         let waits = lock(&self.expected).remove(&answer.id);
         // Whoever asked may have left.
-        let _ = waits.map(|tx| tx.send(answer.verdict));
+        let _ = waits.map(|tx| tx.send(answer.decision));
     }
 }
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -178,7 +178,7 @@
             servers.take_news(now, news);
         });
     }
-    relay.gate.take_rows(&answer.notices, "a pull");
+    relay.gate.merge_rows(&answer.notices, "a pull");
     // Last: calls that wait for the first routes go by them at once.
     if let Some(table) = table {
         relay.offer_table(table, "neighbour");
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -4,7 +4,7 @@
 //! gets nothing new, one that asked for a pause nothing until it is over, and one that names a limit no
 //! more than that.
 //!
-//! Who gives out a limited server's calls is [`badgerferry_lib::relay::quota_keeper`]; here it is asked, by
+//! Who gives out a limited server's calls is [`badgerferry_lib::relay::quota_owner`]; here it is asked, by
 //! datagrams, and answers.
 
 use std::net::SocketAddr;
@@ -14,13 +14,15 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::call_rate::CallRate;
-use badgerferry_lib::relay::permit_wire::PermitAnswer;
-use badgerferry_lib::relay::permit_wire::PermitAsk;
+use badgerferry_lib::relay::parsed_header::ParsedHeader;
+use badgerferry_lib::relay::permit_wire::PermitDecision;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
-use badgerferry_lib::relay::permit_wire::Verdict;
-use badgerferry_lib::relay::quota_keeper::Keeper;
-use badgerferry_lib::relay::quota_keeper::QuotaKeeper;
+use badgerferry_lib::relay::permit_wire::PermitRequest;
+use badgerferry_lib::relay::permit_wire::PermitResponse;
+use badgerferry_lib::relay::quota_owner::OwnedQuotas;
+use badgerferry_lib::relay::quota_owner::QuotaOwner;
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_limits::LimitChange;
 use badgerferry_lib::relay::server_limits::LimitRow;
@@ -28,8 +30,6 @@
 use badgerferry_lib::relay::server_notices::NoticeChanges;
 use badgerferry_lib::relay::server_notices::NoticeRows;
 use badgerferry_lib::relay::server_notices::ServerNotices;
-use badgerferry_lib::relay::standing::Standing;
-use badgerferry_lib::relay::stated::Stated;
 use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use metrics::counter;
@@ -110,7 +110,7 @@
     /// What servers say of the calls they take.
     pub notices: Mutex<ServerNotices>,
     /// Counts of those whose calls this box gives out.
-    quotas: Mutex<QuotaKeeper>,
+    quotas: Mutex<OwnedQuotas>,
     /// Questions for calls to them.
     pub permits: PermitPost,
 }
@@ -134,7 +134,9 @@
     pub async fn enter(&self, entrant: &Entrant<'_>) -> Result<Pass, Closed> {
         let target = entrant.target;
         // It was chosen though it wants no call yet: there is no other one.
-        let pause = lock(&self.notices).shedding.left(self.now(), target.life);
+        let pause = lock(&self.notices)
+            .shedding
+            .pause_remaining(self.now(), target.life);
         // A timer of no time still ends with the next tick.
         if !pause.is_zero() && pause <= entrant.patience {
             tokio::time::sleep(pause).await;
@@ -143,14 +145,17 @@
         // What it says may have changed while the call waited.
         let now = self.now();
         let mut notices = lock(&self.notices);
-        let standing = notices.standing(now, target.life);
-        match standing {
-            Standing::BackOff | Standing::Leaving => {
-                held_back(entrant, standing);
+        let availability = notices.availability(now, target.life);
+        match availability {
+            Availability::BackOff | Availability::Leaving => {
+                held_back(entrant, availability);
                 Err(Closed)
             }
-            Standing::Open | Standing::Limited | Standing::Shedding | Standing::Closed => {
-                notices.shedding.sent(now, target.life);
+            Availability::Open
+            | Availability::Limited
+            | Availability::Shedding
+            | Availability::Closed => {
+                notices.shedding.record_sent(now, target.life);
                 Ok(Pass(()))
             }
         }
@@ -174,12 +179,12 @@
         } else {
             Duration::ZERO
         };
-        let verdict = self.ask(target, patience).await;
-        log_asked(entrant, limit, verdict);
-        if let Ok(wait) = verdict {
+        let decision = self.ask(target, patience).await;
+        log_asked(entrant, limit, decision);
+        if let Ok(wait) = decision {
             tokio::time::sleep(wait).await;
         }
-        verdict.map(|_wait| ()).map_err(|_room_in| Closed)
+        decision.map(|_wait| ()).map_err(|_retry_in| Closed)
     }
 
     /// Lets a request to a server that nobody waits for.
@@ -188,14 +193,14 @@
     ///
     /// It takes none now.
     pub async fn enter_idle(&self, target: &Target) -> Result<Pass, Closed> {
-        if !self.standing(target).takes_calls() {
+        if !self.availability(target).accepts_calls() {
             return Err(Closed);
         }
         if lock(&self.notices).limits.limit(target.life).is_none() {
             return Ok(Pass(()));
         }
-        let verdict = self.ask(target, Duration::ZERO).await;
-        verdict.map(|_wait| Pass(())).map_err(|_room_in| Closed)
+        let decision = self.ask(target, Duration::ZERO).await;
+        decision.map(|_wait| Pass(())).map_err(|_retry_in| Closed)
     }
 
     /// Lets an order go that begins something new.
@@ -204,7 +209,7 @@
     ///
     /// The server leaves, or wants nothing of this box now.
     pub fn enter_order(&self, target: &Target) -> Result<Pass, Closed> {
-        if self.standing(target).reads_parts() {
+        if self.availability(target).accepts_parts() {
             Ok(self.charge(target))
         } else {
             Err(Closed)
@@ -214,30 +219,32 @@
     /// Lets a request go that can't be held back, as what gives memory back can't; it counts.
     pub fn charge(&self, target: &Target) -> Pass {
         let now = self.now();
-        let word = lock(&self.notices).limits.row_of(now, target.life);
-        let Some((word, limit)) = word.and_then(|word| Some((word, word.rate?))) else {
+        let limit_row = lock(&self.notices).limits.row_of(now, target.life);
+        let Some((limit_row, limit)) =
+            limit_row.and_then(|limit_row| Some((limit_row, limit_row.rate?)))
+        else {
             return Pass(());
         };
         match self.keeper(&target.hall) {
-            Keeper::Here { takers } => {
-                lock(&self.quotas).charge(now, target.life, limit.shared_by(takers));
+            QuotaOwner::Local { shares } => {
+                lock(&self.quotas).charge(now, target.life, limit.divided_by(shares));
             }
-            Keeper::At(address) => {
-                let ask = question(target, word, Duration::ZERO);
+            QuotaOwner::Remote(address) => {
+                let ask = question(target, limit_row, Duration::ZERO);
                 self.permits.send(address, &PermitFrame::Charge(ask));
             }
-            Keeper::Unknown => {}
+            QuotaOwner::Unknown => {}
         }
         Pass(())
     }
 
     /// Whether the server said that it leaves.
     pub fn leaves(&self, target: &Target) -> bool {
-        self.standing(target) == Standing::Leaving
+        self.availability(target) == Availability::Leaving
     }
 
-    fn standing(&self, target: &Target) -> Standing {
-        lock(&self.notices).standing(self.now(), target.life)
+    fn availability(&self, target: &Target) -> Availability {
+        lock(&self.notices).availability(self.now(), target.life)
     }
 
     fn now(&self) -> Time {
@@ -245,7 +252,7 @@
     }
 
     /// Who gives out the calls of limited servers of a hall.
-    fn keeper(&self, hall: &HallName) -> Keeper {
+    fn keeper(&self, hall: &HallName) -> QuotaOwner {
         lock(&self.parts.followed).keeper(self.now(), &self.parts.own, hall)
     }
 
@@ -253,59 +260,59 @@
     /// closed to this box until that time.
     async fn ask(&self, target: &Target, patience: Duration) -> Result<Duration, Duration> {
         let asked = self.now();
-        let Some(word) = lock(&self.notices).limits.row_of(asked, target.life) else {
+        let Some(limit_row) = lock(&self.notices).limits.row_of(asked, target.life) else {
             return Ok(Duration::ZERO);
         };
-        let verdict = match self.keeper(&target.hall) {
-            Keeper::Here { takers } => self.decide(target.life, takers, patience),
-            Keeper::At(address) => {
-                self.ask_keeper(address, question(target, word, patience))
+        let decision = match self.keeper(&target.hall) {
+            QuotaOwner::Local { shares } => self.decide(target.life, shares, patience),
+            QuotaOwner::Remote(address) => {
+                self.ask_keeper(address, question(target, limit_row, patience))
                     .await
             }
-            Keeper::Unknown => Verdict::NotKept,
+            QuotaOwner::Unknown => PermitDecision::NotOwner,
         };
-        let room_in = match verdict {
-            Verdict::Granted { after } => return Ok(Duration::from_micros(after.into())),
-            Verdict::Full { room_in } => Duration::from_micros(room_in.into()),
-            Verdict::NotKept => NO_KEEPER,
+        let retry_in = match decision {
+            PermitDecision::Granted { after } => return Ok(Duration::from_micros(after.into())),
+            PermitDecision::Full { retry_in } => Duration::from_micros(retry_in.into()),
+            PermitDecision::NotOwner => NO_KEEPER,
         };
         lock(&self.notices)
             .limits
-            .close(self.now(), target.life, room_in);
-        Err(room_in)
+            .close(self.now(), target.life, retry_in);
+        Err(retry_in)
     }
 
-    async fn ask_keeper(&self, address: SocketAddr, ask: PermitAsk) -> Verdict {
+    async fn ask_keeper(&self, address: SocketAddr, ask: PermitRequest) -> PermitDecision {
         let id = ask.id;
-        let frame = PermitFrame::Ask(ask);
+        let frame = PermitFrame::Request(ask);
         for limit in ANSWER_LIMITS {
             let answer = self.permits.expect(id);
             self.permits.send(address, &frame);
-            if let Ok(Ok(verdict)) = timeout(limit, answer).await {
-                return verdict;
+            if let Ok(Ok(decision)) = timeout(limit, answer).await {
+                return decision;
             }
         }
         self.permits.forget(id);
         counter!("badgerferry_limit_questions_lost_total").increment(1);
         tracing::info!(keeper = %address, "a question for a limited server got no answer");
-        Verdict::NotKept
+        PermitDecision::NotOwner
     }
 
     /// Decides on a call to a server whose calls this box gives out.
-    fn decide(&self, life: ServerLife, takers: usize, patience: Duration) -> Verdict {
+    fn decide(&self, life: ServerLife, shares: usize, patience: Duration) -> PermitDecision {
         let now = self.now();
         // Its limit may be over by a newer answer than the asking box knows of.
         let Some(limit) = lock(&self.notices).limits.limit(life) else {
-            return Verdict::Granted { after: 0 };
+            return PermitDecision::Granted { after: 0 };
         };
-        let taken = lock(&self.quotas).take(now, life, limit.shared_by(takers), patience);
+        let taken = lock(&self.quotas).take(now, life, limit.divided_by(shares), patience);
         let micros = |span: Duration| u32::try_from(span.as_micros()).unwrap_or(u32::MAX);
         match taken {
-            Ok(wait) => Verdict::Granted {
+            Ok(wait) => PermitDecision::Granted {
                 after: micros(wait),
             },
-            Err(full) => Verdict::Full {
-                room_in: micros(full.room_in),
+            Err(full) => PermitDecision::Full {
+                retry_in: micros(full.retry_in),
             },
         }
     }
@@ -313,12 +320,12 @@
     /// Takes a datagram of another box; gives back the answer to it, if it asks for one.
     pub fn heard(&self, bytes: &[u8]) -> Option<PermitFrame> {
         match PermitFrame::decode(bytes) {
-            Ok(PermitFrame::Ask(ask)) => Some(PermitFrame::Answer(self.answer(&ask))),
+            Ok(PermitFrame::Request(ask)) => Some(PermitFrame::Response(self.answer(&ask))),
             Ok(PermitFrame::Charge(ask)) => {
                 self.charged(&ask);
                 None
             }
-            Ok(PermitFrame::Answer(answer)) => {
+            Ok(PermitFrame::Response(answer)) => {
                 self.permits.take(answer);
                 None
             }
@@ -330,27 +337,27 @@
         }
     }
 
-    fn answer(&self, ask: &PermitAsk) -> PermitAnswer {
+    fn answer(&self, ask: &PermitRequest) -> PermitResponse {
         let id = ask.id;
-        if let Some(verdict) = lock(&self.quotas).answered_before(id) {
-            return PermitAnswer { id, verdict };
+        if let Some(decision) = lock(&self.quotas).cached_response(id) {
+            return PermitResponse { id, decision };
         }
-        self.take_limit(ask.word);
-        let patience = Duration::from_millis(ask.patience_ms.into());
-        let verdict = match self.keeper(&ask.hall) {
-            Keeper::Here { takers } => self.decide(ask.word.life, takers, patience),
-            Keeper::At(_) | Keeper::Unknown => Verdict::NotKept,
+        self.take_limit(ask.limit_row);
+        let patience = Duration::from_millis(ask.max_wait_ms.into());
+        let decision = match self.keeper(&ask.hall) {
+            QuotaOwner::Local { shares } => self.decide(ask.limit_row.life, shares, patience),
+            QuotaOwner::Remote(_) | QuotaOwner::Unknown => PermitDecision::NotOwner,
         };
-        lock(&self.quotas).note_answer(id, verdict);
-        PermitAnswer { id, verdict }
+        lock(&self.quotas).cache_response(id, decision);
+        PermitResponse { id, decision }
     }
 
-    fn charged(&self, ask: &PermitAsk) {
-        self.take_limit(ask.word);
+    fn charged(&self, ask: &PermitRequest) {
+        self.take_limit(ask.limit_row);
         let now = self.now();
-        let limit = lock(&self.notices).limits.limit(ask.word.life);
-        if let (Some(limit), Keeper::Here { takers }) = (limit, self.keeper(&ask.hall)) {
-            lock(&self.quotas).charge(now, ask.word.life, limit.shared_by(takers));
+        let limit = lock(&self.notices).limits.limit(ask.limit_row.life);
+        if let (Some(limit), QuotaOwner::Local { shares }) = (limit, self.keeper(&ask.hall)) {
+            lock(&self.quotas).charge(now, ask.limit_row.life, limit.divided_by(shares));
         }
     }
 
@@ -358,7 +365,7 @@
     pub fn answered(&self, id: &str, target: &Target, notice: &Notice, has_proof: bool) {
         log_unreadable(id, target, notice);
         let now = self.now();
-        let changes = lock(&self.notices).answered(now, target.life, notice, has_proof);
+        let changes = lock(&self.notices).record_response(now, target.life, notice, has_proof);
         self.log_changes(&changes, "an answer");
         if is_urgent(&changes) {
             self.parts.urgent_changed.notify_one();
@@ -369,8 +376,8 @@
     }
 
     /// Takes what another box tells of servers.
-    pub fn take_rows(&self, rows: &NoticeRows, source: &str) {
-        let changes = lock(&self.notices).take_rows(self.now(), rows);
+    pub fn merge_rows(&self, rows: &NoticeRows, source: &str) {
+        let changes = lock(&self.notices).merge_rows(self.now(), rows);
         self.log_changes(&changes, source);
         if is_urgent(&changes) {
             // Other halls are told by whoever speaks for this one.
@@ -384,11 +391,11 @@
             limits: vec![row],
             ..NoticeRows::default()
         };
-        self.take_rows(&rows, "a question");
+        self.merge_rows(&rows, "a question");
     }
 
     fn log_changes(&self, changes: &NoticeChanges, source: &str) {
-        let limits = changes.limits.iter().filter(|change| change.is_news);
+        let limits = changes.limits.iter().filter(|change| change.announce_now);
         limits.for_each(|change| self.log(change, source));
         for (lives, message) in [
             (&changes.leaving, "server leaves"),
@@ -409,7 +416,7 @@
         let server = server.map(tracing::field::display);
         let life = format!("{:016x}", change.life.0);
         let before = change.before.map(CallRate::calls_per_second);
-        if let Some(rate) = change.now {
+        if let Some(rate) = change.after {
             let limit = rate.calls_per_second();
             tracing::info!(server, life, limit, before, source, "server names a limit");
         } else {
@@ -427,24 +434,27 @@
 /// Whether other boxes are to know at once: each call there is one too many. Of a server that sheds
 /// they hear with the next datagram.
 fn is_urgent(changes: &NoticeChanges) -> bool {
-    changes.limits.iter().any(|change| change.is_news) || !changes.leaving.is_empty()
+    changes.limits.iter().any(|change| change.announce_now) || !changes.leaving.is_empty()
 }
 
-fn question(target: &Target, word: LimitRow, patience: Duration) -> PermitAsk {
-    PermitAsk {
+fn question(target: &Target, limit_row: LimitRow, patience: Duration) -> PermitRequest {
+    PermitRequest {
         id: rand::random(),
         hall: target.hall.clone(),
-        word,
-        patience_ms: patience.as_millis() as u32,
+        limit_row,
+        max_wait_ms: patience.as_millis() as u32,
     }
 }
 
 /// A call was chosen for a server that takes none, and is chosen for another one.
-fn held_back(entrant: &Entrant<'_>, standing: Standing) {
-    let why = match standing {
-        Standing::Leaving => "leaving",
-        Standing::BackOff => "back_off",
-        Standing::Open | Standing::Limited | Standing::Shedding | Standing::Closed => "closed",
+fn held_back(entrant: &Entrant<'_>, availability: Availability) {
+    let why = match availability {
+        Availability::Leaving => "leaving",
+        Availability::BackOff => "back_off",
+        Availability::Open
+        | Availability::Limited
+        | Availability::Shedding
+        | Availability::Closed => "closed",
     };
     counter!("badgerferry_calls_held_back_total", "why" => why).increment(1);
     tracing::info!(
@@ -458,9 +468,12 @@
 /// Headers of a server that are there and can't be read.
 fn log_unreadable(id: &str, target: &Target, notice: &Notice) {
     let unreadable = [
-        ("server-limit", notice.limit == Stated::Unreadable),
-        ("server-leaving", notice.leaving == Stated::Unreadable),
-        ("retry-after", notice.retry_after == Stated::Unreadable),
+        ("server-limit", notice.limit == ParsedHeader::Unreadable),
+        ("server-leaving", notice.leaving == ParsedHeader::Unreadable),
+        (
+            "retry-after",
+            notice.retry_after == ParsedHeader::Unreadable,
+        ),
     ];
     for (header, _) in unreadable.iter().filter(|(_, is_so)| *is_so) {
         counter!("badgerferry_headers_unreadable_total", "header" => *header).increment(1);
@@ -469,8 +482,8 @@
 }
 
 /// A limited server was asked for: how long the call waits for its place, or when there is room.
-fn log_asked(entrant: &Entrant<'_>, limit: CallRate, verdict: Result<Duration, Duration>) {
-    let (outcome, lines) = match verdict {
+fn log_asked(entrant: &Entrant<'_>, limit: CallRate, decision: Result<Duration, Duration>) {
+    let (outcome, lines) = match decision {
         Ok(_) => ("granted", &GOOD_LINES),
         Err(_) => ("full", &LATE_LINES),
     };
@@ -483,8 +496,8 @@
         server = %entrant.target.name,
         limit = limit.calls_per_second(),
         outcome,
-        wait_ms = verdict.ok().map(|wait| wait.as_millis() as u64),
-        room_in_ms = verdict.err().map(|room_in| room_in.as_millis() as u64),
+        wait_ms = decision.ok().map(|wait| wait.as_millis() as u64),
+        room_in_ms = decision.err().map(|retry_in| retry_in.as_millis() as u64),
         "limited server asked for"
     );
 }
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -277,7 +277,7 @@
         Teller::Box => RunsOf::Box,
         Teller::Hall { .. } => RunsOf::Hall,
     };
-    let changes = lock(&relay.quarantine).take_rows(now, of, from, rows);
+    let changes = lock(&relay.quarantine).merge_rows(now, of, from, rows);
     relay.verdicts.notify_waiters();
     if !changes.is_empty() {
         relay.hall_changed.notify_one();
--- a/lib/src/relay/standing.rs
+++ b/lib/src/relay/availability.rs
@@ -6,7 +6,7 @@
 /// silence, is a preference of [`crate::relay::server_book`] and gives way where nothing else is left;
 /// this never does.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum Availability {
     /// It says nothing against it.
     #[default]
     Open,
@@ -22,9 +22,9 @@
     Leaving,
 }
 
-impl Standing {
+impl Availability {
     /// Whether a call may be sent there.
-    pub const fn takes_calls(self) -> bool {
+    pub const fn accepts_calls(self) -> bool {
         match self {
             Self::Open | Self::Limited | Self::Shedding => true,
             Self::Closed | Self::BackOff | Self::Leaving => false,
@@ -32,7 +32,7 @@
     }
 
     /// Whether it may have a part in another server's call: a limit counts calls alone.
-    pub const fn reads_parts(self) -> bool {
+    pub const fn accepts_parts(self) -> bool {
         match self {
             Self::Open | Self::Limited | Self::Shedding | Self::Closed => true,
             Self::BackOff | Self::Leaving => false,
--- a/lib/src/relay/call_quota.rs
+++ b/lib/src/relay/call_quota.rs
@@ -19,10 +19,10 @@
 
 /// There is no room now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("there is room in {room_in:?}")]
-pub struct NoRoom {
+#[error("there is room in {retry_in:?}")]
+pub struct QuotaExceeded {
     /// When there is, if nobody else takes it.
-    pub room_in: Duration,
+    pub retry_in: Duration,
 }
 
 /// What one server takes.
@@ -58,11 +58,11 @@
     /// # Errors
     ///
     /// It would have to wait longer.
-    pub fn take(&mut self, now: Time, patience: Duration) -> Result<Duration, NoRoom> {
+    pub fn take(&mut self, now: Time, patience: Duration) -> Result<Duration, QuotaExceeded> {
         let burst = interval(self.rate).mul_f64(BEYOND + ahead(self.rate) - 1.0);
         let wait = now.until(self.used_until).saturating_sub(burst);
         if wait > patience {
-            return Err(NoRoom { room_in: wait });
+            return Err(QuotaExceeded { retry_in: wait });
         }
         self.used_until = self.used_until.max(now) + interval(self.rate);
         Ok(wait)
--- a/lib/src/relay/call_rate.rs
+++ b/lib/src/relay/call_rate.rs
@@ -52,9 +52,9 @@
 
     /// What one of so many takers has of it.
     #[must_use]
-    pub fn shared_by(self, takers: usize) -> Self {
-        let takers = u32::try_from(takers.max(1)).unwrap_or(u32::MAX);
-        Self(self.0 / takers).max(Self(1))
+    pub fn divided_by(self, shares: usize) -> Self {
+        let shares = u32::try_from(shares.max(1)).unwrap_or(u32::MAX);
+        Self(self.0 / shares).max(Self(1))
     }
 }
 
--- a/lib/src/relay/engine_group.rs
+++ b/lib/src/relay/engine_group.rs
@@ -6,10 +6,10 @@
 
 use std::time::Duration;
 
+use crate::relay::availability::Availability;
 use crate::relay::call::Prompt;
 use crate::relay::engine_plan::EngineModel;
 use crate::relay::engine_plan::EngineState;
-use crate::relay::standing::Standing;
 
 /// Pause from which a stream may be written where long parts are read: the longest part, the
 /// steps of a pass, and a second part that came with it.
@@ -103,18 +103,19 @@
     fn has_room(&self, at: usize, count: usize) -> bool {
         let share = self.prompt.memory() / count as u64 + 1;
         let engine = &self.engines[at];
-        engine.standing.takes_calls() && engine.free_memory(self.model) >= share
+        engine.availability.accepts_calls() && engine.free_memory(self.model) >= share
     }
 
     /// The first that may lead; one that names a limit or sheds load only where no other one may.
     fn lead_among(&self, able: &[usize]) -> Option<usize> {
-        let first = |standing: Standing| {
-            let may_lead = |&at: &usize| self.engines[at].standing == standing && self.leads(at);
+        let first = |availability: Availability| {
+            let may_lead =
+                |&at: &usize| self.engines[at].availability == availability && self.leads(at);
             able.iter().position(may_lead)
         };
-        first(Standing::Open)
-            .or_else(|| first(Standing::Limited))
-            .or_else(|| first(Standing::Shedding))
+        first(Availability::Open)
+            .or_else(|| first(Availability::Limited))
+            .or_else(|| first(Availability::Shedding))
     }
 
     /// So many engines that can read parts of this length; the one that leads is first.
@@ -128,7 +129,7 @@
         able.sort_by_key(|&at| {
             let engine = &self.engines[at];
             let writes_short = self.bears(at) <= self.bearable.beside_short;
-            let is_ordered = self.reserve && engine.standing != Standing::Open;
+            let is_ordered = self.reserve && engine.availability != Availability::Open;
             (
                 is_ordered,
                 writes_short,
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -14,6 +14,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::relay::availability::Availability;
 use crate::relay::call::Prompt;
 use crate::relay::engine_group::Bearable;
 use crate::relay::engine_group::EngineGroup;
@@ -21,7 +22,6 @@
 use crate::relay::engine_group::LONGEST_PART_ALONE;
 use crate::relay::engine_load::EngineUse;
 use crate::relay::engine_load::Work;
-use crate::relay::standing::Standing;
 
 /// Engines that may read for one call beside the one that leads it; the engines' limit.
 pub const MAX_HELPERS: usize = 16;
@@ -116,7 +116,7 @@
     pub preference: u32,
     /// Whether it takes a call of this box. Engines that read parts are asked by the one that
     /// leads, which no limit counts.
-    pub standing: Standing,
+    pub availability: Availability,
 }
 
 /// One engine's part of a plan.
@@ -291,10 +291,10 @@
     if !engine.near {
         cost += OTHER_HALL;
     }
-    cost + match engine.standing {
-        Standing::Open => Duration::ZERO,
-        Standing::Limited | Standing::Shedding => LIMITED,
-        Standing::Closed | Standing::BackOff | Standing::Leaving => CLOSED,
+    cost + match engine.availability {
+        Availability::Open => Duration::ZERO,
+        Availability::Limited | Availability::Shedding => LIMITED,
+        Availability::Closed | Availability::BackOff | Availability::Leaving => CLOSED,
     }
 }
 
--- a/lib/src/relay/leaving_servers.rs
+++ b/lib/src/relay/leaving_servers.rs
@@ -30,12 +30,12 @@
     /// Where it goes on, of the others.
     told_to: Option<ServerLife>,
     /// Servers that went for want of room.
-    pushed_out: u64,
+    evicted: u64,
 }
 
 impl LeavingServers {
     /// Notes that a server leaves; true if that is new here.
-    pub fn note(&mut self, now: Time, life: ServerLife) -> bool {
+    pub fn insert(&mut self, now: Time, life: ServerLife) -> bool {
         if self.learned.contains_key(&life) {
             return false;
         }
@@ -43,7 +43,7 @@
             let first = self.learned.iter().min_by_key(|(_, at)| **at);
             if let Some(life) = first.map(|(life, _)| *life) {
                 self.learned.remove(&life);
-                self.pushed_out += 1;
+                self.evicted += 1;
             }
         }
         self.learned.insert(life, now);
@@ -51,7 +51,7 @@
     }
 
     /// Whether a server leaves.
-    pub fn holds(&self, life: ServerLife) -> bool {
+    pub fn contains(&self, life: ServerLife) -> bool {
         self.learned.contains_key(&life)
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Servers that went for want of room so far.
-    pub const fn pushed_out(&self) -> u64 {
-        self.pushed_out
+    pub const fn evicted(&self) -> u64 {
+        self.evicted
     }
 }
--- a/lib/src/relay/notice_uses.rs
+++ b/lib/src/relay/limit_summary.rs
@@ -8,7 +8,7 @@
 /// A line that tells of what a server said; other lines are none.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(tag = "message")]
-pub enum NoticeLine {
+pub enum LimitLogLine {
     /// A limit began or changed.
     #[serde(rename = "server names a limit")]
     Named {
@@ -87,7 +87,7 @@
 
 /// One server.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct ServerUse {
+pub struct ServerSummary {
     /// Calls a second by its last word; none if that is over.
     pub limit: Option<f64>,
     /// When it first said so.
@@ -112,29 +112,29 @@
 
 /// All servers that said something.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct NoticeUses {
+pub struct LimitSummary {
     /// By name.
-    pub servers: BTreeMap<String, ServerUse>,
+    pub servers: BTreeMap<String, ServerSummary>,
     /// Questions that got no answer.
     pub unanswered: u64,
     /// Calls that were refused since no server took any of their box, by outcome.
     pub refused: BTreeMap<String, u64>,
 }
 
-impl NoticeUses {
+impl LimitSummary {
     /// Takes a line; those of several boxes may come in any order.
-    pub fn take(&mut self, line: NoticeLine) {
+    pub fn add(&mut self, line: LimitLogLine) {
         match line {
-            NoticeLine::Named {
+            LimitLogLine::Named {
                 server: Some(server),
                 limit,
                 timestamp,
             } => self.word(server, Some(limit), timestamp),
-            NoticeLine::Over {
+            LimitLogLine::Over {
                 server: Some(server),
                 timestamp,
             } => self.word(server, None, timestamp),
-            NoticeLine::Asked {
+            LimitLogLine::Asked {
                 server,
                 outcome,
                 wait_ms,
@@ -146,8 +146,8 @@
                 }
                 of.longest_wait_ms = of.longest_wait_ms.max(wait_ms.unwrap_or_default());
             }
-            NoticeLine::Unanswered => self.unanswered += 1,
-            NoticeLine::Leaves {
+            LimitLogLine::Unanswered => self.unanswered += 1,
+            LimitLogLine::Leaves {
                 server: Some(server),
                 timestamp,
             } => {
@@ -156,7 +156,7 @@
                     *since = Some(timestamp);
                 }
             }
-            NoticeLine::Declined {
+            LimitLogLine::Declined {
                 server,
                 retry_after_ms: Some(pause),
                 timestamp,
@@ -168,18 +168,18 @@
                     of.shed_at = Some(timestamp);
                 }
             }
-            NoticeLine::HeldBack { server } => {
+            LimitLogLine::HeldBack { server } => {
                 self.servers.entry(server).or_default().held_back += 1;
             }
-            NoticeLine::Ended { outcome } if REFUSED.contains(&outcome.as_str()) => {
+            LimitLogLine::Ended { outcome } if REFUSED.contains(&outcome.as_str()) => {
                 *self.refused.entry(outcome).or_default() += 1;
             }
             // A box that does not list the server yet tells only its life.
-            NoticeLine::Named { .. }
-            | NoticeLine::Over { .. }
-            | NoticeLine::Leaves { .. }
-            | NoticeLine::Declined { .. }
-            | NoticeLine::Ended { .. } => {}
+            LimitLogLine::Named { .. }
+            | LimitLogLine::Over { .. }
+            | LimitLogLine::Leaves { .. }
+            | LimitLogLine::Declined { .. }
+            | LimitLogLine::Ended { .. } => {}
         }
     }
 
--- a/lib/src/relay/mod.rs
+++ b/lib/src/relay/mod.rs
@@ -5,6 +5,7 @@
 //! neither a platform nor a wire format: an adapter decodes both into these types.
 
 pub mod attempts;
+pub mod availability;
 pub mod call;
 pub mod call_quota;
 pub mod call_rate;
@@ -19,14 +20,15 @@
 pub mod hall_reach;
 pub mod heard_boxes;
 pub mod leaving_servers;
+pub mod limit_summary;
 pub mod load_datagram;
 pub mod long_queue;
 pub mod lost_calls;
 pub(crate) mod moment;
-pub mod notice_uses;
+pub mod parsed_header;
 pub mod permit_wire;
 pub mod quarantine;
-pub mod quota_keeper;
+pub mod quota_owner;
 pub mod retry_window;
 pub mod route_table;
 pub mod served_shares;
@@ -35,9 +37,7 @@
 pub mod server_list;
 pub mod server_notices;
 pub mod shedding_servers;
-pub mod standing;
 pub mod state_pull;
-pub mod stated;
 pub mod stop_plan;
 pub mod store_cursor;
 pub mod store_position;
--- a/lib/src/relay/stated.rs
+++ b/lib/src/relay/parsed_header.rs
@@ -2,7 +2,7 @@
 
 /// A value that a server may state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Stated<T> {
+pub enum ParsedHeader<T> {
     /// The answer lacks the header.
     #[default]
     Absent,
@@ -12,7 +12,7 @@
     Unreadable,
 }
 
-impl<T> Stated<T> {
+impl<T> ParsedHeader<T> {
     /// The value, if there is one.
     pub fn value(self) -> Option<T> {
         match self {
--- a/lib/src/relay/permit_wire.rs
+++ b/lib/src/relay/permit_wire.rs
@@ -13,38 +13,38 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitFrame {
     /// May a call go to the server?
-    Ask(PermitAsk),
+    Request(PermitRequest),
     /// A call that goes in any case: it only counts.
-    Charge(PermitAsk),
+    Charge(PermitRequest),
     /// The answer.
-    Answer(PermitAnswer),
+    Response(PermitResponse),
 }
 
 /// What is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// Drawn for the question; asked again with the same where no answer comes.
     pub id: u64,
     /// The server's hall.
     pub hall: HallName,
     /// What the asking box knows of the server.
-    pub word: LimitRow,
+    pub limit_row: LimitRow,
     /// How long the call can wait, in milliseconds.
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
 }
 
 /// What is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAnswer {
+pub struct PermitResponse {
     /// Of the question.
     pub id: u64,
     /// The answer.
-    pub verdict: Verdict,
+    pub decision: PermitDecision,
 }
 
 /// Whether a call may go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum PermitDecision {
     /// After so many microseconds.
     Granted {
         /// Microseconds.
@@ -53,10 +53,10 @@
     /// There is no room before so many microseconds.
     Full {
         /// Microseconds.
-        room_in: u32,
+        retry_in: u32,
     },
     /// Another box gives out that server's calls, as far as this one knows.
-    NotKept,
+    NotOwner,
 }
 
 /// It is no datagram of this kind and version.
@@ -66,7 +66,7 @@
 
 impl PermitFrame {
     /// Whether a datagram is meant to be one.
-    pub fn is_one(bytes: &[u8]) -> bool {
+    pub fn has_version_byte(bytes: &[u8]) -> bool {
         bytes.first() == Some(&PERMIT_VERSION)
     }
 
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -130,7 +130,7 @@
     /// Where the next datagram goes on, of the works that are not new.
     told_to: Option<WorkKey>,
     /// Works that went for want of room.
-    pushed_out: u64,
+    evicted: u64,
 }
 
 impl Quarantine {
@@ -274,7 +274,7 @@
     }
 
     /// Takes what another box, or a hall, tells.
-    pub fn take_rows(
+    pub fn merge_rows(
         &mut self,
         now: Time,
         of: RunsOf,
@@ -367,7 +367,7 @@
         let first = of.min_by_key(|(_, known)| worth(known));
         if let Some((&work, _)) = first {
             self.works.remove(&work);
-            self.pushed_out += 1;
+            self.evicted += 1;
         }
     }
 
@@ -451,8 +451,8 @@
     }
 
     /// Works that went for want of room so far.
-    pub const fn pushed_out(&self) -> u64 {
-        self.pushed_out
+    pub const fn evicted(&self) -> u64 {
+        self.evicted
     }
 }
 
--- a/lib/src/relay/quota_keeper.rs
+++ b/lib/src/relay/quota_owner.rs
@@ -12,12 +12,12 @@
 
 use crate::ids::HallName;
 use crate::relay::call_quota::CallQuota;
-use crate::relay::call_quota::NoRoom;
+use crate::relay::call_quota::QuotaExceeded;
 use crate::relay::call_rate::CallRate;
 use crate::relay::cells;
 use crate::relay::cells::Boxes;
 use crate::relay::heard_boxes::LIVES;
-use crate::relay::permit_wire::Verdict;
+use crate::relay::permit_wire::PermitDecision;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -30,22 +30,22 @@
 
 /// Who gives out the calls of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Keeper {
+pub enum QuotaOwner {
     /// This box, of a rate that so many takers share that may not hear each other.
-    Here {
+    Local {
         /// Takers.
-        takers: usize,
+        shares: usize,
     },
     /// Another box.
-    At(SocketAddr),
+    Remote(SocketAddr),
     /// It isn't known yet who.
     Unknown,
 }
 
-impl Keeper {
+impl QuotaOwner {
     /// The keeper for servers of a hall, as a box sees it that started `up_for` ago: the first of the
     /// boxes there that live, or of another hall's, where none does.
-    pub fn of(
+    pub fn elect(
         boxes: &Boxes,
         own: &str,
         hall: &HallName,
@@ -55,29 +55,29 @@
         let hears_others = boxes.keys().any(|name| name != own && lives(name));
         if !hears_others {
             return match boxes.len() {
-                0 | 1 => Self::Here { takers: 1 },
+                0 | 1 => Self::Local { shares: 1 },
                 _ if up_for < LIVES => Self::Unknown,
                 // It is cut off from the others, or they are gone.
-                boxes => Self::Here { takers: boxes },
+                boxes => Self::Local { shares: boxes },
             };
         }
         let Some(first) = cells::first_living(boxes, own, hall, &lives) else {
             return Self::Unknown;
         };
         if first.name != own {
-            return first.load.parse().map_or(Self::Unknown, Self::At);
+            return first.load.parse().map_or(Self::Unknown, Self::Remote);
         }
         if up_for < LIVES {
             // It may not have heard yet who was first before.
             return Self::Unknown;
         }
-        let takers = if first.hall == hall.as_str() {
+        let shares = if first.hall == hall.as_str() {
             parts_of_hall(boxes, own, hall, lives)
         } else {
             // Each hall may believe that it is the first one left.
             cells::halls(boxes)
         };
-        Self::Here { takers }
+        Self::Local { shares }
     }
 }
 
@@ -98,10 +98,10 @@
 
 /// Counts of the servers whose calls this box gives out.
 #[derive(Debug, Default)]
-pub struct QuotaKeeper {
+pub struct OwnedQuotas {
     quotas: HashMap<ServerLife, Kept>,
     /// Latest answers by the id of the question, oldest first.
-    answers: VecDeque<(u64, Verdict)>,
+    answers: VecDeque<(u64, PermitDecision)>,
 }
 
 #[derive(Debug)]
@@ -110,7 +110,7 @@
     asked: Time,
 }
 
-impl QuotaKeeper {
+impl OwnedQuotas {
     /// Takes a call that can wait so long; gives back how long it must.
     ///
     /// # Errors
@@ -122,7 +122,7 @@
         life: ServerLife,
         rate: CallRate,
         patience: Duration,
-    ) -> Result<Duration, NoRoom> {
+    ) -> Result<Duration, QuotaExceeded> {
         self.quota(now, life, rate).take(now, patience)
     }
 
@@ -132,19 +132,19 @@
     }
 
     /// What a question was answered that came before: its answer was lost, or late.
-    pub fn answered_before(&self, id: u64) -> Option<Verdict> {
+    pub fn cached_response(&self, id: u64) -> Option<PermitDecision> {
         let mut answers = self.answers.iter().rev();
         answers
             .find(|(of, _)| *of == id)
-            .map(|(_, verdict)| *verdict)
+            .map(|(_, decision)| *decision)
     }
 
     /// Remembers the answer to a question.
-    pub fn note_answer(&mut self, id: u64, verdict: Verdict) {
+    pub fn cache_response(&mut self, id: u64, decision: PermitDecision) {
         if self.answers.len() >= MOST_ANSWERS {
             self.answers.pop_front();
         }
-        self.answers.push_back((id, verdict));
+        self.answers.push_back((id, decision));
     }
 
     fn quota(&mut self, now: Time, life: ServerLife, rate: CallRate) -> &mut CallQuota {
--- a/lib/src/relay/server_book.rs
+++ b/lib/src/relay/server_book.rs
@@ -13,12 +13,12 @@
 use crate::breaker::Breaker;
 use crate::ids::HallName;
 use crate::ids::ServerName;
+use crate::relay::availability::Availability;
 use crate::relay::engine_load::EngineKey;
 use crate::relay::hall_reach::HallReach;
 use crate::relay::hall_reach::ReachChange;
 use crate::relay::route_table::ServiceName;
 use crate::relay::server_list::ListedServer;
-use crate::relay::standing::Standing;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -142,7 +142,7 @@
         self.breaker.on_failure(now, 1, rest);
     }
 
-    fn cost(&self, now: Time, hall: &HallName, standing: Standing) -> f64 {
+    fn cost(&self, now: Time, hall: &HallName, availability: Availability) -> f64 {
         let told = self.told.filter(|told| now.since(told.at) < LOAD_LIFETIME);
         let calls = told.map_or(self.in_flight, |told| told.calls.max(self.in_flight));
         let trip = if self.info.hall == *hall {
@@ -150,13 +150,13 @@
         } else {
             OTHER_HALL_COST
         };
-        let limited = match standing {
-            Standing::Open => 0.0,
-            Standing::Limited
-            | Standing::Shedding
-            | Standing::Closed
-            | Standing::BackOff
-            | Standing::Leaving => LIMITED_COST,
+        let limited = match availability {
+            Availability::Open => 0.0,
+            Availability::Limited
+            | Availability::Shedding
+            | Availability::Closed
+            | Availability::BackOff
+            | Availability::Leaving => LIMITED_COST,
         };
         f64::from(calls) / f64::from(self.info.slots) + self.failing * FAILURE_COST + trip + limited
     }
@@ -259,14 +259,14 @@
         now: Time,
         service: &ServiceName,
         tried: &[ServerName],
-        standing: impl Fn(ServerLife) -> Standing,
-    ) -> Vec<(&ServerRecord, Standing)> {
+        availability: impl Fn(ServerLife) -> Availability,
+    ) -> Vec<(&ServerRecord, Availability)> {
         let listed = self
             .of_service(service)
             .filter(|record| !record.info.leaving);
-        let listed = listed.map(|record| (record, standing(record.life)));
+        let listed = listed.map(|record| (record, availability(record.life)));
         let listed: Vec<_> = listed
-            .filter(|(_, standing)| standing.reads_parts())
+            .filter(|(_, availability)| availability.accepts_parts())
             .collect();
         let is_fresh = |record: &ServerRecord| !tried.contains(&record.info.name);
         let works = |record: &ServerRecord| {
@@ -274,16 +274,16 @@
                 && !record.is_told_leaving(now)
                 && self.hall_works(now, &record.info.hall)
         };
-        let of = |is_good: &dyn Fn(&ServerRecord) -> bool| -> Vec<(&ServerRecord, Standing)> {
+        let of = |is_good: &dyn Fn(&ServerRecord) -> bool| -> Vec<(&ServerRecord, Availability)> {
             let good = listed.iter().filter(|(record, _)| is_good(record));
             good.copied().collect()
         };
         let best = of(&|record| is_fresh(record) && works(record));
-        if takes_calls(&best) {
+        if accepts_calls(&best) {
             return best;
         }
         let untried = of(&is_fresh);
-        if takes_calls(&untried) {
+        if accepts_calls(&untried) {
             untried
         } else {
             listed
@@ -294,15 +294,16 @@
     /// closed.
     pub fn pick<'a>(
         now: Time,
-        mut usable: Vec<(&'a ServerRecord, Standing)>,
+        mut usable: Vec<(&'a ServerRecord, Availability)>,
         hall: &HallName,
         rng: &mut impl Rng,
     ) -> Option<&'a ServerRecord> {
-        usable.retain(|(_, standing)| standing.takes_calls());
+        usable.retain(|(_, availability)| availability.accepts_calls());
         let start = rng.random_range(0..usable.len().max(1));
         let turned = usable.iter().cycle().skip(start).take(usable.len());
-        let cost = |record: &ServerRecord, standing| ordered(record.cost(now, hall, standing));
-        let cheapest = turned.min_by_key(|(record, standing)| cost(record, *standing));
+        let cost =
+            |record: &ServerRecord, availability| ordered(record.cost(now, hall, availability));
+        let cheapest = turned.min_by_key(|(record, availability)| cost(record, *availability));
         cheapest.map(|(record, _)| *record)
     }
 
@@ -441,8 +442,10 @@
     }
 }
 
-fn takes_calls(servers: &[(&ServerRecord, Standing)]) -> bool {
-    servers.iter().any(|(_, standing)| standing.takes_calls())
+fn accepts_calls(servers: &[(&ServerRecord, Availability)]) -> bool {
+    servers
+        .iter()
+        .any(|(_, availability)| availability.accepts_calls())
 }
 
 /// A cost as an integer that sorts alike; costs are a few hundred at most.
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -3,7 +3,7 @@
 //! A limit belongs to one life of a server. Boxes tell each other what answers said, with its age, and the
 //! newest word wins, whoever tells it; a datagram that leaves a server out says nothing of it. A
 //! server that was denied to this box is closed to it until there is room. Who gives out the calls is
-//! [`crate::relay::quota_keeper`]. Ways weighed: `docs/design/server-limits.md`.
+//! [`crate::relay::quota_owner`]. Ways weighed: `docs/design/server-limits.md`.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -12,10 +12,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::relay::availability::Availability;
 use crate::relay::call_rate::CallRate;
 use crate::relay::moment::Moment;
-use crate::relay::standing::Standing;
-use crate::relay::stated::Stated;
+use crate::relay::parsed_header::ParsedHeader;
 use crate::relay::turns;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
@@ -43,9 +43,9 @@
     /// What held before.
     pub before: Option<CallRate>,
     /// What holds now.
-    pub now: Option<CallRate>,
+    pub after: Option<CallRate>,
     /// Whether it is worth a line and a datagram of its own: not one of many in a moment.
-    pub is_news: bool,
+    pub announce_now: bool,
 }
 
 /// What one box tells another of a server.
@@ -56,7 +56,7 @@
     /// What it takes; none if its limit is over.
     pub rate: Option<CallRate>,
     /// How many milliseconds ago it said so.
-    pub ago: u32,
+    pub age_ms: u32,
 }
 
 /// What a server last said.
@@ -77,28 +77,29 @@
     /// Where the next datagram goes on, of the words that are not new.
     told_to: Option<ServerLife>,
     /// Servers that went for want of room.
-    pushed_out: u64,
+    evicted: u64,
 }
 
 impl ServerLimits {
     /// Takes what an answer of the server says, which came now.
-    pub fn answered(
+    pub fn record_response(
         &mut self,
         now: Time,
         life: ServerLife,
-        word: Stated<CallRate>,
+        word: ParsedHeader<CallRate>,
     ) -> Option<LimitChange> {
         let rate = match word {
-            Stated::Value(rate) => Some(rate),
-            Stated::Absent if self.words.contains_key(&life) => None,
-            Stated::Absent | Stated::Unreadable => return None,
+            ParsedHeader::Value(rate) => Some(rate),
+            ParsedHeader::Absent if self.words.contains_key(&life) => None,
+            ParsedHeader::Absent | ParsedHeader::Unreadable => return None,
         };
         self.take(now, life, rate, Moment::of(now))
     }
 
     /// Takes what another box tells.
-    pub fn take_rows(&mut self, now: Time, rows: &[LimitRow]) -> Vec<LimitChange> {
-        let take = |row: &LimitRow| self.take(now, row.life, row.rate, Moment::ago(now, row.ago));
+    pub fn merge_rows(&mut self, now: Time, rows: &[LimitRow]) -> Vec<LimitChange> {
+        let take =
+            |row: &LimitRow| self.take(now, row.life, row.rate, Moment::ago(now, row.age_ms));
         rows.iter().filter_map(take).collect()
     }
 
@@ -130,8 +131,8 @@
         (before != rate).then_some(LimitChange {
             life,
             before,
-            now: rate,
-            is_news: last_change.is_none_or(|at| now.since(at) >= CHANGE_PAUSE),
+            after: rate,
+            announce_now: last_change.is_none_or(|at| now.since(at) >= CHANGE_PAUSE),
         })
     }
 
@@ -144,7 +145,7 @@
         if let (true, Some((&life, _))) = (self.words.len() >= MOST_SERVERS, oldest) {
             self.words.remove(&life);
             self.closed.remove(&life);
-            self.pushed_out += 1;
+            self.evicted += 1;
         }
     }
 
@@ -154,11 +155,11 @@
     }
 
     /// Whether a server takes a call of this box now.
-    pub fn standing(&self, now: Time, life: ServerLife) -> Standing {
+    pub fn availability(&self, now: Time, life: ServerLife) -> Availability {
         match self.limit(life) {
-            None => Standing::Open,
-            Some(_) if self.closed_for(now, life).is_zero() => Standing::Limited,
-            Some(_) => Standing::Closed,
+            None => Availability::Open,
+            Some(_) if self.closed_for(now, life).is_zero() => Availability::Limited,
+            Some(_) => Availability::Closed,
         }
     }
 
@@ -169,9 +170,9 @@
     }
 
     /// Closes a server to this box until there is room.
-    pub fn close(&mut self, now: Time, life: ServerLife, room_in: Duration) {
+    pub fn close(&mut self, now: Time, life: ServerLife, retry_in: Duration) {
         self.closed.retain(|_, until| *until > now);
-        self.closed.insert(life, now + room_in);
+        self.closed.insert(life, now + retry_in);
     }
 
     /// What to tell other boxes now: words that changed lately, those that changed last first, and a
@@ -216,8 +217,8 @@
     }
 
     /// Servers that went for want of room so far.
-    pub const fn pushed_out(&self) -> u64 {
-        self.pushed_out
+    pub const fn evicted(&self) -> u64 {
+        self.evicted
     }
 }
 
@@ -225,6 +226,6 @@
     LimitRow {
         life,
         rate: word.rate,
-        ago: word.at.millis_ago(now) + WAY.as_millis() as u32,
+        age_ms: word.at.millis_ago(now) + WAY.as_millis() as u32,
     }
 }
--- a/lib/src/relay/server_notices.rs
+++ b/lib/src/relay/server_notices.rs
@@ -5,15 +5,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::relay::availability::Availability;
 use crate::relay::call_rate::CallRate;
 use crate::relay::leaving_servers::LeavingServers;
+use crate::relay::parsed_header::ParsedHeader;
 use crate::relay::server_limits::LimitChange;
 use crate::relay::server_limits::LimitRow;
 use crate::relay::server_limits::ServerLimits;
 use crate::relay::shedding_servers::ShedRow;
 use crate::relay::shedding_servers::SheddingServers;
-use crate::relay::standing::Standing;
-use crate::relay::stated::Stated;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -21,11 +21,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Notice {
     /// The calls a second that it takes from all boxes together.
-    pub limit: Stated<CallRate>,
+    pub limit: ParsedHeader<CallRate>,
     /// Whether it leaves: it finishes what it has and takes nothing new in this life.
-    pub leaving: Stated<bool>,
+    pub leaving: ParsedHeader<bool>,
     /// How long it wants nothing from the box that it turned away.
-    pub retry_after: Stated<Duration>,
+    pub retry_after: ParsedHeader<Duration>,
 }
 
 /// What one box tells another of servers.
@@ -66,7 +66,7 @@
 impl ServerNotices {
     /// Takes what an answer of the server says, which came now. An answer without the server's proof of
     /// it may lack a limit for other reasons than that there is none.
-    pub fn answered(
+    pub fn record_response(
         &mut self,
         now: Time,
         life: ServerLife,
@@ -74,63 +74,67 @@
         has_proof: bool,
     ) -> NoticeChanges {
         let mut changes = NoticeChanges::default();
-        if has_proof || notice.limit != Stated::Absent {
-            let change = self.limits.answered(now, life, notice.limit);
+        if has_proof || notice.limit != ParsedHeader::Absent {
+            let change = self.limits.record_response(now, life, notice.limit);
             changes.limits.extend(change);
         }
-        if notice.leaving == Stated::Value(true) && self.leaving.note(now, life) {
+        if notice.leaving == ParsedHeader::Value(true) && self.leaving.insert(now, life) {
             changes.leaving.push(life);
         }
         match notice.retry_after {
-            Stated::Value(pause) if self.shedding.shed(now, life, pause) => {
+            ParsedHeader::Value(pause) if self.shedding.record_shed(now, life, pause) => {
                 changes.shedding.push(life);
             }
-            Stated::Absent if self.shedding.took(now, life) => changes.recovered.push(life),
-            Stated::Value(_) | Stated::Absent | Stated::Unreadable => {}
+            ParsedHeader::Absent if self.shedding.record_accepted(now, life) => {
+                changes.recovered.push(life)
+            }
+            ParsedHeader::Value(_) | ParsedHeader::Absent | ParsedHeader::Unreadable => {}
         }
         changes
     }
 
     /// Takes what another box tells.
-    pub fn take_rows(&mut self, now: Time, rows: &NoticeRows) -> NoticeChanges {
+    pub fn merge_rows(&mut self, now: Time, rows: &NoticeRows) -> NoticeChanges {
         let leaving = rows.leaving.iter().copied();
         NoticeChanges {
-            limits: self.limits.take_rows(now, &rows.limits),
+            limits: self.limits.merge_rows(now, &rows.limits),
             leaving: leaving
-                .filter(|life| self.leaving.note(now, *life))
+                .filter(|life| self.leaving.insert(now, *life))
                 .collect(),
-            shedding: self.shedding.take_rows(now, &rows.shedding),
+            shedding: self.shedding.merge_rows(now, &rows.shedding),
             recovered: Vec::new(),
         }
     }
 
     /// Whether a server takes a call of this box now.
-    pub fn standing(&self, now: Time, life: ServerLife) -> Standing {
-        if self.leaving.holds(life) {
-            return Standing::Leaving;
+    pub fn availability(&self, now: Time, life: ServerLife) -> Availability {
+        if self.leaving.contains(life) {
+            return Availability::Leaving;
         }
-        let limit = self.limits.standing(now, life);
-        limit.max(self.shedding.standing(now, life))
+        let limit = self.limits.availability(now, life);
+        limit.max(self.shedding.availability(now, life))
     }
 
     /// The same for a call that another server has turned away or lost: it is not the one to try a server
     /// after its pause.
-    pub fn standing_for_repeat(&self, now: Time, life: ServerLife) -> Standing {
-        match self.standing(now, life) {
-            Standing::Open if self.shedding.awaits_trial(now, life) => Standing::Shedding,
-            standing => standing,
+    pub fn availability_for_retry(&self, now: Time, life: ServerLife) -> Availability {
+        match self.availability(now, life) {
+            Availability::Open if self.shedding.awaits_probe(now, life) => Availability::Shedding,
+            availability => availability,
         }
     }
 
     /// How long until a server takes a call of this box; `None` if it never does in this life.
-    pub fn opens_in(&self, now: Time, life: ServerLife) -> Option<Duration> {
-        match self.standing(now, life) {
-            Standing::Open | Standing::Limited | Standing::Shedding => Some(Duration::ZERO),
-            Standing::Closed | Standing::BackOff => {
+    pub fn available_in(&self, now: Time, life: ServerLife) -> Option<Duration> {
+        match self.availability(now, life) {
+            Availability::Open | Availability::Limited | Availability::Shedding => {
+                Some(Duration::ZERO)
+            }
+            Availability::Closed | Availability::BackOff => {
                 let closed_for = self.limits.closed_for(now, life);
-                Some(closed_for.max(self.shedding.left(now, life)))
+                Some(closed_for.max(self.shedding.pause_remaining(now, life)))
             }
-            Standing::Leaving => None,
+            Availability::Leaving => None,
         }
     }
 
--- a/lib/src/relay/shedding_servers.rs
+++ b/lib/src/relay/shedding_servers.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::standing::Standing;
+use crate::relay::availability::Availability;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -39,7 +39,7 @@
     /// The server's life.
     pub life: ServerLife,
     /// How much longer it wants no call of that box, in milliseconds.
-    pub left_ms: u32,
+    pub remaining_ms: u32,
 }
 
 /// A pause that a server asked this box for.
@@ -63,7 +63,7 @@
 impl SheddingServers {
     /// Notes that a server turned this box away; true where no pause was under way. Of two pauses the
     /// one that ends last holds.
-    pub fn shed(&mut self, now: Time, life: ServerLife, retry_after: Duration) -> bool {
+    pub fn record_shed(&mut self, now: Time, life: ServerLife, retry_after: Duration) -> bool {
         if retry_after.is_zero() {
             return false;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Notes an answer of a server that does not turn this box away; true if that ends its trial.
-    pub fn took(&mut self, now: Time, life: ServerLife) -> bool {
+    pub fn record_accepted(&mut self, now: Time, life: ServerLife) -> bool {
         let ends = self.own.get(&life).is_some_and(|known| known.until <= now);
         if ends {
             self.own.remove(&life);
@@ -100,7 +100,7 @@
     }
 
     /// Notes that a call goes there.
-    pub fn sent(&mut self, now: Time, life: ServerLife) {
+    pub fn record_sent(&mut self, now: Time, life: ServerLife) {
         if let Some(known) = self.own.get_mut(&life) {
             let tries = known.until <= now && !is_on_trial(now, known);
             known.tried = if tries { Some(now) } else { known.tried };
@@ -108,11 +108,11 @@
     }
 
     /// Takes what another box tells.
-    pub fn take_rows(&mut self, now: Time, rows: &[ShedRow]) -> Vec<ServerLife> {
+    pub fn merge_rows(&mut self, now: Time, rows: &[ShedRow]) -> Vec<ServerLife> {
         self.told.retain(|_, until| *until > now);
         let mut news = Vec::new();
         for row in rows {
-            let left = Duration::from_millis(row.left_ms.into()).min(LONGEST_TOLD);
+            let left = Duration::from_millis(row.remaining_ms.into()).min(LONGEST_TOLD);
             let until = now + left + AFTER_THE_TELLER;
             let known = self.told.get(&row.life).copied();
             if known.is_none() && self.told.len() < MOST_SERVERS {
@@ -127,35 +127,35 @@
     }
 
     /// Whether a server takes calls, by its pauses.
-    pub fn standing(&self, now: Time, life: ServerLife) -> Standing {
+    pub fn availability(&self, now: Time, life: ServerLife) -> Availability {
         let own = match self.own.get(&life) {
-            Some(known) if known.until > now => return Standing::BackOff,
+            Some(known) if known.until > now => return Availability::BackOff,
             Some(known) => is_on_trial(now, known),
             None => false,
         };
         let told = self.told.get(&life).is_some_and(|until| *until > now);
         if own || told {
-            Standing::Shedding
+            Availability::Shedding
         } else {
-            Standing::Open
+            Availability::Open
         }
     }
 
     /// Whether a server's pause is over and no call has tried it since: a call that was turned away
     /// already is not the one to do so.
-    pub fn awaits_trial(&self, now: Time, life: ServerLife) -> bool {
+    pub fn awaits_probe(&self, now: Time, life: ServerLife) -> bool {
         let known = self.own.get(&life);
         known.is_some_and(|known| known.until <= now && !is_on_trial(now, known))
     }
 
     /// How much longer a server wants no call of this box.
-    pub fn left(&self, now: Time, life: ServerLife) -> Duration {
+    pub fn pause_remaining(&self, now: Time, life: ServerLife) -> Duration {
         let known = self.own.get(&life);
         known.map_or(Duration::ZERO, |known| now.until(known.until))
     }
 
     /// Servers that want no call of this box now.
-    pub fn paused(&self, now: Time) -> usize {
+    pub fn paused_count(&self, now: Time) -> usize {
         self.own.values().filter(|known| known.until > now).count()
     }
 
@@ -168,7 +168,7 @@
         fresh.truncate(MOST_ROWS);
         let row = |(life, known): &(&ServerLife, &BackOff)| ShedRow {
             life: **life,
-            left_ms: now.until(known.until).as_millis() as u32,
+            remaining_ms: now.until(known.until).as_millis() as u32,
         };
         fresh.iter().map(row).collect()
     }
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -25,7 +25,7 @@
 mod test_relay_lost_calls;
 mod test_relay_model;
 mod test_relay_quarantine;
-mod test_relay_quota_keeper;
+mod test_relay_quota_owner;
 mod test_relay_retry_window;
 mod test_relay_route_table;
 mod test_relay_server_book;
--- a/lib/tests/test_relay_call_rate.rs
+++ b/lib/tests/test_relay_call_rate.rs
@@ -30,6 +30,6 @@
 fn a_part_of_a_rate_is_never_none() {
     let rate = CallRate::per_second(1.7).unwrap();
 
-    assert_eq!(rate.shared_by(2), CallRate::per_second(0.85).unwrap());
-    assert!(rate.shared_by(1_000_000).interval() > Duration::ZERO);
+    assert_eq!(rate.divided_by(2), CallRate::per_second(0.85).unwrap());
+    assert!(rate.divided_by(1_000_000).interval() > Duration::ZERO);
 }
--- a/lib/tests/test_relay_engine_cell.rs
+++ b/lib/tests/test_relay_engine_cell.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_cell::Cells;
@@ -11,7 +12,6 @@
 use badgerferry_lib::relay::engine_plan::EnginePlan;
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
-use badgerferry_lib::relay::standing::Standing;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -33,7 +33,7 @@
         load: EngineUse::default(),
         near: at % HALLS == 0,
         preference: at as u32,
-        standing: Standing::Open,
+        availability: Availability::Open,
     };
     let engines = (0..PER_HALL * HALLS).map(state).collect();
     let halls = (0..PER_HALL * HALLS).map(|at| at % HALLS).collect();
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::engine_load::EngineUse;
 use badgerferry_lib::relay::engine_plan;
@@ -11,7 +12,6 @@
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
 use badgerferry_lib::relay::engine_plan::MAX_HELPERS;
-use badgerferry_lib::relay::standing::Standing;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -37,7 +37,7 @@
             load: EngineUse::default(),
             near: true,
             preference: at as u32,
-            standing: Standing::Open,
+            availability: Availability::Open,
         })
         .collect()
 }
@@ -407,16 +407,20 @@
 fn limited_engines_read_parts_of_long_prompts_and_lead_none() {
     let mut engines = idle(6);
     for at in [1, 2, 3] {
-        engines[at].standing = Standing::Limited;
+        engines[at].availability = Availability::Limited;
     }
 
     let plan = plan(&engines, 154_000, PATIENT).expect("all are free");
 
     let used = engines_of(&plan);
-    assert_eq!(engines[used[0]].standing, Standing::Open, "{used:?}");
+    assert_eq!(
+        engines[used[0]].availability,
+        Availability::Open,
+        "{used:?}"
+    );
     assert!(
         used.iter()
-            .any(|&at| engines[at].standing == Standing::Limited)
+            .any(|&at| engines[at].availability == Availability::Limited)
     );
 }
 
@@ -425,23 +429,26 @@
     let mut engines = idle(6);
     for (at, engine) in engines.iter_mut().enumerate() {
         let is_closed = at % 2 == 0;
-        engine.standing = if is_closed {
-            Standing::Closed
+        engine.availability = if is_closed {
+            Availability::Closed
         } else {
-            Standing::Limited
+            Availability::Limited
         };
     }
 
     let plan = plan(&engines, 154_000, PATIENT).expect("some take it");
 
-    assert_eq!(engines[plan.parts[0].engine].standing, Standing::Limited);
+    assert_eq!(
+        engines[plan.parts[0].engine].availability,
+        Availability::Limited
+    );
 }
 
 #[test]
 fn short_calls_go_to_limited_engines_only_where_the_others_are_full() {
     let mut engines = idle(4);
-    engines[0].standing = Standing::Closed;
-    engines[1].standing = Standing::Limited;
+    engines[0].availability = Availability::Closed;
+    engines[1].availability = Availability::Limited;
     let with_room = plan(&engines, 5_000, SHORT).expect("there is room");
     for at in [2, 3] {
         engines[at].load.short = 16;
--- a/lib/tests/test_relay_quarantine.rs
+++ b/lib/tests/test_relay_quarantine.rs
@@ -119,7 +119,7 @@
     let rows = after(2).rows(at(1_000), RunsOf::Box);
 
     for from in ["box-2", "box-3"] {
-        assert_eq!(it.take_rows(at(1_500), RunsOf::Box, from, &rows), []);
+        assert_eq!(it.merge_rows(at(1_500), RunsOf::Box, from, &rows), []);
     }
     assert_eq!(it.stored(at(1_600), WORK, Fact::Ended(ServerLife(0))), None);
 
@@ -160,7 +160,7 @@
 fn one_run_of_suspect_work_goes_at_a_time_here_and_elsewhere() {
     let (mut here, mut there) = (after(1), Quarantine::default());
     assert_eq!(admit(&mut here, at(2_000)), RUNS_ALONE);
-    there.take_rows(
+    there.merge_rows(
         at(2_002),
         RunsOf::Box,
         "box-1",
@@ -169,7 +169,7 @@
 
     let beside = [admit(&mut here, at(2_003)), admit(&mut there, at(2_500))];
     here.end_run(at(2_550), WORK);
-    there.take_rows(
+    there.merge_rows(
         at(2_600),
         RunsOf::Box,
         "box-1",
@@ -188,7 +188,7 @@
     let mut here = after(1);
     admit_as(&mut here, at(1_020), "box-1", true);
     let mut there = Quarantine::default();
-    there.take_rows(
+    there.merge_rows(
         at(1_021),
         RunsOf::Box,
         "box-1",
@@ -197,7 +197,7 @@
     let mut full = Quarantine::default();
     end(&mut full, at(1_100), key(7, 2), 9);
 
-    there.take_rows(
+    there.merge_rows(
         at(1_500),
         RunsOf::Box,
         "box-1",
@@ -214,7 +214,7 @@
     let mut runner = after(1);
     admit_as(&mut runner, at(1_020), "box-2", true);
     let mut speaker = Quarantine::default();
-    speaker.take_rows(
+    speaker.merge_rows(
         at(1_021),
         RunsOf::Box,
         "box-2",
@@ -222,7 +222,7 @@
     );
     let mut far = Quarantine::default();
 
-    far.take_rows(
+    far.merge_rows(
         at(1_040),
         RunsOf::Hall,
         "hall-a",
@@ -243,7 +243,7 @@
     let mut here = Quarantine::default();
     admit(&mut here, at(900));
 
-    here.take_rows(
+    here.merge_rows(
         at(1_000),
         RunsOf::Box,
         "box-2",
@@ -259,7 +259,7 @@
     let mut here = after(1);
     admit_as(&mut here, at(1_020), "box-1", true);
     let mut there = Quarantine::default();
-    there.take_rows(
+    there.merge_rows(
         at(1_021),
         RunsOf::Box,
         "box-1",
@@ -293,7 +293,7 @@
     let told = boxes.clone().map(|mut it| it.rows(at(1_004), RunsOf::Box));
     for it in &mut boxes {
         for (from, rows) in told.iter().enumerate() {
-            it.take_rows(at(1_010), RunsOf::Box, &format!("box-{from}"), rows);
+            it.merge_rows(at(1_010), RunsOf::Box, &format!("box-{from}"), rows);
         }
     }
 
@@ -330,13 +330,13 @@
     let later = at(60_000);
     cleared.rows(later, RunsOf::Box);
 
-    cleared.take_rows(
+    cleared.merge_rows(
         later,
         RunsOf::Box,
         "behind",
         &behind.rows(later, RunsOf::Box),
     );
-    behind.take_rows(
+    behind.merge_rows(
         later,
         RunsOf::Box,
         "cleared",
@@ -359,7 +359,7 @@
     }
     let mut new = Quarantine::default();
 
-    new.take_rows(
+    new.merge_rows(
         at(10),
         RunsOf::Box,
         "box-1",
@@ -389,7 +389,7 @@
     }
     assert_eq!(kept.to_store(now, false), []);
     let mut told = Quarantine::default();
-    told.take_rows(now, RunsOf::Box, "box-2", &after(2).rows(now, RunsOf::Box));
+    told.merge_rows(now, RunsOf::Box, "box-2", &after(2).rows(now, RunsOf::Box));
     assert_eq!(told.to_store(now, true), []);
 }
 
@@ -401,7 +401,7 @@
         new.stored(at(50), work, fact);
     }
     let mut other = Quarantine::default();
-    other.take_rows(
+    other.merge_rows(
         at(900_000),
         RunsOf::Box,
         "new",
@@ -422,7 +422,7 @@
     let mut other = after(3);
 
     let change = it.stored(at(2_000), WORK, Fact::Released);
-    other.take_rows(
+    other.merge_rows(
         at(2_001),
         RunsOf::Box,
         "box-1",
@@ -452,7 +452,7 @@
     let now = at(8_000);
     assert!(matches!(admit(&mut it, now), Admission::Held { .. }));
     assert_eq!(it.held(now), 65);
-    assert_eq!(it.pushed_out(), 5_000 - 64);
+    assert_eq!(it.evicted(), 5_000 - 64);
     assert_eq!(it.admit(now, key(8, 9_999), false, || 0), RUNS);
 }
 
@@ -528,7 +528,7 @@
             rows.shuffle(&mut rng);
             let mut it = Quarantine::default();
             for row in rows.iter() {
-                it.take_rows(now, RunsOf::Box, "box-2", std::slice::from_ref(row));
+                it.merge_rows(now, RunsOf::Box, "box-2", std::slice::from_ref(row));
             }
             let mut told: Vec<(Vec<ToldEnd>, Option<u32>)> = (it.rows(now, RunsOf::Box).into_iter())
                 .map(|row| (row.lives, row.good))
@@ -564,7 +564,7 @@
     assert_eq!(again, written);
     assert_eq!(it.to_store(at(1_700), false), []);
     let mut told = Quarantine::default();
-    told.take_rows(
+    told.merge_rows(
         at(1_500),
         RunsOf::Box,
         "box-2",
--- a/lib/tests/test_relay_quota_keeper.rs
+++ b/lib/tests/test_relay_quota_owner.rs
@@ -6,11 +6,11 @@
 use badgerferry_lib::relay::call_quota::CallQuota;
 use badgerferry_lib::relay::call_rate::CallRate;
 use badgerferry_lib::relay::cells::Boxes;
-use badgerferry_lib::relay::permit_wire::PermitAsk;
+use badgerferry_lib::relay::permit_wire::PermitDecision;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
-use badgerferry_lib::relay::permit_wire::Verdict;
-use badgerferry_lib::relay::quota_keeper::Keeper;
-use badgerferry_lib::relay::quota_keeper::QuotaKeeper;
+use badgerferry_lib::relay::permit_wire::PermitRequest;
+use badgerferry_lib::relay::quota_owner::OwnedQuotas;
+use badgerferry_lib::relay::quota_owner::QuotaOwner;
 use badgerferry_lib::relay::server_limits::LimitRow;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 use badgerferry_lib::relay::work_key::ServerLife;
@@ -36,13 +36,13 @@
     all.map(|of| (of.name.clone(), of)).collect()
 }
 
-fn keeper(own: &str, hall: &str, up_for: Duration, living: &[&str]) -> Keeper {
+fn keeper(own: &str, hall: &str, up_for: Duration, living: &[&str]) -> QuotaOwner {
     let lives = |name: &str| living.contains(&name);
-    Keeper::of(&boxes(), own, &HallName::new(hall), up_for, lives)
+    QuotaOwner::elect(&boxes(), own, &HallName::new(hall), up_for, lives)
 }
 
-fn at(port: u16) -> Keeper {
-    Keeper::At(([127, 0, 0, 1], port).into())
+fn at(port: u16) -> QuotaOwner {
+    QuotaOwner::Remote(([127, 0, 0, 1], port).into())
 }
 
 /// Calls that go in the worst four seconds, where one asks every few milliseconds.
@@ -81,7 +81,7 @@
     let expected = [Duration::ZERO, Duration::ZERO, half, half * 2];
     assert_eq!(waits, expected.map(Ok));
     let late = quota.take(now, patience);
-    assert_eq!(late.map_err(|full| full.room_in), Err(half * 3));
+    assert_eq!(late.map_err(|full| full.retry_in), Err(half * 3));
 }
 
 #[test]
@@ -106,7 +106,7 @@
     let taken = quota.take(now, Duration::ZERO);
 
     assert_eq!(
-        taken.map_err(|full| full.room_in),
+        taken.map_err(|full| full.retry_in),
         Err(Duration::from_secs(2))
     );
 }
@@ -115,7 +115,10 @@
 fn the_first_living_box_of_the_servers_hall_keeps_its_count() {
     let all = ["a1", "a2", "b1", "b2"];
 
-    assert_eq!(keeper("a1", "a", LONG_UP, &all), Keeper::Here { takers: 1 });
+    assert_eq!(
+        keeper("a1", "a", LONG_UP, &all),
+        QuotaOwner::Local { shares: 1 }
+    );
     assert_eq!(keeper("a2", "a", LONG_UP, &all), at(1));
     assert_eq!(keeper("b1", "a", LONG_UP, &all), at(1));
     assert_eq!(keeper("a1", "b", LONG_UP, &all), at(3));
@@ -128,49 +131,49 @@
     let other_hall = keeper("b1", "a", LONG_UP, &["b2"]);
     let alone = keeper("a1", "a", LONG_UP, &[]);
 
-    assert_eq!(half_a_hall, Keeper::Here { takers: 2 });
-    assert_eq!(other_hall, Keeper::Here { takers: 2 });
-    assert_eq!(alone, Keeper::Here { takers: 4 });
+    assert_eq!(half_a_hall, QuotaOwner::Local { shares: 2 });
+    assert_eq!(other_hall, QuotaOwner::Local { shares: 2 });
+    assert_eq!(alone, QuotaOwner::Local { shares: 4 });
 }
 
 #[test]
 fn a_box_that_has_just_started_keeps_no_count_yet() {
     let young = Duration::from_millis(500);
 
-    assert_eq!(keeper("a1", "a", young, &[]), Keeper::Unknown);
-    assert_eq!(keeper("a1", "a", young, &["a2"]), Keeper::Unknown);
+    assert_eq!(keeper("a1", "a", young, &[]), QuotaOwner::Unknown);
+    assert_eq!(keeper("a1", "a", young, &["a2"]), QuotaOwner::Unknown);
     assert_eq!(keeper("a2", "a", young, &["a1"]), at(1));
 }
 
 #[test]
 fn a_question_asked_again_takes_no_second_call() {
-    let mut quotas = QuotaKeeper::default();
-    let verdict = Verdict::Granted { after: 5 };
+    let mut quotas = OwnedQuotas::default();
+    let decision = PermitDecision::Granted { after: 5 };
 
-    quotas.note_answer(3, verdict);
+    quotas.cache_response(3, decision);
 
-    assert_eq!(quotas.answered_before(3), Some(verdict));
-    assert_eq!(quotas.answered_before(4), None);
+    assert_eq!(quotas.cached_response(3), Some(decision));
+    assert_eq!(quotas.cached_response(4), None);
 }
 
 #[test]
 fn questions_are_read_as_they_were_written_and_other_bytes_are_none() {
-    let ask = PermitFrame::Ask(PermitAsk {
+    let ask = PermitFrame::Request(PermitRequest {
         id: 1,
         hall: HallName::new("a"),
-        word: LimitRow {
+        limit_row: LimitRow {
             life: ServerLife(2),
             rate: Some(rate(1.7)),
-            ago: 30,
+            age_ms: 30,
         },
-        patience_ms: 150,
+        max_wait_ms: 150,
     });
     let bytes = ask.encode();
 
-    assert!(PermitFrame::is_one(&bytes));
+    assert!(PermitFrame::has_version_byte(&bytes));
     assert_eq!(PermitFrame::decode(&bytes), Ok(ask));
     for cut in 0..bytes.len() {
         assert!(PermitFrame::decode(&bytes[..cut]).is_err(), "{cut}");
     }
-    assert!(!PermitFrame::is_one(&[]));
+    assert!(!PermitFrame::has_version_byte(&[]));
 }
--- a/lib/tests/test_relay_server_book.rs
+++ b/lib/tests/test_relay_server_book.rs
@@ -4,11 +4,11 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::route_table::ServiceName;
 use badgerferry_lib::relay::server_book::Evidence;
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_list::ListedServer;
-use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::SeedableRng;
@@ -17,8 +17,8 @@
 use crate::listed_server::server;
 
 /// Servers that say nothing of the calls they take.
-const fn open(_life: ServerLife) -> Standing {
-    Standing::Open
+const fn open(_life: ServerLife) -> Availability {
+    Availability::Open
 }
 
 fn book(names: &[&str]) -> ServerBook {
@@ -293,18 +293,18 @@
     let mut book = book(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
     let leaves = book.get(&a).expect("known").life;
-    let standing = |life| {
+    let availability = |life| {
         if life == leaves {
-            Standing::Leaving
+            Availability::Leaving
         } else {
-            Standing::Open
+            Availability::Open
         }
     };
     book.sent(Time::ZERO, &b);
     book.ended(Time::ZERO, &b, Evidence::Unreachable);
     let names = |tried: &[ServerName]| {
         let at = Time::from_millis(10);
-        let usable = book.usable(at, &ServiceName::new("boards"), tried, standing);
+        let usable = book.usable(at, &ServiceName::new("boards"), tried, availability);
         let names = usable.iter().map(|(row, _)| row.info.name.clone());
         names.collect::<Vec<_>>()
     };
@@ -319,11 +319,11 @@
     let mut book = book(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
     let closed = book.get(&a).expect("known").life;
-    let standing = |life| {
+    let availability = |life| {
         if life == closed {
-            Standing::Closed
+            Availability::Closed
         } else {
-            Standing::Open
+            Availability::Open
         }
     };
     book.sent(Time::ZERO, &b);
@@ -333,9 +333,11 @@
         Time::from_millis(10),
         &ServiceName::new("boards"),
         &[],
-        standing,
+        availability,
     );
 
-    let takes = usable.iter().find(|(_, standing)| standing.takes_calls());
+    let takes = usable
+        .iter()
+        .find(|(_, availability)| availability.accepts_calls());
     assert_eq!(takes.map(|(row, _)| &row.info.name), Some(&b));
 }
--- a/lib/tests/test_relay_server_limits.rs
+++ b/lib/tests/test_relay_server_limits.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::call_rate::CallRate;
+use badgerferry_lib::relay::parsed_header::ParsedHeader;
 use badgerferry_lib::relay::server_limits::LimitRow;
 use badgerferry_lib::relay::server_limits::ServerLimits;
-use badgerferry_lib::relay::standing::Standing;
-use badgerferry_lib::relay::stated::Stated;
 use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 
@@ -18,7 +18,7 @@
 
 fn limits(now: Time, calls: f64) -> ServerLimits {
     let mut limits = ServerLimits::default();
-    limits.answered(now, SERVER, Stated::Value(rate(calls)));
+    limits.record_response(now, SERVER, ParsedHeader::Value(rate(calls)));
     limits
 }
 
@@ -30,10 +30,10 @@
     let rows = [saw_first.rows(now), saw_last.rows(now)];
     let mut other = ServerLimits::default();
 
-    other.take_rows(now, &rows[1]);
-    other.take_rows(now, &rows[0]);
-    saw_first.take_rows(now, &rows[1]);
-    saw_last.take_rows(now, &rows[0]);
+    other.merge_rows(now, &rows[1]);
+    other.merge_rows(now, &rows[0]);
+    saw_first.merge_rows(now, &rows[1]);
+    saw_last.merge_rows(now, &rows[0]);
 
     for known in [&other, &saw_first, &saw_last] {
         assert_eq!(known.limit(SERVER), Some(rate(3.0)));
@@ -47,15 +47,15 @@
     let mut now = Time::from_millis(1_000);
     for _ in 0..100 {
         let rows = first.rows(now);
-        second.take_rows(now + Duration::from_millis(3), &rows);
+        second.merge_rows(now + Duration::from_millis(3), &rows);
         now = now + Duration::from_millis(300);
         let rows = second.rows(now);
-        first.take_rows(now + Duration::from_millis(3), &rows);
+        first.merge_rows(now + Duration::from_millis(3), &rows);
     }
 
     let row = first.row_of(now, SERVER).expect("known");
 
-    assert!(row.ago >= 30_000, "{row:?}");
+    assert!(row.age_ms >= 30_000, "{row:?}");
 }
 
 #[test]
@@ -63,26 +63,29 @@
     let mut limits = limits(Time::ZERO, 1.0);
     let now = Time::from_millis(2_000);
     limits.close(now, SERVER, Duration::from_secs(9));
-    assert_eq!(limits.standing(now, SERVER), Standing::Closed);
+    assert_eq!(limits.availability(now, SERVER), Availability::Closed);
 
-    let change = limits.answered(now, SERVER, Stated::Absent);
+    let change = limits.record_response(now, SERVER, ParsedHeader::Absent);
 
-    assert_eq!(change.map(|change| change.now), Some(None));
-    assert_eq!(limits.standing(now, SERVER), Standing::Open);
+    assert_eq!(change.map(|change| change.after), Some(None));
+    assert_eq!(limits.availability(now, SERVER), Availability::Open);
 }
 
 #[test]
 fn a_new_life_has_no_limit_of_the_one_before() {
     let limits = limits(Time::ZERO, 1.0);
 
-    assert_eq!(limits.standing(Time::ZERO, ServerLife(8)), Standing::Open);
+    assert_eq!(
+        limits.availability(Time::ZERO, ServerLife(8)),
+        Availability::Open
+    );
 }
 
 #[test]
 fn what_can_not_be_read_changes_nothing() {
     let mut limits = limits(Time::ZERO, 1.0);
 
-    let change = limits.answered(Time::from_millis(5), SERVER, Stated::Unreadable);
+    let change = limits.record_response(Time::from_millis(5), SERVER, ParsedHeader::Unreadable);
 
     assert_eq!(change, None);
     assert_eq!(limits.limit(SERVER), Some(rate(1.0)));
@@ -93,9 +96,9 @@
     let mut limits = limits(Time::ZERO, 1.0);
     let mut news = 0;
     for at in 1..=1_000_u64 {
-        let word = Stated::Value(rate(1.0 + (at % 2) as f64));
-        let change = limits.answered(Time::from_millis(at), SERVER, word);
-        news += u32::from(change.is_some_and(|change| change.is_news));
+        let word = ParsedHeader::Value(rate(1.0 + (at % 2) as f64));
+        let change = limits.record_response(Time::from_millis(at), SERVER, word);
+        news += u32::from(change.is_some_and(|change| change.announce_now));
     }
 
     assert!(news <= 4, "{news}");
@@ -105,10 +108,10 @@
 fn thousands_of_limited_servers_stay_within_bounds_and_all_are_told_in_turn() {
     let mut limits = ServerLimits::default();
     for life in 0..5_000 {
-        limits.answered(
+        limits.record_response(
             Time::from_millis(life),
             ServerLife(life),
-            Stated::Value(rate(1.0)),
+            ParsedHeader::Value(rate(1.0)),
         );
     }
     let mut told = std::collections::BTreeSet::new();
@@ -122,7 +125,7 @@
 
     assert_eq!(limits.limited().count(), 2_048);
     assert_eq!(told.len(), 2_048);
-    assert!(limits.pushed_out() > 0);
+    assert!(limits.evicted() > 0);
 }
 
 #[test]
@@ -131,11 +134,11 @@
     let other = LimitRow {
         life: ServerLife(9),
         rate: Some(rate(4.0)),
-        ago: 0,
+        age_ms: 0,
     };
 
-    limits.take_rows(Time::from_millis(10), &[other]);
-    limits.take_rows(Time::from_millis(20), &[]);
+    limits.merge_rows(Time::from_millis(10), &[other]);
+    limits.merge_rows(Time::from_millis(20), &[]);
 
     assert_eq!(limits.limit(SERVER), Some(rate(1.0)));
 }
--- a/testutils/src/crash_model.rs
+++ b/testutils/src/crash_model.rs
@@ -269,7 +269,7 @@
                 }
             }
             Event::Hears(at, of, from, rows) => {
-                let changes = self.boxes[at].known.take_rows(now, of, &from, &rows);
+                let changes = self.boxes[at].known.merge_rows(now, of, &from, &rows);
                 if !changes.is_empty() {
                     self.keep_in_store(now, at);
                 }
--- a/testutils/src/limit_model.rs
+++ b/testutils/src/limit_model.rs
@@ -1,6 +1,6 @@
 //! Boxes before a server that names a limit, in virtual time.
 //!
-//! The decisions are the library's own (`relay::server_limits`, `quota_keeper`, `call_quota`); around them
+//! The decisions are the library's own (`relay::server_limits`, `quota_owner`, `call_quota`); around them
 //! lie callers whose calls need that server, and datagrams that take time and get lost. Other ways of
 //! sharing the limit are there to be compared. What counts is what the server gets in its worst four
 //! seconds, and how much of its limit is used. Not modelled: other servers, which would take most
@@ -12,10 +12,10 @@
 
 use badgerferry_lib::relay::call_quota::CallQuota;
 use badgerferry_lib::relay::call_rate::CallRate;
-use badgerferry_lib::relay::permit_wire::Verdict;
-use badgerferry_lib::relay::quota_keeper::Keeper;
+use badgerferry_lib::relay::parsed_header::ParsedHeader;
+use badgerferry_lib::relay::permit_wire::PermitDecision;
+use badgerferry_lib::relay::quota_owner::QuotaOwner;
 use badgerferry_lib::relay::server_limits::LimitRow;
-use badgerferry_lib::relay::stated::Stated;
 use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::Rng;
@@ -108,7 +108,7 @@
 enum Event {
     Arrives,
     Asked(Question),
-    Answered(Question, Verdict),
+    Answered(Question, PermitDecision),
     Unanswered(Question),
     Sent,
     Told { at: usize, calls: u32 },
@@ -179,7 +179,8 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for one in &mut world.fleet.boxes {
-            one.limits.answered(Time::ZERO, SERVER, Stated::Value(rate));
+            one.limits
+                .record_response(Time::ZERO, SERVER, ParsedHeader::Value(rate));
         }
         world.agenda.put(Time::ZERO, Event::Arrives);
         if plan.trouble != Trouble::Calm {
@@ -201,7 +202,7 @@
                 }
             }
             Event::Asked(question) => self.asked(now, question),
-            Event::Answered(question, verdict) => self.answered(now, question, verdict),
+            Event::Answered(question, decision) => self.answered(now, question, decision),
             Event::Unanswered(question) => self.unanswered(now, question),
             Event::Sent => self.arrivals.push(now),
             Event::Told { at, calls } => self.known[at].push_back((now, calls)),
@@ -224,7 +225,7 @@
         let may = match self.share {
             Share::None => true,
             Share::EachBox => self.takes(now, at, self.rate),
-            Share::Even => self.takes(now, at, self.rate.shared_by(self.plan.boxes)),
+            Share::Even => self.takes(now, at, self.rate.divided_by(self.plan.boxes)),
             Share::Turns => self.has_turn(now, at),
             Share::Told => self.is_below_sum(now, at),
             Share::Keeper => {
@@ -301,16 +302,16 @@
     }
 
     fn asks(&mut self, now: Time, at: usize) {
-        let standing = &self.fleet.boxes[at].limits;
-        if !standing.closed_for(now, SERVER).is_zero() {
+        let availability = &self.fleet.boxes[at].limits;
+        if !availability.closed_for(now, SERVER).is_zero() {
             return;
         }
         match self.fleet.keeper(now, at) {
-            Keeper::Here { takers } => {
-                let verdict = self.decides(now, at, takers);
-                self.told(now, at, verdict);
+            QuotaOwner::Local { shares } => {
+                let decision = self.decides(now, at, shares);
+                self.told(now, at, decision);
             }
-            Keeper::At(address) => {
+            QuotaOwner::Remote(address) => {
                 let question = Question {
                     id: self.rng.random(),
                     from: at,
@@ -319,7 +320,7 @@
                 };
                 self.put_question(now, question);
             }
-            Keeper::Unknown => self.told(now, at, Verdict::NotKept),
+            QuotaOwner::Unknown => self.told(now, at, PermitDecision::NotOwner),
         }
     }
 
@@ -343,36 +344,36 @@
 
     fn asked(&mut self, now: Time, question: Question) {
         let keeper = question.keeper;
-        let before = self.fleet.boxes[keeper].quotas.answered_before(question.id);
-        let verdict = match (before, self.fleet.keeper(now, keeper)) {
-            (Some(verdict), _) => verdict,
-            (None, Keeper::Here { takers }) => self.decides(now, keeper, takers),
-            (None, Keeper::At(_) | Keeper::Unknown) => Verdict::NotKept,
+        let before = self.fleet.boxes[keeper].quotas.cached_response(question.id);
+        let decision = match (before, self.fleet.keeper(now, keeper)) {
+            (Some(decision), _) => decision,
+            (None, QuotaOwner::Local { shares }) => self.decides(now, keeper, shares),
+            (None, QuotaOwner::Remote(_) | QuotaOwner::Unknown) => PermitDecision::NotOwner,
         };
         self.fleet.boxes[keeper]
             .quotas
-            .note_answer(question.id, verdict);
+            .cache_response(question.id, decision);
         if self.arrives_there(now, question.from, keeper) {
             let way = self.way();
             self.agenda
-                .put(now + way, Event::Answered(question, verdict));
+                .put(now + way, Event::Answered(question, decision));
         }
     }
 
-    fn decides(&mut self, now: Time, at: usize, takers: usize) -> Verdict {
-        let rate = self.rate.shared_by(takers);
+    fn decides(&mut self, now: Time, at: usize, shares: usize) -> PermitDecision {
+        let rate = self.rate.divided_by(shares);
         let quotas = &mut self.fleet.boxes[at].quotas;
         match quotas.take(now, SERVER, rate, Duration::ZERO) {
-            Ok(_at_once) => Verdict::Granted { after: 0 },
-            Err(full) => Verdict::Full {
-                room_in: full.room_in.as_micros() as u32,
+            Ok(_at_once) => PermitDecision::Granted { after: 0 },
+            Err(full) => PermitDecision::Full {
+                retry_in: full.retry_in.as_micros() as u32,
             },
         }
     }
 
-    fn answered(&mut self, now: Time, question: Question, verdict: Verdict) {
+    fn answered(&mut self, now: Time, question: Question, decision: PermitDecision) {
         if self.open.remove(&question.id).is_some() {
-            self.told(now, question.from, verdict);
+            self.told(now, question.from, decision);
         }
     }
 
@@ -386,17 +387,17 @@
         if turn < ANSWER_LIMITS.len() {
             self.put_question(now, Question { turn, ..question });
         } else {
-            self.told(now, question.from, Verdict::NotKept);
+            self.told(now, question.from, PermitDecision::NotOwner);
         }
     }
 
-    fn told(&mut self, now: Time, at: usize, verdict: Verdict) {
-        let room_in = match verdict {
-            Verdict::Granted { .. } => return self.sends(now),
-            Verdict::Full { room_in } => Duration::from_micros(room_in.into()),
-            Verdict::NotKept => NO_KEEPER,
+    fn told(&mut self, now: Time, at: usize, decision: PermitDecision) {
+        let retry_in = match decision {
+            PermitDecision::Granted { .. } => return self.sends(now),
+            PermitDecision::Full { retry_in } => Duration::from_micros(retry_in.into()),
+            PermitDecision::NotOwner => NO_KEEPER,
         };
-        self.fleet.boxes[at].limits.close(now, SERVER, room_in);
+        self.fleet.boxes[at].limits.close(now, SERVER, retry_in);
     }
 
     fn strikes(&mut self, now: Time) {
@@ -412,11 +413,11 @@
         let row = LimitRow {
             life: SERVER,
             rate: Some(self.rate),
-            ago: 0,
+            age_ms: 0,
         };
         for at in self.fleet.strike(now, disturbance) {
             // What it pulls at its start tells of the limit.
-            self.fleet.boxes[at].limits.take_rows(now, &[row]);
+            self.fleet.boxes[at].limits.merge_rows(now, &[row]);
             self.quotas.remove(&at);
             self.known[at].clear();
             self.untold[at] = 0;
--- a/testutils/src/limit_model/fleet.rs
+++ b/testutils/src/limit_model/fleet.rs
@@ -5,8 +5,8 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::relay::cells::Boxes;
-use badgerferry_lib::relay::quota_keeper::Keeper;
-use badgerferry_lib::relay::quota_keeper::QuotaKeeper;
+use badgerferry_lib::relay::quota_owner::OwnedQuotas;
+use badgerferry_lib::relay::quota_owner::QuotaOwner;
 use badgerferry_lib::relay::server_limits::ServerLimits;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 use badgerferry_lib::time::Time;
@@ -24,7 +24,7 @@
     pub(super) hall: usize,
     pub(super) is_up: bool,
     pub(super) limits: ServerLimits,
-    pub(super) quotas: QuotaKeeper,
+    pub(super) quotas: OwnedQuotas,
     side: usize,
     /// When it last started, or ended.
     since: Time,
@@ -71,7 +71,7 @@
             hall: at % HALLS,
             is_up: true,
             limits: ServerLimits::default(),
-            quotas: QuotaKeeper::default(),
+            quotas: OwnedQuotas::default(),
             side: 0,
             since: Time::ZERO,
         });
@@ -96,7 +96,7 @@
                 Disturbance::Cut => one.side = 1,
                 Disturbance::Restart => {
                     one.limits = ServerLimits::default();
-                    one.quotas = QuotaKeeper::default();
+                    one.quotas = OwnedQuotas::default();
                     one.since = now;
                     anew.push(at);
                 }
@@ -151,7 +151,7 @@
         }
     }
 
-    pub(super) fn keeper(&self, now: Time, at: usize) -> Keeper {
+    pub(super) fn keeper(&self, now: Time, at: usize) -> QuotaOwner {
         let lives = |of: &str| {
             let of = of.trim_start_matches("box-").parse().unwrap_or_default();
             self.believes(now, at, of)
@@ -162,7 +162,7 @@
             Time::ZERO => age + LIVES,
             _ => age,
         };
-        Keeper::of(
+        QuotaOwner::elect(
             &self.listed,
             &name(at),
             &HallName::new("hall-0"),
--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -5,6 +5,7 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_cell::Cells;
@@ -21,7 +22,6 @@
 use badgerferry_lib::relay::engine_plan::EngineState;
 use badgerferry_lib::relay::long_queue::LongQueue;
 use badgerferry_lib::relay::long_queue::QueueHead;
-use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 
@@ -187,7 +187,7 @@
             load: table.get(&key).copied().unwrap_or_default(),
             near: hall == self.hall,
             preference: (key.0 ^ own).wrapping_mul(0x9E37_79B1),
-            standing: Standing::Open,
+            availability: Availability::Open,
         };
         let states: Vec<EngineState> = rows.iter().map(state).collect();
         // The box's own hall is number 0.
--- a/testutils/src/shed_model.rs
+++ b/testutils/src/shed_model.rs
@@ -10,11 +10,11 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use badgerferry_lib::relay::availability::Availability;
+use badgerferry_lib::relay::parsed_header::ParsedHeader;
 use badgerferry_lib::relay::server_notices::Notice;
 use badgerferry_lib::relay::server_notices::NoticeRows;
 use badgerferry_lib::relay::server_notices::ServerNotices;
-use badgerferry_lib::relay::standing::Standing;
-use badgerferry_lib::relay::stated::Stated;
 use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::Rng;
@@ -203,25 +203,25 @@
     /// One of the first servers of the order that have room, one that sheds only where no other has.
     fn choose(&mut self, now: Time, sent: &Sent) -> Option<usize> {
         let notices = &self.boxes[sent.from];
-        let standing = |server: usize| {
+        let availability = |server: usize| {
             if sent.tried.is_empty() {
-                notices.standing(now, life(server))
+                notices.availability(now, life(server))
             } else {
-                notices.standing_for_repeat(now, life(server))
+                notices.availability_for_retry(now, life(server))
             }
         };
-        let of = |most: u32, wanted: Standing| {
+        let of = |most: u32, wanted: Availability| {
             let has_room = |&server: &usize| {
                 self.running[server] < most
                     && !sent.tried.contains(&server)
-                    && standing(server) == wanted
+                    && availability(server) == wanted
             };
             let wide = self.running.iter().sum::<u32>().div_ceil(PACKED) as usize + SPARE;
             let good = (0..self.plan.servers).filter(has_room);
             good.take(wide).collect::<Vec<_>>()
         };
-        let mut lane = of(PACKED, Standing::Open);
-        for wanted in [Standing::Open, Standing::Shedding] {
+        let mut lane = of(PACKED, Availability::Open);
+        for wanted in [Availability::Open, Availability::Shedding] {
             if lane.is_empty() {
                 lane = of(SLOTS, wanted);
             }
@@ -235,7 +235,9 @@
         };
         sent.sends += 1;
         sent.tried.push(server);
-        self.boxes[sent.from].shedding.sent(now, life(server));
+        self.boxes[sent.from]
+            .shedding
+            .record_sent(now, life(server));
         self.agenda.put(now + WAY, Event::Reaches(sent, server));
     }
 
@@ -264,14 +266,14 @@
     fn answers(&mut self, now: Time, mut sent: Sent, server: usize, answer: Answer) {
         let notice = Notice {
             retry_after: match answer {
-                Answer::Shed => Stated::Value(self.plan.pause),
-                Answer::Ran | Answer::Full => Stated::Absent,
+                Answer::Shed => ParsedHeader::Value(self.plan.pause),
+                Answer::Ran | Answer::Full => ParsedHeader::Absent,
             },
             ..Notice::default()
         };
         if self.way != Way::Ignored {
             let known = &mut self.boxes[sent.from];
-            let changes = known.answered(now, life(server), &notice, true);
+            let changes = known.record_response(now, life(server), &notice, true);
             let is_told = matches!(self.way, Way::ToldAsCost | Way::Shared);
             if is_told && !changes.shedding.is_empty() {
                 self.agenda.put(now + TELLS_AFTER, Event::Tells(sent.from));
@@ -318,11 +320,11 @@
     fn hears(&mut self, now: Time, at: usize, rows: &NoticeRows) {
         if self.way == Way::Shared {
             for row in &rows.shedding {
-                let left = Duration::from_millis(row.left_ms.into());
-                self.boxes[at].shedding.shed(now, row.life, left);
+                let left = Duration::from_millis(row.remaining_ms.into());
+                self.boxes[at].shedding.record_shed(now, row.life, left);
             }
         } else {
-            self.boxes[at].take_rows(now, rows);
+            self.boxes[at].merge_rows(now, rows);
         }
     }
 }
