--- a/lib/tests/test_relay_server_tracker.rs
+++ b/lib/tests/test_relay_server_tracker.rs
@@ -4,11 +4,11 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::route_table::ServiceName;
 use badgerferry_lib::relay::server_list::ServerEntry;
 use badgerferry_lib::relay::server_tracker::ServerOutcome;
 use badgerferry_lib::relay::server_tracker::ServerTracker;
-use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::SeedableRng;
@@ -17,8 +17,8 @@
 use crate::server_entry::server;
 
 /// Servers that say nothing of the calls they take.
-const fn open(_life: ServerLife) -> Standing {
-    Standing::Open
+const fn open(_life: ServerLife) -> Availability {
+    Availability::Open
 }
 
 fn tracker(names: &[&str]) -> ServerTracker {
@@ -301,18 +301,18 @@
     let mut tracker = tracker(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
     let leaves = tracker.get(&a).expect("known").life;
-    let standing = |life| {
+    let availability = |life| {
         if life == leaves {
-            Standing::Leaving
+            Availability::Leaving
         } else {
-            Standing::Open
+            Availability::Open
         }
     };
     tracker.call_sent(Time::ZERO, &b);
     tracker.call_ended(Time::ZERO, &b, ServerOutcome::Unreachable);
     let names = |tried: &[ServerName]| {
         let at = Time::from_millis(10);
-        let usable = tracker.usable(at, &ServiceName::new("boards"), tried, standing);
+        let usable = tracker.usable(at, &ServiceName::new("boards"), tried, availability);
         let names = usable.iter().map(|(row, _)| row.info.name.clone());
         names.collect::<Vec<_>>()
     };
@@ -327,11 +327,11 @@
     let mut tracker = tracker(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
     let closed = tracker.get(&a).expect("known").life;
-    let standing = |life| {
+    let availability = |life| {
         if life == closed {
-            Standing::Closed
+            Availability::Closed
         } else {
-            Standing::Open
+            Availability::Open
         }
     };
     tracker.call_sent(Time::ZERO, &b);
@@ -341,9 +341,11 @@
         Time::from_millis(10),
         &ServiceName::new("boards"),
         &[],
-        standing,
+        availability,
     );
 
-    let takes = usable.iter().find(|(_, standing)| standing.takes_calls());
+    let takes = usable
+        .iter()
+        .find(|(_, availability)| availability.accepts_calls());
     assert_eq!(takes.map(|(row, _)| &row.info.name), Some(&b));
 }
