--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -7,21 +7,21 @@
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::outcome::RefusalReason;
 use badgerferry_lib::relay::call::Prompt;
-use badgerferry_lib::relay::engine_cell::Cells;
 use badgerferry_lib::relay::engine_load::EngineKey;
 use badgerferry_lib::relay::engine_load::Work;
 use badgerferry_lib::relay::engine_load::WorkId;
 use badgerferry_lib::relay::engine_plan;
-use badgerferry_lib::relay::engine_plan::Aims;
+use badgerferry_lib::relay::engine_plan::Assignment;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
-use badgerferry_lib::relay::engine_plan::Part;
-use badgerferry_lib::relay::long_queue::LOOK_AGAIN;
-use badgerferry_lib::relay::long_queue::RESERVE_AGAIN;
-use badgerferry_lib::relay::long_queue::Ticket;
-use badgerferry_lib::relay::long_queue::Waiting;
+use badgerferry_lib::relay::engine_plan::LatencyTargets;
+use badgerferry_lib::relay::hall_planner::HallPlanner;
+use badgerferry_lib::relay::long_prompt_queue::QUEUE_POLL_INTERVAL;
+use badgerferry_lib::relay::long_prompt_queue::QueuedPrompt;
+use badgerferry_lib::relay::long_prompt_queue::RESERVATION_RETRY_DELAY;
+use badgerferry_lib::relay::long_prompt_queue::Ticket;
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_book::ServerRecord;
@@ -235,7 +235,7 @@
         let planned = if let Some(Ok(planned)) = apart {
             planned
         } else {
-            let all = Among::All { late_part: None };
+            let all = Among::All { late_chunk: None };
             plan(call, tried, model, prompt, all).map_err(NotNow::refusal)?
         };
         let started = enter(&call.relay, planned);
@@ -247,7 +247,7 @@
         let started = wait_for_engines(call, tried, model, prompt).await?;
         let waited = call.relay.clock.now().since(since);
         started.works.changed();
-        if !started.plan.reserve {
+        if !started.plan.reserve_memory {
             return Ok(chosen(call, started, None, waited));
         }
         // Where an engine sets no memory aside, nothing was sent: the prompt waits again.
@@ -255,7 +255,7 @@
             Ok(reserved) => return Ok(chosen(call, started, Some(reserved), waited)),
             Err(refused) => note_refused(&call.relay, &refused),
         }
-        tokio::time::sleep(RESERVE_AGAIN).await;
+        tokio::time::sleep(RESERVATION_RETRY_DELAY).await;
     }
 }
 
@@ -278,7 +278,7 @@
         target: lead.target.clone(),
         address: lead.address.clone(),
         readers,
-        part: plan.parts.first().map(|part| part.read),
+        part: plan.assignments.first().map(|part| part.prefill),
         rank: Some(call.priority.min(LAST_RANK)),
         expected: plan.expected,
         waited,
@@ -335,7 +335,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Among {
     /// All; a large prompt that will be late may be read in parts up to a length.
-    All { late_part: Option<Duration> },
+    All { late_chunk: Option<Duration> },
     /// A quiet one, apart from other calls.
     Apart,
 }
@@ -368,23 +368,23 @@
     candidates.sort_by_key(|(_, standing)| *standing != Standing::Open);
     let state = |(record, standing): &(&ServerRecord, Standing)| EngineState {
         load: table.get(&record.key).copied().unwrap_or_default(),
-        near: record.info.hall == relay.settings.hall,
+        is_local: record.info.hall == relay.settings.hall,
         preference: relay.preference(record.key),
         standing: *standing,
     };
     let states: Vec<EngineState> = candidates.iter().map(state).collect();
     let usable: Vec<&ServerRecord> = candidates.iter().map(|(record, _)| *record).collect();
     let rng = &mut rand::rng();
-    let aims = Aims {
+    let targets = LatencyTargets {
         due_in: now.until(call.due()),
         pause: call.route.pause,
-        least_pause: call.routes.least_pause(&call.service),
-        late_part: match among {
-            Among::All { late_part } => late_part,
+        strictest_pause: call.routes.strictest_pause(&call.service),
+        late_chunk: match among {
+            Among::All { late_chunk } => late_chunk,
             Among::Apart => None,
         },
     };
-    let cells = Cells {
+    let planner = HallPlanner {
         pool: EnginePool {
             model,
             engines: &states,
@@ -393,10 +393,12 @@
         halls: &hall_numbers(&usable, &relay.settings.hall),
         scope,
     };
-    let plan = cells.plan(prompt, aims, rng).ok_or(NotNow::NoEngines)?;
-    let address = |part: &Part| Engine::of(usable[part.engine]);
+    let plan = planner
+        .plan(prompt, targets, rng)
+        .ok_or(NotNow::NoEngines)?;
+    let address = |part: &Assignment| Engine::of(usable[part.engine]);
     Ok(Planned {
-        addresses: plan.parts.iter().map(address).collect(),
+        addresses: plan.assignments.iter().map(address).collect(),
         works: plan.works(&states),
         plan,
     })
@@ -435,7 +437,7 @@
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
-        lock(&self.relay.long_queue).remove(self.ticket);
+        lock(&self.relay.long_prompt_queue).remove(self.ticket);
         self.relay.urgent_changed.notify_one();
     }
 }
@@ -447,19 +449,19 @@
     prompt: &Prompt,
 ) -> Result<Started, (RefusalReason, Duration)> {
     let relay = &call.relay;
-    let waiting = Waiting {
-        read: model.read(prompt.tokens),
+    let waiting = QueuedPrompt {
+        prefill: model.prefill_time(prompt.tokens),
         due: call.due(),
         objective: call.route.objective,
-        lot: rand::random(),
+        random_rank: rand::random(),
         engines: lock(&relay.book).of_service(&call.service).count(),
         arrived: call.arrived,
         deadline: call.deadline,
     };
-    let given_up_at = waiting.given_up_at();
+    let expires_at = waiting.expires_at();
     let place = Place {
         relay,
-        ticket: lock(&relay.long_queue).push(relay.clock.now(), waiting),
+        ticket: lock(&relay.long_prompt_queue).push(relay.clock.now(), waiting),
     };
     relay.urgent_changed.notify_one();
     loop {
@@ -467,30 +469,30 @@
         let mut not_now = NotNow::NoEngines;
         let own = &relay.settings.name;
         let turn = {
-            let mut queue = lock(&relay.long_queue);
-            let late_part = queue.late_part(now, place.ticket);
+            let mut queue = lock(&relay.long_prompt_queue);
+            let late_chunk = queue.late_chunk(now, place.ticket);
             let planned = || {
-                let planned = plan(call, tried, model, prompt, Among::All { late_part });
+                let planned = plan(call, tried, model, prompt, Among::All { late_chunk });
                 planned.inspect_err(|why| not_now = *why).ok()
             };
-            queue.take_turn(now, place.ticket, own, planned)
+            queue.try_start(now, place.ticket, own, planned)
         };
         if let Some(planned) = turn {
             return Ok(enter(relay, planned));
         }
         // What comes too late is not waited for.
-        if not_now.lasts_until(now, given_up_at) {
+        if not_now.lasts_until(now, expires_at) {
             return Err(not_now.refusal());
         }
         if relay.refuses() {
             return Err((RefusalReason::Leaving, NO_SERVER_RETRY));
         }
-        if now >= given_up_at {
-            let looks = lock(&relay.long_queue).looks(place.ticket);
+        if now >= expires_at {
+            let looks = lock(&relay.long_prompt_queue).blocked_polls(place.ticket);
             log_lines::gave_up_waiting(call, looks);
             return Err((RefusalReason::WouldMissDeadline, NO_SERVER_RETRY));
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
     }
 }
 
@@ -498,7 +500,7 @@
     call: &Arc<Call>,
     started: &Started,
 ) -> Result<Reservations, Vec<(String, NotReserved)>> {
-    let wanted = started.addresses.iter().zip(&started.plan.parts);
+    let wanted = started.addresses.iter().zip(&started.plan.assignments);
     let wanted = wanted.map(|(engine, part)| (engine.clone(), part.memory));
     Reservations::make(call, wanted.collect()).await
 }
--- a/daemon/src/relay/log_lines.rs
+++ b/daemon/src/relay/log_lines.rs
@@ -7,7 +7,7 @@
 
 use badgerferry_lib::outcome::RefusalReason;
 use badgerferry_lib::relay::attempts::Attempts;
-use badgerferry_lib::relay::long_queue::Looks;
+use badgerferry_lib::relay::long_prompt_queue::BlockedPolls;
 use badgerferry_lib::relay::route_table::Denied;
 use badgerferry_platform::headers::AnswerHead;
 use http::StatusCode;
@@ -63,14 +63,14 @@
 }
 
 /// A long prompt waited until no engines could answer it in its caller's time.
-pub fn gave_up_waiting(call: &Call, looks: Looks) {
+pub fn gave_up_waiting(call: &Call, looks: BlockedPolls) {
     let waited = call.relay.clock.now().since(call.arrived);
     tracing::info!(
         call = call.id(),
         tokens = call.head.prompt.map(|prompt| prompt.tokens),
         waited_ms = waited.as_millis() as u64,
-        looks_behind = looks.behind,
-        looks_no_engines = looks.no_engines,
+        looks_behind = looks.not_first,
+        looks_no_engines = looks.too_few_engines,
         "gave up waiting for engines"
     );
 }
--- a/daemon/src/relay/metrics_page.rs
+++ b/daemon/src/relay/metrics_page.rs
@@ -81,7 +81,7 @@
     gauge!("badgerferry_routes_version").set(known.routes.unwrap_or_default() as f64);
     gauge!("badgerferry_store_era").set(known.servers.era as f64);
     gauge!("badgerferry_servers_revision").set(known.servers.revision as f64);
-    gauge!("badgerferry_long_prompts_waiting").set(lock(&relay.long_queue).len() as f64);
+    gauge!("badgerferry_long_prompts_waiting").set(lock(&relay.long_prompt_queue).len() as f64);
     {
         let quarantine = lock(&relay.quarantine);
         let held = quarantine.held(relay.clock.now());
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -92,7 +92,7 @@
         sequence += 1;
         let mut datagram = LoadDatagram {
             is_urgent,
-            waits: lock(&relay.long_queue).head(now),
+            waits: lock(&relay.long_prompt_queue).head(now),
             ..datagram(relay, now, sequence, Teller::Box, rows)
         };
         let waits = datagram.waits;
@@ -170,7 +170,7 @@
         passed_on: false,
     };
     LoadDatagram {
-        waits: lock(&relay.long_queue).head_of_hall(now),
+        waits: lock(&relay.long_prompt_queue).hall_head(now),
         ..datagram(relay, now, sequence, teller, rows)
     }
 }
@@ -407,7 +407,7 @@
             let rows = std::mem::take(&mut datagram.rows);
             let is_newer = lock(&relay.loads).take_table(now, from, lifetime, sequence, rows);
             if is_newer {
-                lock(&relay.long_queue).take_head(now, from, datagram.waits);
+                lock(&relay.long_prompt_queue).record_box_head(now, from, datagram.waits);
             }
             if datagram.is_urgent {
                 relay.hall_changed.notify_one();
@@ -418,7 +418,7 @@
         Teller::Hall { hall, .. } => {
             let rows = datagram.rows.clone();
             if lock(&relay.loads).take_hall_table(now, hall, lifetime, sequence, rows) {
-                lock(&relay.long_queue).take_hall_head(now, hall, datagram.waits);
+                lock(&relay.long_prompt_queue).record_hall_head(now, hall, datagram.waits);
             }
         }
     }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -17,7 +17,7 @@
 use badgerferry_lib::relay::engine_load::EngineKey;
 use badgerferry_lib::relay::engine_load::EngineLoads;
 use badgerferry_lib::relay::engine_pace::EnginePaces;
-use badgerferry_lib::relay::long_queue::LongQueue;
+use badgerferry_lib::relay::long_prompt_queue::LongPromptQueue;
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::quarantine::Quarantine;
 use badgerferry_lib::relay::retry_window::RetryWindow;
@@ -91,7 +91,7 @@
     /// Engines that are slow.
     pub paces: Mutex<EnginePaces>,
     /// Long prompts that wait for engines.
-    pub long_queue: Mutex<LongQueue>,
+    pub long_prompt_queue: Mutex<LongPromptQueue>,
     /// Retry budgets by service.
     pub retries: Mutex<HashMap<ServiceName, RetryWindow>>,
     /// Pieces of work under which servers ended.
@@ -157,7 +157,7 @@
             book,
             loads: Mutex::default(),
             paces: Mutex::default(),
-            long_queue: Mutex::default(),
+            long_prompt_queue: Mutex::default(),
             retries: Mutex::default(),
             quarantine: Mutex::default(),
             verdicts: Notify::new(),
--- a/lib/src/relay/call.rs
+++ b/lib/src/relay/call.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallKind {
     /// One whole answer.
-    Whole {
+    Unary {
         /// Whether a second run does no harm.
         repeatable: bool,
     },
@@ -22,7 +22,7 @@
     /// Whether more than one run does no harm.
     pub const fn is_repeatable(self) -> bool {
         match self {
-            Self::Whole { repeatable } => repeatable,
+            Self::Unary { repeatable } => repeatable,
             Self::Stream { resumable } => resumable,
         }
     }
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -15,12 +15,12 @@
 use serde::Serialize;
 
 use crate::relay::call::Prompt;
-use crate::relay::engine_group::Bearable;
-use crate::relay::engine_group::EngineGroup;
-use crate::relay::engine_group::LONG_PAUSE;
-use crate::relay::engine_group::LONGEST_PART_ALONE;
 use crate::relay::engine_load::EngineUse;
 use crate::relay::engine_load::Work;
+use crate::relay::prefill_selector::Bearable;
+use crate::relay::prefill_selector::LONG_PAUSE;
+use crate::relay::prefill_selector::LONGEST_PART_ALONE;
+use crate::relay::prefill_selector::PrefillSelector;
 use crate::relay::standing::Standing;
 
 /// Engines that may read for one call beside the one that leads it; the engines' limit.
@@ -91,7 +91,7 @@
 
 impl EngineModel {
     /// Time that reading a prompt takes one engine alone.
-    pub fn read(&self, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, tokens: u64) -> Duration {
         let tokens = tokens as f64;
         let pairs = tokens * tokens / 2.0 / 1e6;
         let millis = tokens / self.read_per_ms + pairs * self.per_million_pairs_ms;
@@ -99,7 +99,7 @@
     }
 
     /// Time of a pass with this many calls that write and nothing to read.
-    pub fn pass(&self, writers: u32) -> Duration {
+    pub fn pass_time(&self, writers: u32) -> Duration {
         let step = self.step_ms + self.per_writer_ms * f64::from(writers);
         Duration::from_secs_f64(step * f64::from(self.steps_per_pass) / 1e3)
     }
@@ -111,7 +111,7 @@
     /// Work there, of all boxes.
     pub load: EngineUse,
     /// Whether it stands in this box's data hall.
-    pub near: bool,
+    pub is_local: bool,
     /// Rank in this box's own order, so that boxes which choose at once choose apart.
     pub preference: u32,
     /// Whether it takes a call of this box. Engines that read parts are asked by the one that
@@ -121,11 +121,11 @@
 
 /// One engine's part of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct Assignment {
     /// Index of the engine in the caller's list.
     pub engine: usize,
     /// Reading there.
-    pub read: Duration,
+    pub prefill: Duration,
     /// Until the engine begins a pass that reads it.
     pub delay: Duration,
     /// Memory taken there, in tokens.
@@ -145,24 +145,24 @@
 
 /// What a caller expects of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Aims {
+pub struct LatencyTargets {
     /// Until its first event is due.
     pub due_in: Duration,
     /// Longest good pause between events, if any is stated.
     pub pause: Option<Duration>,
     /// Longest good pause of the most urgent streams that the same engines write.
-    pub least_pause: Option<Duration>,
+    pub strictest_pause: Option<Duration>,
     /// Longest part of a large prompt that can't be on time; it is read by as few engines as that takes.
-    pub late_part: Option<Duration>,
+    pub late_chunk: Option<Duration>,
 }
 
 /// How a generation runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EnginePlan {
     /// Parts; the first one leads.
-    pub parts: Vec<Part>,
+    pub assignments: Vec<Assignment>,
     /// Whether the parts' memory must be set aside before the call is sent.
-    pub reserve: bool,
+    pub reserve_memory: bool,
     /// Whether the call counts as long.
     pub long: bool,
     /// Expected time to the first event.
@@ -172,17 +172,17 @@
 impl EnginePlan {
     /// The work at each part's engine, for the load table; `engines` are those of the plan.
     pub fn works(&self, engines: &[EngineState]) -> Vec<Work> {
-        let work = |(at, part): (usize, &Part)| {
+        let work = |(at, part): (usize, &Assignment)| {
             let ahead = Duration::from_millis(engines[part.engine].load.reading_ms.into());
             Work {
-                read: part.read,
+                read: part.prefill,
                 delay: ahead + part.delay,
                 memory: part.memory,
                 leads: at == 0,
                 long: self.long,
             }
         };
-        self.parts.iter().enumerate().map(work).collect()
+        self.assignments.iter().enumerate().map(work).collect()
     }
 }
 
@@ -192,11 +192,11 @@
 /// prompt is: only its reading is spread over the other engines.
 pub fn is_long(model: &EngineModel, prompt: &Prompt, pause: Option<Duration>) -> bool {
     let bears_pauses = pause.is_none_or(|pause| pause >= LONG_PAUSE);
-    bears_pauses && model.read(prompt.tokens) > LONG_READ
+    bears_pauses && model.prefill_time(prompt.tokens) > LONG_READ
 }
 
 /// How many of the first engines are kept for short calls.
-pub fn short_lane(model: &EngineModel, engines: &[EngineState]) -> usize {
+pub fn short_call_engines(model: &EngineModel, engines: &[EngineState]) -> usize {
     let short: usize = engines
         .iter()
         .map(|engine| usize::from(engine.load.short))
@@ -212,28 +212,28 @@
 pub fn plan(
     pool: &EnginePool<'_>,
     prompt: &Prompt,
-    aims: Aims,
+    targets: LatencyTargets,
     rng: &mut impl Rng,
 ) -> Option<EnginePlan> {
-    let lane = short_lane(pool.model, pool.engines);
-    plan_beside_lane(pool, lane, prompt, aims, rng)
+    let short_engines = short_call_engines(pool.model, pool.engines);
+    plan_with_short_engines(pool, short_engines, prompt, targets, rng)
 }
 
-/// Plans a call where the first `lane` engines are those kept for short calls.
-pub(crate) fn plan_beside_lane(
+/// Plans a call where the first `short_engines` engines are those kept for short calls.
+pub(crate) fn plan_with_short_engines(
     pool: &EnginePool<'_>,
-    lane: usize,
+    short_engines: usize,
     prompt: &Prompt,
-    aims: Aims,
+    targets: LatencyTargets,
     rng: &mut impl Rng,
 ) -> Option<EnginePlan> {
     if pool.engines.is_empty() {
         return None;
     }
-    if is_long(pool.model, prompt, aims.pause) {
-        plan_long(pool, lane, prompt, aims)
+    if is_long(pool.model, prompt, targets.pause) {
+        plan_long(pool, short_engines, prompt, targets)
     } else {
-        Some(plan_short(pool, lane, prompt, aims, rng))
+        Some(plan_short(pool, short_engines, prompt, targets, rng))
     }
 }
 
@@ -250,7 +250,7 @@
 fn residual(model: &EngineModel, engine: &EngineState) -> Duration {
     match engine.writers() {
         0 => Duration::ZERO,
-        writers => model.pass(writers) / 2,
+        writers => model.pass_time(writers) / 2,
     }
 }
 
@@ -278,17 +278,17 @@
     model: &EngineModel,
     engine: &EngineState,
     prompt: &Prompt,
-    in_lane: bool,
+    is_short_engine: bool,
 ) -> Duration {
     let writers = engine.writers();
-    let mut cost = wait(model, engine) + model.pass(writers + 1);
-    if !in_lane {
+    let mut cost = wait(model, engine) + model.pass_time(writers + 1);
+    if !is_short_engine {
         cost += FOREIGN_LANE;
     }
     if writers >= model.slots || engine.free_memory(model) < prompt.memory() {
         cost += FULL_BATCH;
     }
-    if !engine.near {
+    if !engine.is_local {
         cost += OTHER_HALL;
     }
     cost + match engine.standing {
@@ -300,9 +300,9 @@
 
 fn plan_short(
     pool: &EnginePool<'_>,
-    lane: usize,
+    short_engines: usize,
     prompt: &Prompt,
-    aims: Aims,
+    targets: LatencyTargets,
     rng: &mut impl Rng,
 ) -> EnginePlan {
     let EnginePool {
@@ -311,51 +311,51 @@
         boxes,
         ..
     } = *pool;
-    let read = model.read(prompt.tokens);
+    let prefill = model.prefill_time(prompt.tokens);
     let costs: Vec<Duration> = (engines.iter().enumerate())
-        .map(|(at, engine)| short_cost(model, engine, prompt, at < lane))
+        .map(|(at, engine)| short_cost(model, engine, prompt, at < short_engines))
         .collect();
     let mut order: Vec<usize> = (0..engines.len()).collect();
     order.sort_by_key(|&at| costs[at]);
     let most = costs[order[0]] + FOREIGN_LANE;
-    let good = |in_lane: bool| {
-        let good = |at: &usize| costs[*at] <= most && (*at < lane || !in_lane);
+    let good = |is_short_engine: bool| {
+        let good = |at: &usize| costs[*at] <= most && (*at < short_engines || !is_short_engine);
         (0..engines.len()).filter(good).collect::<Vec<usize>>()
     };
     let lead = draw(&costs, good(true), boxes, rng)
         .or_else(|| draw(&costs, good(false), boxes, rng))
         .unwrap_or(order[0]);
     order.retain(|&at| at != lead);
-    let helpers = parts_of(read, SHORT_PART_READ).min(MAX_HELPERS + 1) - 1;
-    if read > LONG_READ {
+    let helpers = parts_of(prefill, SHORT_PART_READ).min(MAX_HELPERS + 1) - 1;
+    if prefill > LONG_READ {
         // Engines outside the lane read it; those in the lane, too, where the parts would
         // otherwise make the streams there pause.
-        let beside_short = Bearable::new(model, aims.least_pause).beside_short;
-        let enough = parts_of(read, beside_short).min(MAX_HELPERS + 1) - 1;
-        let outside = order.iter().filter(|&&at| at >= lane).count();
+        let beside_short = Bearable::new(model, targets.strictest_pause).beside_short;
+        let enough = parts_of(prefill, beside_short).min(MAX_HELPERS + 1) - 1;
+        let outside = order.iter().filter(|&&at| at >= short_engines).count();
         let ahead = |at: usize| {
             let engine = &engines[at];
-            (at < lane, reading_ahead(engine), engine.preference)
+            (at < short_engines, reading_ahead(engine), engine.preference)
         };
         order.sort_by_key(|&at| ahead(at));
         order.truncate(outside.max(enough));
     } else {
         // Helpers that are busy, or that no short call is meant for, would only delay it.
-        order.retain(|&at| at < lane && costs[at] <= costs[lead] + HELPER_DELAY);
+        order.retain(|&at| at < short_engines && costs[at] <= costs[lead] + HELPER_DELAY);
     }
     order.truncate(helpers);
     order.insert(0, lead);
-    let share = read / order.len() as u32;
+    let share = prefill / order.len() as u32;
     let slowest = order.iter().map(|&at| costs[at]).max().unwrap_or_default();
-    let parts = order.iter().enumerate().map(|(at, &engine)| Part {
+    let assignments = order.iter().enumerate().map(|(at, &engine)| Assignment {
         engine,
-        read: share,
+        prefill: share,
         delay: residual(model, &engines[engine]),
         memory: if at == 0 { prompt.memory() } else { 0 },
     });
     EnginePlan {
-        parts: parts.collect(),
-        reserve: false,
+        assignments: assignments.collect(),
+        reserve_memory: false,
         long: false,
         expected: slowest + share,
     }
@@ -379,77 +379,79 @@
 
 fn plan_long(
     pool: &EnginePool<'_>,
-    lane: usize,
+    short_engines: usize,
     prompt: &Prompt,
-    aims: Aims,
+    targets: LatencyTargets,
 ) -> Option<EnginePlan> {
     let EnginePool { model, engines, .. } = *pool;
-    let read = model.read(prompt.tokens);
+    let prefill = model.prefill_time(prompt.tokens);
     let usable = (model.memory as f64 * USABLE_MEMORY) as u64;
-    let reserve = prompt.memory() > usable;
-    let lane = lane.min(engines.len() - 1);
+    let reserve_memory = prompt.memory() > usable;
+    let short_engines = short_engines.min(engines.len() - 1);
     // With reservations the engine that leads is listed among the readers, too.
-    let all = (MAX_HELPERS + usize::from(!reserve)).min(engines.len());
-    let is_huge = read / all as u32 > LONGEST_PART_ALONE;
+    let all = (MAX_HELPERS + usize::from(!reserve_memory)).min(engines.len());
+    let is_huge = prefill / all as u32 > LONGEST_PART_ALONE;
     let most = if is_huge {
         all.min(engines.len().div_ceil(HUGE_SHARE))
     } else {
         all
     };
-    let longest = longest_part(aims.due_in).max(aims.late_part.unwrap_or_default());
-    let least = parts_of(read, longest).min(engines.len() - lane).min(most);
-    let group = EngineGroup {
+    let longest = longest_part(targets.due_in).max(targets.late_chunk.unwrap_or_default());
+    let least = parts_of(prefill, longest)
+        .min(engines.len() - short_engines)
+        .min(most);
+    let group = PrefillSelector {
         model,
         engines,
         prompt,
-        lane,
-        reserve,
+        short_engines,
+        reserve_memory,
         is_huge,
         longest_alone: longest.max(LONGEST_PART_ALONE),
-        bearable: Bearable::new(model, aims.least_pause),
+        bearable: Bearable::new(model, targets.strictest_pause),
     };
-    let wanted = if aims.late_part.is_some() {
+    let wanted = if targets.late_chunk.is_some() {
         least
-    } else if reserve {
+    } else if reserve_memory {
         most
     } else {
         let free = group.free() as f64 * share_of_free(pool.boxes);
-        parts_of(read, PART_READ)
+        parts_of(prefill, PART_READ)
             .min(free as usize)
             .clamp(least, most)
     };
     // As many as are wanted or fewer, then more and smaller parts, which the lane bears, too.
     let mut counts = (least..=wanted).rev().chain(wanted + 1..=most);
-    let chosen = counts.find_map(|count| group.choose(count, read / count as u32))?;
-    Some(long_plan(&group, &chosen, read))
+    let chosen = counts.find_map(|count| group.choose(count, prefill / count as u32))?;
+    Some(long_plan(&group, &chosen, prefill))
 }
 
-fn long_plan(group: &EngineGroup<'_>, chosen: &[usize], read: Duration) -> EnginePlan {
-    let EngineGroup {
+fn long_plan(group: &PrefillSelector<'_>, chosen: &[usize], prefill: Duration) -> EnginePlan {
+    let PrefillSelector {
         model,
         engines,
         prompt,
-        reserve,
+        reserve_memory,
         ..
     } = *group;
-    let share = read / chosen.len() as u32;
+    let share = prefill / chosen.len() as u32;
     let before = chosen.iter().map(|&at| wait(model, &engines[at])).max();
     let share_of_memory = prompt.memory() / chosen.len() as u64 + 1;
-    let parts = chosen.iter().enumerate().map(|(at, &engine)| Part {
+    let assignments = chosen.iter().enumerate().map(|(at, &engine)| Assignment {
         engine,
-        read: share,
+        prefill: share,
         delay: residual(model, &engines[engine]),
-        memory: match (reserve, at) {
+        memory: match (reserve_memory, at) {
             (true, _) => share_of_memory,
             (false, 0) => prompt.memory(),
             (false, _) => 0,
         },
     });
     EnginePlan {
-        parts: parts.collect(),
-        reserve,
+        assignments: assignments.collect(),
+        reserve_memory,
         long: true,
-        expected: before.unwrap_or_default() + share + model.pass(2),
+        expected: before.unwrap_or_default() + share + model.pass_time(2),
     }
 }
 
@@ -471,6 +473,6 @@
     (FRESH_BOXES as f64 / boxes.max(1) as f64).clamp(LEAST_SHARE_OF_FREE, 1.0)
 }
 
-fn parts_of(read: Duration, part: Duration) -> usize {
-    (read.as_secs_f64() / part.as_secs_f64()).ceil().max(1.0) as usize
+fn parts_of(prefill: Duration, part: Duration) -> usize {
+    (prefill.as_secs_f64() / part.as_secs_f64()).ceil().max(1.0) as usize
 }
--- a/lib/src/relay/engine_cell.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -11,10 +11,10 @@
 use crate::relay::call::Prompt;
 use crate::relay::cells::Scope;
 use crate::relay::engine_plan;
-use crate::relay::engine_plan::Aims;
 use crate::relay::engine_plan::EnginePlan;
 use crate::relay::engine_plan::EnginePool;
 use crate::relay::engine_plan::EngineState;
+use crate::relay::engine_plan::LatencyTargets;
 
 /// Part of the time until its first event is due that a short call may be expected to take in
 /// its own hall; the estimate is exceeded about as often as it is not.
@@ -24,7 +24,7 @@
 
 /// The engines that a box may use, by hall.
 #[derive(Debug)]
-pub struct Cells<'a> {
+pub struct HallPlanner<'a> {
     /// All engines that may take work.
     pub pool: EnginePool<'a>,
     /// The hall of each engine, as a number; 0 is this box's own.
@@ -33,25 +33,30 @@
     pub scope: Scope,
 }
 
-impl Cells<'_> {
+impl HallPlanner<'_> {
     /// Plans a call.
     ///
     /// `None` if no engine can take it now.
-    pub fn plan(&self, prompt: &Prompt, aims: Aims, rng: &mut impl Rng) -> Option<EnginePlan> {
+    pub fn plan(
+        &self,
+        prompt: &Prompt,
+        targets: LatencyTargets,
+        rng: &mut impl Rng,
+    ) -> Option<EnginePlan> {
         if self.scope == Scope::Fleet {
-            return engine_plan::plan(&self.pool, prompt, aims, rng);
+            return engine_plan::plan(&self.pool, prompt, targets, rng);
         }
-        if engine_plan::is_long(self.pool.model, prompt, aims.pause) {
-            return self.plan_over_halls(prompt, aims, rng);
+        if engine_plan::is_long(self.pool.model, prompt, targets.pause) {
+            return self.plan_over_halls(prompt, targets, rng);
         }
-        let home = self.plan_in(0, prompt, aims, rng);
+        let home = self.plan_in(0, prompt, targets, rng);
         let most = home.as_ref().map(|plan| plan.expected);
-        if most.is_some_and(|most| most <= aims.due_in.mul_f64(PATIENCE_AT_HOME)) {
+        if most.is_some_and(|most| most <= targets.due_in.mul_f64(PATIENCE_AT_HOME)) {
             return home;
         }
         let others = 1..=self.halls.iter().copied().max().unwrap_or_default();
         let away = others
-            .filter_map(|hall| self.plan_in(hall, prompt, aims, rng))
+            .filter_map(|hall| self.plan_in(hall, prompt, targets, rng))
             .min_by_key(|plan| plan.expected);
         let gains = |away: &EnginePlan| most.is_none_or(|most| away.expected + LEAST_GAIN < most);
         away.filter(gains).or(home)
@@ -62,7 +67,7 @@
     fn plan_over_halls(
         &self,
         prompt: &Prompt,
-        aims: Aims,
+        targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
         let halls = 0..=self.halls.iter().copied().max().unwrap_or_default();
@@ -72,16 +77,16 @@
             let at: Vec<usize> = self.engines_of(hall);
             let engines = self.states_of(&at);
             if !engines.is_empty() {
-                let lane = engine_plan::short_lane(self.pool.model, &engines);
-                lanes.extend(&at[..lane]);
-                others.extend(&at[lane..]);
+                let short_engines = engine_plan::short_call_engines(self.pool.model, &engines);
+                lanes.extend(&at[..short_engines]);
+                others.extend(&at[short_engines..]);
             }
         }
-        let lane = lanes.len();
+        let short_engines = lanes.len();
         lanes.extend(others);
         let own_first = |at: &usize| {
             let engine = self.pool.engines[*at];
-            let far = u32::from(!engine.near) << 31;
+            let far = u32::from(!engine.is_local) << 31;
             EngineState {
                 preference: engine.preference >> 1 | far,
                 ..engine
@@ -92,7 +97,7 @@
             engines: &engines,
             ..self.pool
         };
-        let plan = engine_plan::plan_beside_lane(&pool, lane, prompt, aims, rng);
+        let plan = engine_plan::plan_with_short_engines(&pool, short_engines, prompt, targets, rng);
         plan.map(|plan| placed_at(plan, &lanes))
     }
 
@@ -109,7 +114,7 @@
         &self,
         hall: usize,
         prompt: &Prompt,
-        aims: Aims,
+        targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
         let at = self.engines_of(hall);
@@ -117,14 +122,14 @@
             engines: &self.states_of(&at),
             ..self.pool
         };
-        let plan = engine_plan::plan(&pool, prompt, aims, rng)?;
+        let plan = engine_plan::plan(&pool, prompt, targets, rng)?;
         Some(placed_at(plan, &at))
     }
 }
 
 /// The same plan over engines that stand at other places of the list.
 fn placed_at(mut plan: EnginePlan, at: &[usize]) -> EnginePlan {
-    for part in &mut plan.parts {
+    for part in &mut plan.assignments {
         part.engine = at[part.engine];
     }
     plan
--- a/lib/src/relay/long_queue.rs
+++ b/lib/src/relay/long_prompt_queue.rs
@@ -26,10 +26,10 @@
 use crate::time::Time;
 
 /// How often a waiting long prompt looks whether engines can read it; a part takes longer.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(8);
+pub const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(8);
 /// Pause after memory was not set aside everywhere; each order has a price, and a stream that
 /// holds memory ends within about a second.
-pub const RESERVE_AGAIN: Duration = Duration::from_millis(200);
+pub const RESERVATION_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Engines that read one prompt at most.
 const MOST_READERS: u32 = MAX_HELPERS as u32 + 1;
 /// Part of its objective that reading takes all engines that may read a prompt, from which on it is large:
@@ -65,15 +65,15 @@
 
 /// A prompt that waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedPrompt {
     /// Reading, by one engine alone.
-    pub read: Duration,
+    pub prefill: Duration,
     /// When its first event is due to be on time.
     pub due: Time,
     /// How long after its caller first asked that is.
     pub objective: Duration,
     /// Drawn for it: the order among large prompts, the same for all boxes.
-    pub lot: u16,
+    pub random_rank: u16,
     /// Engines of its service.
     pub engines: usize,
     /// When it came.
@@ -82,11 +82,11 @@
     pub deadline: Time,
 }
 
-impl Waiting {
+impl QueuedPrompt {
     /// When it is given up: from then on no engines could answer it in its caller's time.
     /// Refused before, its caller would come back to the same queue.
-    pub fn given_up_at(&self) -> Time {
-        let needs = LEAST_RUN + self.read / MOST_READERS;
+    pub fn expires_at(&self) -> Time {
+        let needs = LEAST_RUN + self.prefill / MOST_READERS;
         self.arrived + self.deadline.since(self.arrived).saturating_sub(needs)
     }
 
@@ -94,7 +94,7 @@
     ///
     /// Then no time is spent on a prompt that is late all the same, while others still are not.
     fn will_be_late(&self, now: Time) -> bool {
-        now + self.read / MOST_READERS > self.due
+        now + self.prefill / MOST_READERS > self.due
     }
 
     fn engines_are_few(&self) -> bool {
@@ -113,12 +113,12 @@
 
     /// Whether it keeps its place among large prompts though it will be late.
     fn keeps_place(&self) -> bool {
-        self.engines_are_few() && self.read >= self.large_read()
+        self.engines_are_few() && self.prefill >= self.large_read()
     }
 
     /// Longest part that it may be read in because it will be late all the same, and has its turn;
     /// none where it is read as others are.
-    fn late_part(&self, now: Time) -> Option<Duration> {
+    fn late_chunk(&self, now: Time) -> Option<Duration> {
         if !self.will_be_late(now) || !self.keeps_place() {
             return None;
         }
@@ -129,23 +129,23 @@
     fn head(&self, now: Time) -> QueueHead {
         let is_late = self.will_be_late(now) && !self.keeps_place();
         let large = self.large_read();
-        let (read, lot) = match self.read {
+        let (prefill, random_rank) = match self.prefill {
             // Late ones are no longer worth much: what takes engines the least goes first.
-            read if is_late || read < large => (read, 0),
-            read => (large, weighted_lot(self.lot, read, large)),
+            prefill if is_late || prefill < large => (prefill, 0),
+            prefill => (large, weighted_lot(self.random_rank, prefill, large)),
         };
         QueueHead {
             is_late,
-            read_ms: read.as_millis() as u32,
-            lot,
+            prefill_ms: prefill.as_millis() as u32,
+            random_rank,
         }
     }
 }
 
 /// The lot of a large prompt: better, so smaller, the more reading it takes.
-fn weighted_lot(lot: u16, read: Duration, large: Duration) -> u16 {
-    let times = read.as_secs_f64() / large.as_secs_f64().max(f64::MIN_POSITIVE);
-    (f64::from(lot) / times.powf(LOT_POWER)) as u16
+fn weighted_lot(random_rank: u16, prefill: Duration, large: Duration) -> u16 {
+    let times = prefill.as_secs_f64() / large.as_secs_f64().max(f64::MIN_POSITIVE);
+    (f64::from(random_rank) / times.powf(LOT_POWER)) as u16
 }
 
 /// What a box tells of the prompt that it would send next; the smallest goes first.
@@ -154,45 +154,45 @@
     /// Whether its first event will be late whoever reads it.
     pub is_late: bool,
     /// Reading, in milliseconds of one engine alone; the same for all large prompts of an objective.
-    pub read_ms: u32,
+    pub prefill_ms: u32,
     /// The order among those.
-    pub lot: u16,
+    pub random_rank: u16,
 }
 
 /// What a waiting prompt met when it looked for its turn; tells whether the order or the engines
 /// kept it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Looks {
+pub struct BlockedPolls {
     /// Another prompt went first, here or at another box.
-    pub behind: u32,
+    pub not_first: u32,
     /// It was first, and too few engines could read it.
-    pub no_engines: u32,
+    pub too_few_engines: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Row {
     ticket: Ticket,
-    waiting: Waiting,
+    waiting: QueuedPrompt,
     since: Time,
     /// Since when engines could read it while it gives way to another box's.
     gives_way_since: Option<Time>,
-    looks: Looks,
+    blocked_polls: BlockedPolls,
 }
 
 /// Whether a prompt may be sent now, if engines can read it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Turn {
     /// Another prompt of this box goes first, or other boxes have not heard of this one.
-    Waits,
+    Blocked,
     /// Another box has one that goes first: it is sent only if that has lasted too long.
-    GivesWay,
+    Yields,
     /// It is first.
     First,
 }
 
 /// The waiting prompts of one box, and the first ones of the others.
 #[derive(Debug, Default)]
-pub struct LongQueue {
+pub struct LongPromptQueue {
     next: u64,
     rows: Vec<Row>,
     others: HashMap<String, ToldHead>,
@@ -223,9 +223,9 @@
     }
 }
 
-impl LongQueue {
+impl LongPromptQueue {
     /// Lets a prompt wait.
-    pub fn push(&mut self, now: Time, waiting: Waiting) -> Ticket {
+    pub fn push(&mut self, now: Time, waiting: QueuedPrompt) -> Ticket {
         let ticket = Ticket(self.next);
         self.next += 1;
         self.rows.push(Row {
@@ -233,7 +233,7 @@
             waiting,
             since: now,
             gives_way_since: None,
-            looks: Looks::default(),
+            blocked_polls: BlockedPolls::default(),
         });
         ticket
     }
@@ -249,19 +249,19 @@
     }
 
     /// The first of the prompts that wait in this box's hall, for the other halls.
-    pub fn head_of_hall(&self, now: Time) -> Option<QueueHead> {
+    pub fn hall_head(&self, now: Time) -> Option<QueueHead> {
         let live = self.others.values().filter(|told| told.lives(now));
         let others = live.map(|told| told.head);
         others.chain(self.head(now)).min()
     }
 
     /// Takes what another box told.
-    pub fn take_head(&mut self, now: Time, from: &str, head: Option<QueueHead>) {
+    pub fn record_box_head(&mut self, now: Time, from: &str, head: Option<QueueHead>) {
         take(&mut self.others, from, head, now);
     }
 
     /// Takes the first of another hall's prompts.
-    pub fn take_hall_head(&mut self, now: Time, hall: &HallName, head: Option<QueueHead>) {
+    pub fn record_hall_head(&mut self, now: Time, hall: &HallName, head: Option<QueueHead>) {
         take(&mut self.halls, hall.as_str(), head, now);
     }
 
@@ -272,24 +272,24 @@
             .iter()
             .min_by_key(|row| (row.waiting.head(now), row.ticket));
         let Some(first) = first.filter(|row| row.ticket == ticket) else {
-            return Turn::Waits;
+            return Turn::Blocked;
         };
         if now.since(first.since) < ANNOUNCED {
-            return Turn::Waits;
+            return Turn::Blocked;
         }
         let head = first.waiting.head(now);
         let goes_before = |(name, told): (&String, &ToldHead)| {
             told.lives(now) && (told.head, name.as_str()) < (head, own)
         };
         if self.others.iter().chain(&self.halls).any(goes_before) {
-            Turn::GivesWay
+            Turn::Yields
         } else {
             Turn::First
         }
     }
 
     /// Takes a prompt's turn, if it is its turn and `plan` finds engines that can read it.
-    pub fn take_turn<P>(
+    pub fn try_start<P>(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -298,39 +298,40 @@
     ) -> Option<P> {
         let turn = self.turn(now, ticket, own);
         let planned = match turn {
-            Turn::Waits => None,
+            Turn::Blocked => None,
             Turn::First => plan(),
-            Turn::GivesWay => {
+            Turn::Yields => {
                 let planned = plan();
-                let long_enough = self.gave_way(now, ticket, planned.is_some());
+                let long_enough = self.yielded_long_enough(now, ticket, planned.is_some());
                 planned.filter(|_| long_enough)
             }
         };
         if let Some(row) = self.rows.iter_mut().find(|row| row.ticket == ticket) {
-            row.looks.behind += u32::from(turn != Turn::First);
-            row.looks.no_engines += u32::from(turn == Turn::First && planned.is_none());
+            row.blocked_polls.not_first += u32::from(turn != Turn::First);
+            row.blocked_polls.too_few_engines +=
+                u32::from(turn == Turn::First && planned.is_none());
         }
         planned
     }
 
     /// Longest part that a waiting prompt may be read in because it will be late all the same, while
     /// others wait; none where it is read as others are.
-    pub fn late_part(&self, now: Time, ticket: Ticket) -> Option<Duration> {
+    pub fn late_chunk(&self, now: Time, ticket: Ticket) -> Option<Duration> {
         let mut told = self.others.values().chain(self.halls.values());
         let others_wait = self.rows.len() > 1 || told.any(|told| told.lives(now));
         let row = self.rows.iter().find(|row| row.ticket == ticket)?;
-        row.waiting.late_part(now).filter(|_| others_wait)
+        row.waiting.late_chunk(now).filter(|_| others_wait)
     }
 
     /// What a waiting prompt met so far.
-    pub fn looks(&self, ticket: Ticket) -> Looks {
+    pub fn blocked_polls(&self, ticket: Ticket) -> BlockedPolls {
         let row = self.rows.iter().find(|row| row.ticket == ticket);
-        row.map(|row| row.looks).unwrap_or_default()
+        row.map(|row| row.blocked_polls).unwrap_or_default()
     }
 
     /// Records whether engines could read a prompt that gives way; true once that has lasted so
     /// long that it is sent all the same.
-    pub fn gave_way(&mut self, now: Time, ticket: Ticket, could_start: bool) -> bool {
+    pub fn yielded_long_enough(&mut self, now: Time, ticket: Ticket, could_start: bool) -> bool {
         let Some(row) = self.rows.iter_mut().find(|row| row.ticket == ticket) else {
             return false;
         };
--- a/lib/src/relay/engine_group.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -34,9 +34,9 @@
 
 impl Bearable {
     /// A pass with a full batch plays beside the part.
-    pub(crate) fn new(model: &EngineModel, least_pause: Option<Duration>) -> Self {
-        let pass = model.pass(model.slots);
-        let short = least_pause.unwrap_or(LONG_PAUSE).saturating_sub(pass);
+    pub(crate) fn new(model: &EngineModel, strictest_pause: Option<Duration>) -> Self {
+        let pass = model.pass_time(model.slots);
+        let short = strictest_pause.unwrap_or(LONG_PAUSE).saturating_sub(pass);
         Self {
             beside_short: short.mul_f64(READ_PART_OF_PAUSE),
             beside_long: LONG_PAUSE.saturating_sub(pass),
@@ -48,15 +48,15 @@
 ///
 /// Each engine bears parts up to a length that depends on what it writes, which helps
 /// most where short calls fill the fleet.
-pub(crate) struct EngineGroup<'a> {
+pub(crate) struct PrefillSelector<'a> {
     pub(crate) model: &'a EngineModel,
     /// All engines that may take work, in the order that all boxes share.
     pub(crate) engines: &'a [EngineState],
     pub(crate) prompt: &'a Prompt,
     /// How many of the first engines are kept for short calls.
-    pub(crate) lane: usize,
+    pub(crate) short_engines: usize,
     /// Whether no engine holds the prompt alone, so that its memory is set aside everywhere.
-    pub(crate) reserve: bool,
+    pub(crate) reserve_memory: bool,
     /// Whether all engines together can't read it in parts of [`LONGEST_PART_ALONE`].
     pub(crate) is_huge: bool,
     /// Longest part that an engine reads which writes nothing.
@@ -65,7 +65,7 @@
     pub(crate) bearable: Bearable,
 }
 
-impl EngineGroup<'_> {
+impl PrefillSelector<'_> {
     /// Longest part that an engine may read.
     ///
     /// Beside a single short stream it is as short as beside many: one that pauses loses more than a
@@ -74,7 +74,7 @@
         let load = &self.engines[at].load;
         match (load.short, load.long) {
             _ if load.long_reads > 0 => Duration::ZERO,
-            _ if at < self.lane => self.bearable.beside_short,
+            _ if at < self.short_engines => self.bearable.beside_short,
             (0, 0) if self.is_huge => Duration::MAX,
             (0, 0) => self.longest_alone,
             (0, _) => self.bearable.beside_long,
@@ -119,8 +119,9 @@
 
     /// So many engines that can read parts of this length; the one that leads is first.
     pub(crate) fn choose(&self, count: usize, part: Duration) -> Option<Vec<usize>> {
-        let is_able =
-            |at: &usize| self.bears(*at) >= part && (!self.reserve || self.has_room(*at, count));
+        let is_able = |at: &usize| {
+            self.bears(*at) >= part && (!self.reserve_memory || self.has_room(*at, count))
+        };
         let mut able: Vec<usize> = (0..self.engines.len()).filter(is_able).collect();
         if able.len() < count {
             return None;
@@ -128,7 +129,7 @@
         able.sort_by_key(|&at| {
             let engine = &self.engines[at];
             let writes_short = self.bears(at) <= self.bearable.beside_short;
-            let is_ordered = self.reserve && engine.standing != Standing::Open;
+            let is_ordered = self.reserve_memory && engine.standing != Standing::Open;
             (
                 is_ordered,
                 writes_short,
@@ -136,7 +137,7 @@
                 engine.preference,
             )
         });
-        if !self.reserve {
+        if !self.reserve_memory {
             let lead = self.lead_among(&able)?;
             able[..=lead].rotate_right(1);
         }
--- a/lib/src/relay/route_table.rs
+++ b/lib/src/relay/route_table.rs
@@ -176,7 +176,7 @@
     }
 
     /// Longest good pause of the most urgent streams of a service, if any states one.
-    pub fn least_pause(&self, name: &ServiceName) -> Option<Duration> {
+    pub fn strictest_pause(&self, name: &ServiceName) -> Option<Duration> {
         self.least_pauses.get(name).copied()
     }
 
--- a/lib/src/relay/served_shares.rs
+++ b/lib/src/relay/served_shares.rs
@@ -40,17 +40,18 @@
     }
 
     /// The lesser served share of the two largest groups, as a part of that of all.
-    pub const fn of_the_largest(&self) -> f64 {
-        self.tenth_of_all().min(self.beneath_of_all())
+    pub const fn lower_relative_share(&self) -> f64 {
+        self.relative_largest_tenth()
+            .min(self.relative_fifth_beneath())
     }
 
     /// Served share of the largest tenth, as a part of that of all.
-    pub const fn tenth_of_all(&self) -> f64 {
+    pub const fn relative_largest_tenth(&self) -> f64 {
         self.largest_tenth / self.all.max(f64::MIN_POSITIVE)
     }
 
     /// Served share of the fifth beneath the largest tenth, as a part of that of all.
-    pub const fn beneath_of_all(&self) -> f64 {
+    pub const fn relative_fifth_beneath(&self) -> f64 {
         self.fifth_beneath / self.all.max(f64::MIN_POSITIVE)
     }
 }
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -5,11 +5,11 @@
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::engine_load::EngineUse;
 use badgerferry_lib::relay::engine_plan;
-use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
+use badgerferry_lib::relay::engine_plan::LatencyTargets;
 use badgerferry_lib::relay::engine_plan::MAX_HELPERS;
 use badgerferry_lib::relay::standing::Standing;
 use rand::Rng;
@@ -35,7 +35,7 @@
     (0..count)
         .map(|at| EngineState {
             load: EngineUse::default(),
-            near: true,
+            is_local: true,
             preference: at as u32,
             standing: Standing::Open,
         })
@@ -50,12 +50,12 @@
 }
 
 /// Beside streams that bear pauses of 250 ms.
-const fn aims(due_in: Duration, pause: Option<Duration>) -> Aims {
-    Aims {
+const fn targets(due_in: Duration, pause: Option<Duration>) -> LatencyTargets {
+    LatencyTargets {
         due_in,
         pause,
-        least_pause: SHORT,
-        late_part: None,
+        strictest_pause: SHORT,
+        late_chunk: None,
     }
 }
 
@@ -67,21 +67,26 @@
     }
 }
 
-fn plan_with(engines: &[EngineState], tokens: u64, aims: Aims, boxes: usize) -> Option<EnginePlan> {
+fn plan_with(
+    engines: &[EngineState],
+    tokens: u64,
+    targets: LatencyTargets,
+    boxes: usize,
+) -> Option<EnginePlan> {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    engine_plan::plan(&pool(engines, boxes), &prompt(tokens), aims, &mut rng)
+    engine_plan::plan(&pool(engines, boxes), &prompt(tokens), targets, &mut rng)
 }
 
 fn plan(engines: &[EngineState], tokens: u64, pause: Option<Duration>) -> Option<EnginePlan> {
-    plan_with(engines, tokens, aims(DUE_IN, pause), 6)
+    plan_with(engines, tokens, targets(DUE_IN, pause), 6)
 }
 
 fn plan_due(engines: &[EngineState], tokens: u64, due_in: Duration) -> Option<EnginePlan> {
-    plan_with(engines, tokens, aims(due_in, PATIENT), 6)
+    plan_with(engines, tokens, targets(due_in, PATIENT), 6)
 }
 
 fn engines_of(plan: &EnginePlan) -> Vec<usize> {
-    plan.parts.iter().map(|part| part.engine).collect()
+    plan.assignments.iter().map(|part| part.engine).collect()
 }
 
 #[test]
@@ -102,11 +107,11 @@
 #[test]
 fn the_lane_grows_with_the_short_calls_in_flight() {
     let mut engines = idle(18);
-    assert_eq!(engine_plan::short_lane(&MODEL, &engines), 1);
+    assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 1);
 
     engines[3].load.short = 100;
 
-    assert_eq!(engine_plan::short_lane(&MODEL, &engines), 10);
+    assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 10);
 }
 
 /// Engines of the grown fleets hold 12 calls at once, not 16.
@@ -116,23 +121,27 @@
     engines[3].load.short = 72;
     let small = EngineModel { slots: 12, ..MODEL };
 
-    assert_eq!(engine_plan::short_lane(&MODEL, &engines), 7);
-    assert_eq!(engine_plan::short_lane(&small, &engines), 9);
+    assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 7);
+    assert_eq!(engine_plan::short_call_engines(&small, &engines), 9);
 }
 
 #[test]
 fn a_long_prompt_takes_free_engines_outside_the_lane_in_parts() {
     let plan = plan(&idle(18), 154_000, PATIENT).expect("all are free");
 
-    assert!(plan.long && !plan.reserve);
-    assert!(plan.parts.len() >= 10, "{} parts", plan.parts.len());
+    assert!(plan.long && !plan.reserve_memory);
+    assert!(
+        plan.assignments.len() >= 10,
+        "{} parts",
+        plan.assignments.len()
+    );
     assert!(!engines_of(&plan).contains(&0));
     assert!(
-        plan.parts
+        plan.assignments
             .iter()
-            .all(|part| part.read <= Duration::from_millis(320))
+            .all(|part| part.prefill <= Duration::from_millis(320))
     );
-    assert_eq!(plan.parts[0].memory, prompt(154_000).memory());
+    assert_eq!(plan.assignments[0].memory, prompt(154_000).memory());
 }
 
 #[test]
@@ -186,7 +195,7 @@
 
     let small = plan(&engines, 100_000, PATIENT).expect("parts of 200 ms");
 
-    assert!(small.parts.iter().all(|part| part.engine < 10));
+    assert!(small.assignments.iter().all(|part| part.engine < 10));
     assert_eq!(
         plan(&engines, 310_000, PATIENT),
         None,
@@ -203,7 +212,7 @@
 
     let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("ten are free");
 
-    assert_eq!(plan.parts.len(), 10);
+    assert_eq!(plan.assignments.len(), 10);
 }
 
 #[test]
@@ -212,12 +221,12 @@
     for engine in &mut engines[11..] {
         engine.load.long_reads = 1;
     }
-    let aims = aims(Duration::from_secs(3), PATIENT);
+    let targets = targets(Duration::from_secs(3), PATIENT);
 
-    let plan = plan_with(&engines, 250_000, aims, 60);
+    let plan = plan_with(&engines, 250_000, targets, 60);
 
     let plan = plan.expect("ten are free");
-    assert_eq!(plan.parts.len(), 6);
+    assert_eq!(plan.assignments.len(), 6);
 }
 
 /// It can't be on time, and half of the engines stay for calls that can.
@@ -225,8 +234,8 @@
 fn a_prompt_that_is_late_on_all_engines_takes_half_of_them() {
     let plan = plan_due(&idle(18), 900_000, Duration::ZERO).expect("all are free");
 
-    assert_eq!(plan.parts.len(), 9);
-    assert!(plan.reserve);
+    assert_eq!(plan.assignments.len(), 9);
+    assert!(plan.reserve_memory);
 }
 
 #[test]
@@ -242,9 +251,9 @@
     let small = small.expect("parts of 100 ms are borne by all engines");
     assert!(
         small
-            .parts
+            .assignments
             .iter()
-            .all(|part| part.read < Duration::from_millis(150))
+            .all(|part| part.prefill < Duration::from_millis(150))
     );
     assert_eq!(large, None, "parts of 280 ms would pause them");
 }
@@ -255,12 +264,12 @@
     for engine in &mut engines {
         engine.load.short = 8;
     }
-    let aims = Aims {
-        least_pause: MIDDLE,
-        ..aims(Duration::from_secs(3), PATIENT)
+    let targets = LatencyTargets {
+        strictest_pause: MIDDLE,
+        ..targets(Duration::from_secs(3), PATIENT)
     };
 
-    let plan = plan_with(&engines, 200_000, aims, 6);
+    let plan = plan_with(&engines, 200_000, targets, 6);
 
     assert!(plan.is_some());
 }
@@ -276,11 +285,11 @@
     let plan = plan(&engines, 100_000, MIDDLE).expect("there is room");
 
     assert!(
-        plan.parts
+        plan.assignments
             .iter()
-            .all(|part| part.read <= Duration::from_millis(155)),
+            .all(|part| part.prefill <= Duration::from_millis(155)),
         "{:?}",
-        plan.parts[0]
+        plan.assignments[0]
     );
 }
 
@@ -289,11 +298,11 @@
     let plan = plan(&idle(18), 45_000, MIDDLE).expect("there is room");
 
     assert!(!plan.long);
-    assert_eq!(plan.parts[0].engine, 0);
+    assert_eq!(plan.assignments[0].engine, 0);
     assert!(
-        plan.parts
+        plan.assignments
             .iter()
-            .all(|part| part.read <= Duration::from_millis(60))
+            .all(|part| part.prefill <= Duration::from_millis(60))
     );
     assert!(engines_of(&plan)[1..].iter().all(|&at| at >= 1));
 }
@@ -302,12 +311,12 @@
 fn a_prompt_larger_than_one_engine_sets_memory_aside_everywhere() {
     let plan = plan(&idle(18), 700_000, PATIENT).expect("all are free");
 
-    assert!(plan.reserve);
+    assert!(plan.reserve_memory);
     assert!(
-        plan.parts.len() <= MAX_HELPERS,
+        plan.assignments.len() <= MAX_HELPERS,
         "the one that leads is listed, too"
     );
-    let memory: u64 = plan.parts.iter().map(|part| part.memory).sum();
+    let memory: u64 = plan.assignments.iter().map(|part| part.memory).sum();
     assert!(memory >= prompt(700_000).memory());
 }
 
@@ -340,26 +349,26 @@
         let pause = [SHORT, MIDDLE, PATIENT, None][rng.random_range(0..4)];
         let prompt = prompt(tokens);
         let boxes = rng.random_range(1..400);
-        let aims = Aims {
+        let targets = LatencyTargets {
             due_in: Duration::from_millis(rng.random_range(0..5_000)),
             pause,
-            least_pause: [SHORT, MIDDLE, None][rng.random_range(0..3)],
-            late_part: None,
+            strictest_pause: [SHORT, MIDDLE, None][rng.random_range(0..3)],
+            late_chunk: None,
         };
-        let found = engine_plan::plan(&pool(&engines, boxes), &prompt, aims, &mut rng);
+        let found = engine_plan::plan(&pool(&engines, boxes), &prompt, targets, &mut rng);
         let Some(plan) = found else { continue };
 
         let mut used = engines_of(&plan);
-        let parts = used.len();
+        let assignments = used.len();
         used.sort_unstable();
         used.dedup();
-        assert_eq!(used.len(), parts, "seed {seed}: an engine twice");
+        assert_eq!(used.len(), assignments, "seed {seed}: an engine twice");
         assert!(used.iter().all(|&at| at < engines.len()), "seed {seed}");
         assert!(
-            parts <= MAX_HELPERS + 1 - usize::from(plan.reserve),
+            assignments <= MAX_HELPERS + 1 - usize::from(plan.reserve_memory),
             "seed {seed}"
         );
-        let memory: u64 = plan.parts.iter().map(|part| part.memory).sum();
+        let memory: u64 = plan.assignments.iter().map(|part| part.memory).sum();
         assert!(memory >= prompt.memory(), "seed {seed}: {memory}");
         let alone = used.iter().all(|&at| engines[at].load.long_reads == 0);
         assert!(
@@ -381,7 +390,7 @@
     let past = plan_due(&engines, 250_000, Duration::ZERO);
 
     let early = early.expect("seven engines read it in time");
-    assert!(early.parts.iter().all(|part| part.engine < 8));
+    assert!(early.assignments.iter().all(|part| part.engine < 8));
     assert!(early.expected < Duration::from_secs(2));
     assert_eq!(late, None);
     assert!(past.is_some(), "it can only be read late, on what is free");
@@ -434,7 +443,10 @@
 
     let plan = plan(&engines, 154_000, PATIENT).expect("some take it");
 
-    assert_eq!(engines[plan.parts[0].engine].standing, Standing::Limited);
+    assert_eq!(
+        engines[plan.assignments[0].engine].standing,
+        Standing::Limited
+    );
 }
 
 #[test]
@@ -449,25 +461,28 @@
 
     let without = plan(&engines, 5_000, SHORT).expect("there is room");
 
-    assert!([2, 3].contains(&with_room.parts[0].engine), "{with_room:?}");
-    assert_eq!(without.parts[0].engine, 1, "{without:?}");
+    assert!(
+        [2, 3].contains(&with_room.assignments[0].engine),
+        "{with_room:?}"
+    );
+    assert_eq!(without.assignments[0].engine, 1, "{without:?}");
 }
 
 #[test]
 fn a_large_prompt_that_is_late_is_read_by_few_engines_in_longer_parts() {
     let engines = idle(18);
     let part = Duration::from_millis(3_500);
-    let late = Aims {
-        late_part: Some(part),
-        ..aims(Duration::ZERO, PATIENT)
+    let late = LatencyTargets {
+        late_chunk: Some(part),
+        ..targets(Duration::ZERO, PATIENT)
     };
 
     let usual = plan_due(&engines, 300_000, Duration::ZERO).expect("engines are idle");
     let plan = plan_with(&engines, 300_000, late, 6).expect("engines are idle");
 
-    let read = MODEL.read(300_000);
-    let least = (read.as_secs_f64() / part.as_secs_f64()).ceil() as usize;
-    assert_eq!(plan.parts.len(), least);
-    assert!(plan.parts[0].read <= part);
-    assert!(usual.parts.len() > least);
+    let prefill = MODEL.prefill_time(300_000);
+    let least = (prefill.as_secs_f64() / part.as_secs_f64()).ceil() as usize;
+    assert_eq!(plan.assignments.len(), least);
+    assert!(plan.assignments[0].prefill <= part);
+    assert!(usual.assignments.len() > least);
 }
--- a/lib/tests/test_relay_engine_cell.rs
+++ b/lib/tests/test_relay_hall_planner.rs
@@ -4,13 +4,13 @@
 
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::engine_cell::Cells;
 use badgerferry_lib::relay::engine_load::EngineUse;
-use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
+use badgerferry_lib::relay::engine_plan::LatencyTargets;
+use badgerferry_lib::relay::hall_planner::HallPlanner;
 use badgerferry_lib::relay::standing::Standing;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
 fn idle() -> (Vec<EngineState>, Vec<usize>) {
     let state = |at| EngineState {
         load: EngineUse::default(),
-        near: at % HALLS == 0,
+        is_local: at % HALLS == 0,
         preference: at as u32,
         standing: Standing::Open,
     };
@@ -41,7 +41,7 @@
 }
 
 fn plan(engines: &[EngineState], halls: &[usize], tokens: u64) -> Option<EnginePlan> {
-    let cells = Cells {
+    let planner = HallPlanner {
         pool: EnginePool {
             model: &MODEL,
             engines,
@@ -56,13 +56,13 @@
     };
     let is_short = tokens < 25_000;
     let pause = Duration::from_millis(if is_short { 300 } else { 1_200 });
-    let aims = Aims {
+    let targets = LatencyTargets {
         due_in: Duration::from_millis(if is_short { 400 } else { 4_000 }),
         pause: Some(pause),
-        least_pause: Some(Duration::from_millis(300)),
-        late_part: None,
+        strictest_pause: Some(Duration::from_millis(300)),
+        late_chunk: None,
     };
-    cells.plan(&prompt, aims, &mut ChaCha8Rng::seed_from_u64(1))
+    planner.plan(&prompt, targets, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
 /// Makes a hall's engines read long prompts and write many short ones.
@@ -79,7 +79,11 @@
 }
 
 fn halls_of(plan: &EnginePlan, halls: &[usize]) -> Vec<usize> {
-    let mut used: Vec<usize> = plan.parts.iter().map(|part| halls[part.engine]).collect();
+    let mut used: Vec<usize> = plan
+        .assignments
+        .iter()
+        .map(|part| halls[part.engine])
+        .collect();
     used.sort_unstable();
     used.dedup();
     used
@@ -137,7 +141,7 @@
 
     let first_of_halls = 0..HALLS;
     assert!(
-        plan.parts
+        plan.assignments
             .iter()
             .all(|part| !first_of_halls.contains(&part.engine))
     );
@@ -155,7 +159,7 @@
 
     let plan = plan(&engines, &halls, 400_000).expect("twenty engines are free");
 
-    assert!(plan.reserve);
+    assert!(plan.reserve_memory);
     assert!(halls_of(&plan, &halls).len() > 1);
 }
 
--- a/lib/tests/test_relay_largest.rs
+++ b/lib/tests/test_relay_largest_prompts.rs
@@ -36,7 +36,7 @@
 }
 
 fn assert_none_starved(days: &[ServedShares]) {
-    let worst = days.iter().map(ServedShares::of_the_largest);
+    let worst = days.iter().map(ServedShares::lower_relative_share);
     let worst = worst.fold(f64::INFINITY, f64::min);
     assert!(worst >= 0.5, "{worst:.3}: {days:?}");
 }
@@ -47,7 +47,11 @@
 fn the_largest_prompts_are_served_more_than_half_as_often_as_all() {
     let days = served(&starved_150(), Scope::Hall, &[0, 1, 2, 3, 4, 5, 6, 7]);
 
-    let mean = days.iter().map(ServedShares::of_the_largest).sum::<f64>() / days.len() as f64;
+    let mean = days
+        .iter()
+        .map(ServedShares::lower_relative_share)
+        .sum::<f64>()
+        / days.len() as f64;
 
     assert!(mean > 0.55, "{mean:.3}: {days:?}");
 }
--- a/lib/tests/test_relay_route_table.rs
+++ b/lib/tests/test_relay_route_table.rs
@@ -18,7 +18,7 @@
         name: format!("route {prefix}"),
         host: "host.example".to_owned(),
         path_prefix: prefix.to_owned(),
-        kind: CallKind::Whole { repeatable: true },
+        kind: CallKind::Unary { repeatable: true },
         time_limit: Duration::from_secs(3),
         objective: Duration::from_millis(300),
         pause: None,
@@ -123,7 +123,7 @@
     urgent.pause = Some(Duration::from_millis(250));
     let index = index(vec![patient, urgent, route("/c/", &[("z", 1)])], &[]);
 
-    let least = |service: &str| index.least_pause(&ServiceName::new(service));
+    let least = |service: &str| index.strictest_pause(&ServiceName::new(service));
 
     assert_eq!(least("x"), Some(Duration::from_millis(250)));
     assert_eq!(least("y"), Some(Duration::from_secs(1)));
--- a/testutils/src/bin/emulate/relay.rs
+++ b/testutils/src/bin/emulate/relay.rs
@@ -141,8 +141,8 @@
 /// Share of the days that starve the largest prompts of a kind, and the worst and the median day.
 fn starved_days(name: &str, results: &[DayResult], kind: usize) -> Vec<(String, f64)> {
     let groups: [(&str, ServedRatio); 2] = [
-        ("largest tenth", ServedShares::tenth_of_all),
-        ("fifth beneath", ServedShares::beneath_of_all),
+        ("largest tenth", ServedShares::relative_largest_tenth),
+        ("fifth beneath", ServedShares::relative_fifth_beneath),
     ];
     let group = |(group, ratio): (&str, ServedRatio)| {
         let mut days: Vec<f64> = results.iter().map(|row| ratio(&row.served[kind])).collect();
--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -7,20 +7,20 @@
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::engine_cell::Cells;
 use badgerferry_lib::relay::engine_load::EngineKey;
 use badgerferry_lib::relay::engine_load::EngineLoads;
 use badgerferry_lib::relay::engine_load::EngineUse;
 use badgerferry_lib::relay::engine_load::WorkId;
 use badgerferry_lib::relay::engine_pace::EnginePaces;
 use badgerferry_lib::relay::engine_pace::SaidBy;
-use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
-use badgerferry_lib::relay::long_queue::LongQueue;
-use badgerferry_lib::relay::long_queue::QueueHead;
+use badgerferry_lib::relay::engine_plan::LatencyTargets;
+use badgerferry_lib::relay::hall_planner::HallPlanner;
+use badgerferry_lib::relay::long_prompt_queue::LongPromptQueue;
+use badgerferry_lib::relay::long_prompt_queue::QueueHead;
 use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::time::Time;
 use rand::Rng;
@@ -67,7 +67,7 @@
     pub(super) due: Time,
     pub(super) pause: Duration,
     /// Longest part, where it will be late all the same.
-    pub(super) late_part: Option<Duration>,
+    pub(super) late_chunk: Option<Duration>,
 }
 
 /// A plan, with engines by their place in the run's list.
@@ -93,7 +93,7 @@
     pub(super) name: String,
     pub(super) hall: usize,
     pub(super) loads: EngineLoads,
-    pub(super) queue: LongQueue,
+    pub(super) queue: LongPromptQueue,
     pub(super) paces: EnginePaces,
     pub(super) last_told: Time,
     pub(super) tells_at: Option<Time>,
@@ -107,7 +107,7 @@
     pub(super) scope: Scope,
     /// Boxes that choose among the same engines.
     pub(super) boxes: usize,
-    pub(super) least_pause: Option<Duration>,
+    pub(super) strictest_pause: Option<Duration>,
     pub(super) engines: EngineList,
 }
 
@@ -117,7 +117,7 @@
             name: format!("box-{at:04}"),
             hall,
             loads: EngineLoads::default(),
-            queue: LongQueue::default(),
+            queue: LongPromptQueue::default(),
             paces: EnginePaces::default(),
             last_told: Time::ZERO,
             tells_at: None,
@@ -144,7 +144,7 @@
         self.paces.told(now, SaidBy::OwnHall, &told.slow);
         let rows = told.rows.clone();
         if self.loads.take_table(now, from, 1, told.sequence, rows) {
-            self.queue.take_head(now, from, told.waits);
+            self.queue.record_box_head(now, from, told.waits);
         }
     }
 
@@ -153,7 +153,7 @@
         Told {
             sequence: now.as_micros() + 1,
             is_urgent: false,
-            waits: self.queue.head_of_hall(now),
+            waits: self.queue.hall_head(now),
             slow: self.paces.of_hall(now),
             rows: self.loads.hall_table(now, |_| true).into_iter().collect(),
         }
@@ -167,7 +167,7 @@
             .loads
             .take_hall_table(now, hall, 1, told.sequence, rows)
         {
-            self.queue.take_hall_head(now, hall, told.waits);
+            self.queue.record_hall_head(now, hall, told.waits);
         }
     }
 
@@ -185,7 +185,7 @@
         let rows = self.paces.without_slow(now, rows, |row| row.0);
         let state = |&(key, hall, _): &(EngineKey, usize, usize)| EngineState {
             load: table.get(&key).copied().unwrap_or_default(),
-            near: hall == self.hall,
+            is_local: hall == self.hall,
             preference: (key.0 ^ own).wrapping_mul(0x9E37_79B1),
             standing: Standing::Open,
         };
@@ -197,7 +197,7 @@
             hall => hall,
         };
         let halls: Vec<usize> = rows.iter().map(number).collect();
-        let cells = Cells {
+        let planner = HallPlanner {
             pool: EnginePool {
                 model: &rules.model,
                 engines: &states,
@@ -206,23 +206,27 @@
             halls: &halls,
             scope: rules.scope,
         };
-        let aims = Aims {
+        let targets = LatencyTargets {
             due_in: now.until(asked.due),
             pause: Some(asked.pause),
-            least_pause: rules.least_pause,
-            late_part: asked.late_part,
+            strictest_pause: rules.strictest_pause,
+            late_chunk: asked.late_chunk,
         };
-        let plan = cells.plan(&asked.prompt, aims, rng)?;
+        let plan = planner.plan(&asked.prompt, targets, rng)?;
         Some(Planned { plan, states, rows })
     }
 
     /// Enters a plan's work.
     pub(super) fn enter(&mut self, now: Time, planned: Planned) -> Placed {
         let Planned { plan, states, rows } = planned;
-        let entered = plan.parts.iter().zip(plan.works(&states));
+        let entered = plan.assignments.iter().zip(plan.works(&states));
         let works = entered.map(|(part, work)| self.loads.begin(now, rows[part.engine].0, work));
         let works = works.collect();
-        let engines = plan.parts.iter().map(|part| rows[part.engine].2).collect();
+        let engines = plan
+            .assignments
+            .iter()
+            .map(|part| rows[part.engine].2)
+            .collect();
         Placed {
             plan,
             engines,
--- a/testutils/src/relay_model/engine.rs
+++ b/testutils/src/relay_model/engine.rs
@@ -160,7 +160,7 @@
         let context: u64 = self.streams.iter().map(|stream| stream.context).sum();
         let steps = f64::from(self.model.steps_per_pass);
         let context_ms = context as f64 / 1e3 * self.context_ms_per_k * steps;
-        self.model.pass(self.streams.len() as u32) + Duration::from_secs_f64(context_ms / 1e3)
+        self.model.pass_time(self.streams.len() as u32) + Duration::from_secs_f64(context_ms / 1e3)
     }
 
     /// Lets streams that are ready in, and writes the first event of each.
--- a/testutils/src/relay_model/run.rs
+++ b/testutils/src/relay_model/run.rs
@@ -13,10 +13,10 @@
 use badgerferry_lib::relay::engine_pace;
 use badgerferry_lib::relay::engine_plan;
 use badgerferry_lib::relay::hall_reach::HEARTBEAT;
-use badgerferry_lib::relay::long_queue::LOOK_AGAIN;
-use badgerferry_lib::relay::long_queue::RESERVE_AGAIN;
-use badgerferry_lib::relay::long_queue::Ticket;
-use badgerferry_lib::relay::long_queue::Waiting;
+use badgerferry_lib::relay::long_prompt_queue::QUEUE_POLL_INTERVAL;
+use badgerferry_lib::relay::long_prompt_queue::QueuedPrompt;
+use badgerferry_lib::relay::long_prompt_queue::RESERVATION_RETRY_DELAY;
+use badgerferry_lib::relay::long_prompt_queue::Ticket;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::SeedableRng;
@@ -70,7 +70,7 @@
     prompt: Prompt,
     events: u32,
     ticket: Option<Ticket>,
-    given_up_at: Time,
+    expires_at: Time,
     started: Time,
     parts_left: usize,
     placed: Option<Placed>,
@@ -136,7 +136,7 @@
                 model: fleet.engine,
                 scope,
                 boxes: beside,
-                least_pause: scenario.least_pause(),
+                strictest_pause: scenario.strictest_pause(),
                 engines: EngineList::new(halls, fleet.engines_per_hall),
             },
             agenda: Agenda::default(),
@@ -208,7 +208,7 @@
             },
             events,
             ticket: None,
-            given_up_at: Time::FAR,
+            expires_at: Time::FAR,
             started: at,
             parts_left: 0,
             placed: None,
@@ -273,7 +273,7 @@
             prompt: call.prompt,
             due: call.at + Duration::from_millis(kind.aim_ms),
             pause: Duration::from_millis(kind.pause_ms),
-            late_part: None,
+            late_chunk: None,
         }
     }
 
@@ -295,20 +295,20 @@
     fn queue(&mut self, now: Time, id: CallId) {
         let asked = self.asked(id);
         let deadline = self.calls[id].at + Duration::from_millis(self.kind_of(id).deadline_ms);
-        let waiting = Waiting {
-            read: self.rules.model.read(asked.prompt.tokens),
+        let waiting = QueuedPrompt {
+            prefill: self.rules.model.prefill_time(asked.prompt.tokens),
             due: asked.due,
             objective: Duration::from_millis(self.kind_of(id).aim_ms),
-            lot: self.rng.random(),
+            random_rank: self.rng.random(),
             engines: self.engines.len(),
             arrived: self.calls[id].at,
             deadline,
         };
         let box_at = self.calls[id].box_at;
-        self.calls[id].given_up_at = waiting.given_up_at();
+        self.calls[id].expires_at = waiting.expires_at();
         self.calls[id].ticket = Some(self.boxes[box_at].queue.push(now, waiting));
         self.tells(now, box_at);
-        self.agenda.put(now + LOOK_AGAIN, Event::Looks(id));
+        self.agenda.put(now + QUEUE_POLL_INTERVAL, Event::Looks(id));
     }
 
     fn looks(&mut self, now: Time, id: CallId) {
@@ -317,7 +317,7 @@
             return self.queue(now, id);
         };
         let asked = Asked {
-            late_part: self.boxes[box_at].queue.late_part(now, ticket),
+            late_chunk: self.boxes[box_at].queue.late_chunk(now, ticket),
             ..self.asked(id)
         };
         let rules = &self.rules;
@@ -325,26 +325,27 @@
         let mut queue = std::mem::take(&mut of.queue);
         let rng = &mut self.rng;
         let plan = || of.plan(now, rules, &asked, rng);
-        let planned = queue.take_turn(now, ticket, &of.name, plan);
+        let planned = queue.try_start(now, ticket, &of.name, plan);
         of.queue = queue;
         let Some(planned) = planned else {
-            if now >= self.calls[id].given_up_at {
+            if now >= self.calls[id].expires_at {
                 of.queue.remove(ticket);
                 self.tells(now, box_at);
             } else {
-                self.agenda.put(now + LOOK_AGAIN, Event::Looks(id));
+                self.agenda.put(now + QUEUE_POLL_INTERVAL, Event::Looks(id));
             }
             return;
         };
         let placed = of.enter(now, planned);
         of.queue.remove(ticket);
         self.calls[id].ticket = None;
-        if placed.plan.reserve && !self.reserve(&placed) {
+        if placed.plan.reserve_memory && !self.reserve(&placed) {
             placed
                 .works
                 .iter()
                 .for_each(|&work| self.boxes[box_at].loads.end(work));
-            self.agenda.put(now + RESERVE_AGAIN, Event::Looks(id));
+            self.agenda
+                .put(now + RESERVATION_RETRY_DELAY, Event::Looks(id));
         } else {
             self.starts(now, id, placed);
         }
@@ -353,7 +354,7 @@
 
     /// Sets a plan's memory aside at all its engines, or at none.
     fn reserve(&mut self, placed: &Placed) -> bool {
-        let wanted = placed.engines.iter().zip(&placed.plan.parts);
+        let wanted = placed.engines.iter().zip(&placed.plan.assignments);
         for (got, (&engine, part)) in wanted.clone().enumerate() {
             if !self.engines[engine].reserve(part.memory) {
                 for (&engine, part) in wanted.take(got) {
@@ -383,13 +384,13 @@
     fn starts(&mut self, now: Time, id: CallId, placed: Placed) {
         self.calls[id].started = now;
         self.calls[id].parts_left = placed.engines.len();
-        for (&engine, part) in placed.engines.iter().zip(&placed.plan.parts) {
+        for (&engine, part) in placed.engines.iter().zip(&placed.plan.assignments) {
             let at = now + self.delay(id, engine);
-            self.agenda.put(at, Event::Reads(id, engine, part.read));
+            self.agenda.put(at, Event::Reads(id, engine, part.prefill));
         }
         let late_at = now + engine_pace::late_after(placed.plan.expected);
         self.agenda.put(late_at, Event::IsLate(id));
-        if !placed.plan.reserve {
+        if !placed.plan.reserve_memory {
             self.engines[placed.engines[0]].hold(self.calls[id].prompt.memory());
         }
         self.calls[id].placed = Some(placed);
@@ -430,7 +431,7 @@
         };
         let lead = placed.engines[0];
         let memory = call.prompt.memory();
-        let size = if placed.plan.reserve {
+        let size = if placed.plan.reserve_memory {
             // What was set aside is given back by orders of its own.
             StreamSize {
                 context: memory / placed.engines.len() as u64,
@@ -480,8 +481,8 @@
         let Some(placed) = self.calls[id].placed.as_ref() else {
             return;
         };
-        if placed.plan.reserve {
-            for (&engine, part) in placed.engines.iter().zip(&placed.plan.parts) {
+        if placed.plan.reserve_memory {
+            for (&engine, part) in placed.engines.iter().zip(&placed.plan.assignments) {
                 self.engines[engine].release(part.memory);
             }
         }
