--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -6,7 +6,7 @@
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::outcome::RefusalReason;
-use badgerferry_lib::relay::call::Prompt;
+use badgerferry_lib::relay::call::PromptSize;
 use badgerferry_lib::relay::engine_load::EngineKey;
 use badgerferry_lib::relay::engine_load::Work;
 use badgerferry_lib::relay::engine_load::WorkId;
@@ -227,7 +227,7 @@
     call: &Arc<Call>,
     tried: &[ServerName],
     model: &EngineModel,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     is_apart: bool,
 ) -> Result<Chosen, (RefusalReason, Duration)> {
     if !engine_plan::is_long(model, prompt, call.route.pause) {
@@ -280,10 +280,10 @@
         readers,
         part: plan.assignments.first().map(|part| part.prefill),
         rank: Some(call.priority.min(LAST_RANK)),
-        expected: plan.expected,
+        expected: plan.expected_first_event,
         waited,
         works,
-        late: Some(LateWatch::begin(call, reading, plan.expected)),
+        late: Some(LateWatch::begin(call, reading, plan.expected_first_event)),
         _reservations: reservations,
     }
 }
@@ -345,7 +345,7 @@
     call: &Call,
     tried: &[ServerName],
     model: &EngineModel,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     among: Among,
 ) -> Result<Planned, NotNow> {
     let relay = &call.relay;
@@ -446,7 +446,7 @@
     call: &Arc<Call>,
     tried: &[ServerName],
     model: &EngineModel,
-    prompt: &Prompt,
+    prompt: &PromptSize,
 ) -> Result<Started, (RefusalReason, Duration)> {
     let relay = &call.relay;
     let waiting = QueuedPrompt {
--- a/lib/src/relay/call.rs
+++ b/lib/src/relay/call.rs
@@ -35,14 +35,14 @@
 
 /// Size of a generation, as its caller states it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Prompt {
+pub struct PromptSize {
     /// Tokens of the prompt.
     pub tokens: u64,
     /// Most tokens of the answer.
     pub max_output: u64,
 }
 
-impl Prompt {
+impl PromptSize {
     /// Memory that the whole generation takes at an engine, in tokens.
     pub const fn memory(&self) -> u64 {
         self.tokens + self.max_output
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -14,7 +14,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::call::Prompt;
+use crate::relay::call::PromptSize;
 use crate::relay::engine_load::EngineUse;
 use crate::relay::engine_load::Work;
 use crate::relay::prefill_selector::Bearable;
@@ -166,7 +166,7 @@
     /// Whether the call counts as long.
     pub long: bool,
     /// Expected time to the first event.
-    pub expected: Duration,
+    pub expected_first_event: Duration,
 }
 
 impl EnginePlan {
@@ -190,7 +190,7 @@
 ///
 /// A stream that must not pause for long is written among the short ones, however long its
 /// prompt is: only its reading is spread over the other engines.
-pub fn is_long(model: &EngineModel, prompt: &Prompt, pause: Option<Duration>) -> bool {
+pub fn is_long(model: &EngineModel, prompt: &PromptSize, pause: Option<Duration>) -> bool {
     let bears_pauses = pause.is_none_or(|pause| pause >= LONG_PAUSE);
     bears_pauses && model.prefill_time(prompt.tokens) > LONG_READ
 }
@@ -211,7 +211,7 @@
 /// `None` if no engine can take it now, or too few are free to read it.
 pub fn plan(
     pool: &EnginePool<'_>,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     targets: LatencyTargets,
     rng: &mut impl Rng,
 ) -> Option<EnginePlan> {
@@ -223,7 +223,7 @@
 pub(crate) fn plan_with_short_engines(
     pool: &EnginePool<'_>,
     short_engines: usize,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     targets: LatencyTargets,
     rng: &mut impl Rng,
 ) -> Option<EnginePlan> {
@@ -277,7 +277,7 @@
 fn short_cost(
     model: &EngineModel,
     engine: &EngineState,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     is_short_engine: bool,
 ) -> Duration {
     let writers = engine.writers();
@@ -301,7 +301,7 @@
 fn plan_short(
     pool: &EnginePool<'_>,
     short_engines: usize,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     targets: LatencyTargets,
     rng: &mut impl Rng,
 ) -> EnginePlan {
@@ -357,7 +357,7 @@
         assignments: assignments.collect(),
         reserve_memory: false,
         long: false,
-        expected: slowest + share,
+        expected_first_event: slowest + share,
     }
 }
 
@@ -380,7 +380,7 @@
 fn plan_long(
     pool: &EnginePool<'_>,
     short_engines: usize,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     targets: LatencyTargets,
 ) -> Option<EnginePlan> {
     let EnginePool { model, engines, .. } = *pool;
@@ -451,7 +451,7 @@
         assignments: assignments.collect(),
         reserve_memory,
         long: true,
-        expected: before.unwrap_or_default() + share + model.pass_time(2),
+        expected_first_event: before.unwrap_or_default() + share + model.pass_time(2),
     }
 }
 
--- a/lib/src/relay/hall_planner.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -8,7 +8,7 @@
 
 use rand::Rng;
 
-use crate::relay::call::Prompt;
+use crate::relay::call::PromptSize;
 use crate::relay::cells::Scope;
 use crate::relay::engine_plan;
 use crate::relay::engine_plan::EnginePlan;
@@ -39,7 +39,7 @@
     /// `None` if no engine can take it now.
     pub fn plan(
         &self,
-        prompt: &Prompt,
+        prompt: &PromptSize,
         targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
@@ -50,15 +50,17 @@
             return self.plan_over_halls(prompt, targets, rng);
         }
         let home = self.plan_in(0, prompt, targets, rng);
-        let most = home.as_ref().map(|plan| plan.expected);
+        let most = home.as_ref().map(|plan| plan.expected_first_event);
         if most.is_some_and(|most| most <= targets.due_in.mul_f64(PATIENCE_AT_HOME)) {
             return home;
         }
         let others = 1..=self.halls.iter().copied().max().unwrap_or_default();
         let away = others
             .filter_map(|hall| self.plan_in(hall, prompt, targets, rng))
-            .min_by_key(|plan| plan.expected);
-        let gains = |away: &EnginePlan| most.is_none_or(|most| away.expected + LEAST_GAIN < most);
+            .min_by_key(|plan| plan.expected_first_event);
+        let gains = |away: &EnginePlan| {
+            most.is_none_or(|most| away.expected_first_event + LEAST_GAIN < most)
+        };
         away.filter(gains).or(home)
     }
 
@@ -66,7 +68,7 @@
     /// engines for short calls.
     fn plan_over_halls(
         &self,
-        prompt: &Prompt,
+        prompt: &PromptSize,
         targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
@@ -113,7 +115,7 @@
     fn plan_in(
         &self,
         hall: usize,
-        prompt: &Prompt,
+        prompt: &PromptSize,
         targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
--- a/lib/src/relay/prefill_selector.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::relay::call::Prompt;
+use crate::relay::call::PromptSize;
 use crate::relay::engine_plan::EngineModel;
 use crate::relay::engine_plan::EngineState;
 use crate::relay::standing::Standing;
@@ -52,7 +52,7 @@
     pub(crate) model: &'a EngineModel,
     /// All engines that may take work, in the order that all boxes share.
     pub(crate) engines: &'a [EngineState],
-    pub(crate) prompt: &'a Prompt,
+    pub(crate) prompt: &'a PromptSize,
     /// How many of the first engines are kept for short calls.
     pub(crate) short_engines: usize,
     /// Whether no engine holds the prompt alone, so that its memory is set aside everywhere.
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerferry_lib::relay::call::Prompt;
+use badgerferry_lib::relay::call::PromptSize;
 use badgerferry_lib::relay::engine_load::EngineUse;
 use badgerferry_lib::relay::engine_plan;
 use badgerferry_lib::relay::engine_plan::EngineModel;
@@ -42,8 +42,8 @@
         .collect()
 }
 
-const fn prompt(tokens: u64) -> Prompt {
-    Prompt {
+const fn prompt(tokens: u64) -> PromptSize {
+    PromptSize {
         tokens,
         max_output: 800,
     }
@@ -391,7 +391,7 @@
 
     let early = early.expect("seven engines read it in time");
     assert!(early.assignments.iter().all(|part| part.engine < 8));
-    assert!(early.expected < Duration::from_secs(2));
+    assert!(early.expected_first_event < Duration::from_secs(2));
     assert_eq!(late, None);
     assert!(past.is_some(), "it can only be read late, on what is free");
 }
--- a/lib/tests/test_relay_hall_planner.rs
+++ b/lib/tests/test_relay_hall_planner.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerferry_lib::relay::call::Prompt;
+use badgerferry_lib::relay::call::PromptSize;
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_load::EngineUse;
 use badgerferry_lib::relay::engine_plan::EngineModel;
@@ -50,7 +50,7 @@
         halls,
         scope: Scope::Hall,
     };
-    let prompt = Prompt {
+    let prompt = PromptSize {
         tokens,
         max_output: 800,
     };
@@ -109,7 +109,7 @@
 
     let used = halls_of(&plan, &halls);
     assert!(used.len() == 1 && ![0, 2].contains(&used[0]), "{used:?}");
-    assert!(plan.expected < Duration::from_millis(400));
+    assert!(plan.expected_first_event < Duration::from_millis(400));
 }
 
 #[test]
--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -5,7 +5,7 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
-use badgerferry_lib::relay::call::Prompt;
+use badgerferry_lib::relay::call::PromptSize;
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_load::EngineKey;
 use badgerferry_lib::relay::engine_load::EngineLoads;
@@ -63,7 +63,7 @@
 /// A call that a box places.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Asked {
-    pub(super) prompt: Prompt,
+    pub(super) prompt: PromptSize,
     pub(super) due: Time,
     pub(super) pause: Duration,
     /// Longest part, where it will be late all the same.
--- a/testutils/src/relay_model/run.rs
+++ b/testutils/src/relay_model/run.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::call::Prompt;
+use badgerferry_lib::relay::call::PromptSize;
 use badgerferry_lib::relay::cells::FAR_PAUSE;
 use badgerferry_lib::relay::cells::LEAST_FAR_PAUSE;
 use badgerferry_lib::relay::cells::PAUSE_PER_BOX;
@@ -67,7 +67,7 @@
     at: Time,
     box_at: usize,
     kind: usize,
-    prompt: Prompt,
+    prompt: PromptSize,
     events: u32,
     ticket: Option<Ticket>,
     expires_at: Time,
@@ -202,7 +202,7 @@
             at,
             box_at,
             kind,
-            prompt: Prompt {
+            prompt: PromptSize {
                 tokens,
                 max_output: u64::from(events) * u64::from(fleet.engine.steps_per_pass),
             },
@@ -388,7 +388,7 @@
             let at = now + self.delay(id, engine);
             self.agenda.put(at, Event::Reads(id, engine, part.prefill));
         }
-        let late_at = now + engine_pace::late_after(placed.plan.expected);
+        let late_at = now + engine_pace::late_after(placed.plan.expected_first_event);
         self.agenda.put(late_at, Event::IsLate(id));
         if !placed.plan.reserve_memory {
             self.engines[placed.engines[0]].hold(self.calls[id].prompt.memory());
@@ -566,7 +566,10 @@
             (Some(_), false) if is_whole => kind.late_worth * size,
             _ => 0.0,
         };
-        let expected = call.placed.as_ref().map(|placed| placed.plan.expected);
+        let expected = call
+            .placed
+            .as_ref()
+            .map(|placed| placed.plan.expected_first_event);
         CallOutcome {
             kind: call.kind,
             at_ms: call.at.as_micros() / 1_000,
