--- a/lib/src/relay/call.rs
+++ b/lib/src/relay/call.rs
@@ -1,25 +1,25 @@
-//! What a relayed call is, apart from its bytes.
+//! Properties of a relayed call, independent of its wire format.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How the answer comes, and whether the call may run more than once.
+/// Form of the answer, and whether the call may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallKind {
-    /// One whole answer.
+    /// A single response.
     Unary {
-        /// Whether a second run does no harm.
+        /// Whether the call is idempotent and may be retried.
         repeatable: bool,
     },
-    /// A stream of events whose ids rise.
+    /// A stream of events with increasing ids.
     Stream {
-        /// Whether another server may continue from the last event.
+        /// Whether another server can resume after the last received event.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether more than one run does no harm.
+    /// Whether the call is idempotent and may be retried.
     pub const fn is_repeatable(self) -> bool {
         match self {
             Self::Unary { repeatable } => repeatable,
@@ -27,23 +27,23 @@
         }
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is an event stream.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// Size of a generation, as its caller states it.
+/// Size of a generation, as stated by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSize {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub tokens: u64,
-    /// Most tokens of the answer.
+    /// Limit on output tokens.
     pub max_output: u64,
 }
 
 impl PromptSize {
-    /// Memory that the whole generation takes at an engine, in tokens.
+    /// Engine memory that the whole generation occupies at its limit, in tokens.
     pub const fn memory(&self) -> u64 {
         self.tokens + self.max_output
     }
--- a/lib/src/relay/hall_planner.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -1,8 +1,8 @@
-//! Whether a generation runs in the box's own hall or in another one.
+//! Chooses the hall in which a generation runs.
 //!
-//! What a box knows of its own hall's engines is fresh where halls are cells; what it knows of
-//! others is some tenths of a second old. So its own hall's engines are used while a call can be
-//! on time there, and one other hall's where they can't. Ways weighed: `docs/design/cells.md`.
+//! Where halls are cells, a box has fresh data about the engines of its own hall, while data about
+//! other halls is some tenths of a second old. A call therefore runs in the own hall if it can be
+//! on time there, and otherwise in one other hall. Alternatives: see `docs/design/cells.md`.
 
 use std::time::Duration;
 
@@ -16,27 +16,27 @@
 use crate::relay::engine_plan::EngineState;
 use crate::relay::engine_plan::LatencyTargets;
 
-/// Part of the time until its first event is due that a short call may be expected to take in
-/// its own hall; the estimate is exceeded about as often as it is not.
-const PATIENCE_AT_HOME: f64 = 0.5;
-/// How much earlier another hall must be expected to answer.
-const LEAST_GAIN: Duration = Duration::from_millis(50);
+/// Fraction of the time until its first event is due that a short call may be expected to take in
+/// its own hall. The rest is a margin: about half of all calls exceed their estimate.
+const LOCAL_DEADLINE_FRACTION: f64 = 0.5;
+/// Minimum expected gain in time to the first event for leaving the own hall.
+const MIN_REMOTE_GAIN: Duration = Duration::from_millis(50);
 
 /// The engines that a box may use, by hall.
 #[derive(Debug)]
 pub struct HallPlanner<'a> {
-    /// All engines that may take work.
+    /// All engines that accept work.
     pub pool: EnginePool<'a>,
-    /// The hall of each engine, as a number; 0 is this box's own.
+    /// Hall number of each engine; 0 is the hall of this box.
     pub halls: &'a [usize],
-    /// Whether the halls are cells, or all boxes know all engines alike.
+    /// Whether halls are cells, or all boxes share data about all engines.
     pub scope: Scope,
 }
 
 impl HallPlanner<'_> {
     /// Plans a call.
     ///
-    /// `None` if no engine can take it now.
+    /// Returns `None` if no engine can take the call now.
     pub fn plan(
         &self,
         prompt: &PromptSize,
@@ -47,69 +47,72 @@
             return engine_plan::plan(&self.pool, prompt, targets, rng);
         }
         if engine_plan::is_long(self.pool.model, prompt, targets.pause) {
-            return self.plan_over_halls(prompt, targets, rng);
+            return self.plan_across_halls(prompt, targets, rng);
         }
-        let home = self.plan_in(0, prompt, targets, rng);
-        let most = home.as_ref().map(|plan| plan.expected_first_event);
-        if most.is_some_and(|most| most <= targets.due_in.mul_f64(PATIENCE_AT_HOME)) {
-            return home;
+        let local = self.plan_in(0, prompt, targets, rng);
+        let local_time = local.as_ref().map(|plan| plan.expected_first_event);
+        if local_time.is_some_and(|time| time <= targets.due_in.mul_f64(LOCAL_DEADLINE_FRACTION)) {
+            return local;
         }
         let others = 1..=self.halls.iter().copied().max().unwrap_or_default();
-        let away = others
+        let remote = others
             .filter_map(|hall| self.plan_in(hall, prompt, targets, rng))
             .min_by_key(|plan| plan.expected_first_event);
-        let gains = |away: &EnginePlan| {
-            most.is_none_or(|most| away.expected_first_event + LEAST_GAIN < most)
+        let gains = |remote: &EnginePlan| {
+            local_time.is_none_or(|time| remote.expected_first_event + MIN_REMOTE_GAIN < time)
         };
-        away.filter(gains).or(home)
+        remote.filter(gains).or(local)
     }
 
-    /// A long prompt is read by engines of any hall, its own first. Each hall keeps its first
-    /// engines for short calls.
-    fn plan_over_halls(
+    /// Plans a long prompt over the engines of all halls, preferring the own hall. The first
+    /// engines of each hall stay reserved for short calls.
+    fn plan_across_halls(
         &self,
         prompt: &PromptSize,
         targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
         let halls = 0..=self.halls.iter().copied().max().unwrap_or_default();
-        let mut lanes: Vec<usize> = Vec::new();
+        let mut order: Vec<usize> = Vec::new();
         let mut others: Vec<usize> = Vec::new();
         for hall in halls {
-            let at: Vec<usize> = self.engines_of(hall);
-            let engines = self.states_of(&at);
+            let indices: Vec<usize> = self.engines_of(hall);
+            let engines = self.states_of(&indices);
             if !engines.is_empty() {
                 let short_engines = engine_plan::short_call_engines(self.pool.model, &engines);
-                lanes.extend(&at[..short_engines]);
-                others.extend(&at[short_engines..]);
+                order.extend(&indices[..short_engines]);
+                others.extend(&indices[short_engines..]);
             }
         }
-        let short_engines = lanes.len();
-        lanes.extend(others);
-        let own_first = |at: &usize| {
-            let engine = self.pool.engines[*at];
-            let far = u32::from(!engine.is_local) << 31;
+        let short_engines = order.len();
+        order.extend(others);
+        let prefer_local = |index: &usize| {
+            let engine = self.pool.engines[*index];
+            let remote_bit = u32::from(!engine.is_local) << 31;
             EngineState {
-                preference: engine.preference >> 1 | far,
+                preference: engine.preference >> 1 | remote_bit,
                 ..engine
             }
         };
-        let engines: Vec<EngineState> = lanes.iter().map(own_first).collect();
+        let engines: Vec<EngineState> = order.iter().map(prefer_local).collect();
         let pool = EnginePool {
             engines: &engines,
             ..self.pool
         };
         let plan = engine_plan::plan_with_short_engines(&pool, short_engines, prompt, targets, rng);
-        plan.map(|plan| placed_at(plan, &lanes))
+        plan.map(|plan| map_indices(plan, &order))
     }
 
     fn engines_of(&self, hall: usize) -> Vec<usize> {
         let all = 0..self.pool.engines.len();
-        all.filter(|&at| self.halls[at] == hall).collect()
+        all.filter(|&index| self.halls[index] == hall).collect()
     }
 
-    fn states_of(&self, at: &[usize]) -> Vec<EngineState> {
-        at.iter().map(|&at| self.pool.engines[at]).collect()
+    fn states_of(&self, indices: &[usize]) -> Vec<EngineState> {
+        indices
+            .iter()
+            .map(|&index| self.pool.engines[index])
+            .collect()
     }
 
     fn plan_in(
@@ -119,20 +122,20 @@
         targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
-        let at = self.engines_of(hall);
+        let indices = self.engines_of(hall);
         let pool = EnginePool {
-            engines: &self.states_of(&at),
+            engines: &self.states_of(&indices),
             ..self.pool
         };
         let plan = engine_plan::plan(&pool, prompt, targets, rng)?;
-        Some(placed_at(plan, &at))
+        Some(map_indices(plan, &indices))
     }
 }
 
-/// The same plan over engines that stand at other places of the list.
-fn placed_at(mut plan: EnginePlan, at: &[usize]) -> EnginePlan {
-    for part in &mut plan.assignments {
-        part.engine = at[part.engine];
+/// Translates the engine indices of a plan over a subset into indices of the full list.
+fn map_indices(mut plan: EnginePlan, indices: &[usize]) -> EnginePlan {
+    for assignment in &mut plan.assignments {
+        assignment.engine = indices[assignment.engine];
     }
     plan
 }
--- a/lib/src/relay/mod.rs
+++ b/lib/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Calls passed through as they are: which server, how often, and joined from what runs.
+//! Relaying of calls: server selection, retries and joining of resumed streams.
 //!
-//! A relayed call keeps its method, path, query and body; badgerferry decides where it goes,
-//! whether it may be tried again, and which answer the caller gets. The parts here know
-//! neither a platform nor a wire format: an adapter decodes both into these types.
+//! A relayed call keeps its method, path, query and body. badgerferry chooses the server,
+//! decides whether to retry and selects the answer that the caller receives. These modules
+//! are independent of the platform and of wire formats; adapters decode both into these types.
 
 pub mod attempts;
 pub mod call;
--- a/lib/src/relay/served_shares.rs
+++ b/lib/src/relay/served_shares.rs
@@ -1,56 +1,60 @@
-//! What share of prompts is served, by how large they are among their kind.
+//! Share of prompts served, by size within their kind.
 //!
-//! The mean over a kind hides who pays: the largest are few. So the largest tenth and the fifth
-//! beneath it are told by themselves, on time or late alike.
+//! The mean over a kind hides starvation of its largest prompts, since these are few. The largest
+//! tenth and the fifth below it are therefore reported separately. A prompt counts as served
+//! whether it was on time or late.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Part of a kind that counts as its largest.
-const LARGEST: f64 = 0.1;
-/// Part of a kind just beneath.
-const BENEATH: f64 = 0.2;
+/// Fraction of the prompts of a kind that form its largest group.
+const LARGEST_FRACTION: f64 = 0.1;
+/// Fraction of the prompts of a kind that form the group below.
+const BELOW_FRACTION: f64 = 0.2;
 
-/// Served shares of one kind of prompts.
+/// Shares of the prompts of one kind that were served, from 0 to 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServedShares {
-    /// How many there were.
+    /// Number of prompts.
     pub prompts: usize,
-    /// Served of all.
+    /// Share served of all prompts.
     pub all: f64,
-    /// Served of the largest tenth.
+    /// Share served of the largest tenth.
     pub largest_tenth: f64,
-    /// Served of the fifth beneath it.
+    /// Share served of the fifth below the largest tenth.
     pub fifth_beneath: f64,
 }
 
 impl ServedShares {
-    /// Adds up prompts by their tokens, and whether each was served.
+    /// Computes the shares from the token count of each prompt and whether it was served.
     pub fn of(prompts: &[(u64, bool)]) -> Self {
         let mut sorted = prompts.to_vec();
         sorted.sort_unstable();
-        let at = |part: f64| (sorted.len() as f64 * (1.0 - part)) as usize;
-        let (beneath, largest) = (at(LARGEST + BENEATH), at(LARGEST));
+        let start_of = |fraction: f64| (sorted.len() as f64 * (1.0 - fraction)) as usize;
+        let (below, largest) = (
+            start_of(LARGEST_FRACTION + BELOW_FRACTION),
+            start_of(LARGEST_FRACTION),
+        );
         Self {
             prompts: sorted.len(),
             all: served(&sorted),
             largest_tenth: served(&sorted[largest..]),
-            fifth_beneath: served(&sorted[beneath..largest]),
+            fifth_beneath: served(&sorted[below..largest]),
         }
     }
 
-    /// The lesser served share of the two largest groups, as a part of that of all.
+    /// Lower of the two groups' served shares, relative to the share of all prompts.
     pub const fn lower_relative_share(&self) -> f64 {
         self.relative_largest_tenth()
             .min(self.relative_fifth_beneath())
     }
 
-    /// Served share of the largest tenth, as a part of that of all.
+    /// Served share of the largest tenth, relative to the share of all prompts.
     pub const fn relative_largest_tenth(&self) -> f64 {
         self.largest_tenth / self.all.max(f64::MIN_POSITIVE)
     }
 
-    /// Served share of the fifth beneath the largest tenth, as a part of that of all.
+    /// Served share of the fifth below the largest tenth, relative to the share of all prompts.
     pub const fn relative_fifth_beneath(&self) -> f64 {
         self.fifth_beneath / self.all.max(f64::MIN_POSITIVE)
     }
