--- a/lib/src/relay/mod.rs
+++ b/lib/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Calls passed through as they are: which server, how often, and joined from what runs.
+//! Relaying of calls: server selection, retries and joining of resumed streams.
 //!
-//! A relayed call keeps its method, path, query and body; badgerferry decides where it goes,
-//! whether it may be tried again, and which answer the caller gets. The parts here know
-//! neither a platform nor a wire format: an adapter decodes both into these types.
+//! A relayed call keeps its method, path, query and body. badgerferry chooses the server,
+//! decides whether to retry and selects the answer that the caller receives. These modules
+//! are independent of the platform and of wire formats; adapters decode both into these types.
 
 pub mod attempts;
 pub mod availability;
@@ -10,23 +10,23 @@
 pub mod call_quota;
 pub mod call_rate;
 pub mod cells;
-pub mod engine_cell;
-pub(crate) mod engine_group;
 pub mod engine_load;
 pub mod engine_pace;
 pub mod engine_plan;
 pub mod engine_time;
 pub mod event_join;
+pub mod hall_planner;
 pub mod hall_reach;
 pub mod heard_boxes;
 pub mod leaving_servers;
 pub mod limit_summary;
 pub mod load_datagram;
-pub mod long_queue;
+pub mod long_prompt_queue;
 pub mod lost_calls;
 pub(crate) mod moment;
 pub mod parsed_header;
 pub mod permit_wire;
+pub(crate) mod prefill_selector;
 pub mod quarantine;
 pub mod quota_owner;
 pub mod retry_window;
--- a/lib/tests/test_relay_route_table.rs
+++ b/lib/tests/test_relay_route_table.rs
@@ -18,7 +18,7 @@
         name: format!("route {prefix}"),
         host: "host.example".to_owned(),
         path_prefix: prefix.to_owned(),
-        kind: CallKind::Whole { repeatable: true },
+        kind: CallKind::Unary { repeatable: true },
         time_limit: Duration::from_secs(3),
         objective: Duration::from_millis(300),
         max_gap: None,
