--- a/cli/src/commands/engines.rs
+++ b/cli/src/commands/engines.rs
@@ -3,11 +3,11 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use badgerferry_lib::relay::engine_time::EngineEstimate;
-use badgerferry_lib::relay::engine_time::EngineLine;
-use badgerferry_lib::relay::engine_time::EngineLog;
-use badgerferry_lib::relay::engine_time::EngineReport;
-use badgerferry_lib::relay::engine_time::EngineTime;
+use badgerferry_lib::relay::engine_utilization::EngineEstimate;
+use badgerferry_lib::relay::engine_utilization::EngineLine;
+use badgerferry_lib::relay::engine_utilization::EngineLog;
+use badgerferry_lib::relay::engine_utilization::EngineReport;
+use badgerferry_lib::relay::engine_utilization::EngineUtilization;
 use serde::Serialize;
 use serde_json::Value;
 
@@ -42,7 +42,7 @@
 #[derive(Serialize)]
 struct Summary<'a> {
     engines: usize,
-    while_waiting: Option<EngineTime>,
+    while_waiting: Option<EngineUtilization>,
     estimates: &'a [EngineEstimate],
     lines_skipped: u64,
 }
@@ -88,7 +88,7 @@
             let routed = serde_json::from_value(line.value.clone());
             EngineLine::Routed(routed.map_err(|_malformed| ())?)
         }
-        "stream begins" => EngineLine::Begins { call: call()? },
+        "stream begins" => EngineLine::FirstEvent { call: call()? },
         "call ended" => EngineLine::Ended { call: call()? },
         _ => return Ok(None),
     };
@@ -112,7 +112,8 @@
 
 fn text_of(report: &EngineReport, skipped: u64) -> String {
     let share = |part: f64| format!("{part:.2}");
-    let cells = |time: EngineTime| [time.reads, time.held, time.writes, time.unused].map(share);
+    let cells =
+        |time: EngineUtilization| [time.reads, time.held, time.writes, time.unused].map(share);
     let mut seconds = Table::new(&["SECOND", "READS", "HELD", "WRITES", "UNUSED", "WAITING"]);
     for row in &report.seconds {
         let mut line = vec![row.second.to_string()];
--- a/cli/src/engine_plot.rs
+++ b/cli/src/engine_plot.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 
 use anyhow::Context;
-use badgerferry_lib::relay::engine_time::EngineReport;
-use badgerferry_lib::relay::engine_time::EngineSecond;
+use badgerferry_lib::relay::engine_utilization::EngineReport;
+use badgerferry_lib::relay::engine_utilization::EngineSecond;
 use plotters::prelude::*;
 
 /// Size of the plot, in points.
--- a/daemon/src/relay/followed.rs
+++ b/daemon/src/relay/followed.rs
@@ -1,9 +1,9 @@
 //! What control knows of the platform's state and of the other boxes.
 
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::cells::Boxes;
-use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::heard_boxes::HeardBoxes;
+use badgerferry_lib::relay::gossip_topology::Boxes;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
+use badgerferry_lib::relay::peer_liveness::PeerLiveness;
 use badgerferry_lib::relay::quota_keeper::Keeper;
 use badgerferry_lib::relay::server_list::ServerList;
 use badgerferry_lib::time::Time;
@@ -16,7 +16,7 @@
     /// All boxes that are known, this one included.
     pub boxes: Boxes,
     /// Which other boxes are heard.
-    pub heard: HeardBoxes,
+    pub heard: PeerLiveness,
     /// When the store last answered this box.
     pub store_at: Option<Time>,
     /// When a neighbour last said that the store answers it.
@@ -40,8 +40,8 @@
     }
 
     /// Whom this box tells of its work, and whose engines it uses first.
-    pub fn scope(&self) -> Scope {
-        Scope::of(&self.boxes)
+    pub fn scope(&self) -> GossipScope {
+        GossipScope::of(&self.boxes)
     }
 
     /// Who gives out the calls of limited servers of a hall; `own` is this box.
--- a/daemon/src/relay/late_calls.rs
+++ b/daemon/src/relay/late_calls.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerferry_lib::relay::engine_pace;
-use badgerferry_lib::relay::engine_pace::ASK_JITTER;
-use badgerferry_lib::relay::engine_pace::ASK_PAUSE;
+use badgerferry_lib::relay::slow_engine_tracker;
+use badgerferry_lib::relay::slow_engine_tracker::QUERY_INTERVAL;
+use badgerferry_lib::relay::slow_engine_tracker::QUERY_JITTER;
 use badgerferry_platform::reports;
 use metrics::counter;
 use rand::Rng;
@@ -29,7 +29,7 @@
     /// Begins; the first event is expected after so long.
     pub fn begin(call: &Arc<Call>, engines: Vec<Engine>, expected: Duration) -> Self {
         let call = Arc::clone(call);
-        let late = engine_pace::late_after(expected);
+        let late = slow_engine_tracker::late_after(expected);
         let watch = async move {
             tokio::time::sleep(late).await;
             ask_engines(&call, engines);
@@ -55,7 +55,7 @@
     let mut paces = lock(&relay.paces);
     let asked = engines
         .into_iter()
-        .filter(|engine| paces.may_ask(now, engine.key));
+        .filter(|engine| paces.should_query(now, engine.key));
     let asked: Vec<Engine> = asked.collect();
     drop(paces);
     tracing::info!(
@@ -86,9 +86,9 @@
         }
         // The others are told at once.
         relay.urgent_changed.notify_one();
-        let jitter = rand::rng().random_range(0.0..ASK_JITTER);
-        tokio::time::sleep(ASK_PAUSE + ASK_PAUSE.mul_f64(jitter)).await;
-        if !lock(&relay.paces).may_ask_again(relay.clock.now(), key) {
+        let jitter = rand::rng().random_range(0.0..QUERY_JITTER);
+        tokio::time::sleep(QUERY_INTERVAL + QUERY_INTERVAL.mul_f64(jitter)).await;
+        if !lock(&relay.paces).should_query_again(relay.clock.now(), key) {
             return;
         }
     }
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -7,22 +7,22 @@
 
 use anyhow::Context;
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::cells;
-use badgerferry_lib::relay::cells::FAR_PAUSE;
-use badgerferry_lib::relay::cells::LEAST_FAR_PAUSE;
-use badgerferry_lib::relay::cells::PAUSE_PER_BOX;
-use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::cells::Speaker;
-use badgerferry_lib::relay::cells::WAITING_HEARTBEAT;
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_load::EngineUse;
-use badgerferry_lib::relay::engine_pace::SaidBy;
-use badgerferry_lib::relay::hall_reach::HEARTBEAT;
+use badgerferry_lib::relay::engine_load::EngineLoad;
+use badgerferry_lib::relay::gossip_topology;
+use badgerferry_lib::relay::gossip_topology::DelegateRole;
+use badgerferry_lib::relay::gossip_topology::GOSSIP_INTERVAL_PER_BOX;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
+use badgerferry_lib::relay::gossip_topology::MAX_HALL_GOSSIP_INTERVAL;
+use badgerferry_lib::relay::gossip_topology::MIN_HALL_GOSSIP_INTERVAL;
+use badgerferry_lib::relay::gossip_topology::QUEUED_PROMPT_HEARTBEAT;
+use badgerferry_lib::relay::hall_reachability::HEARTBEAT_INTERVAL;
 use badgerferry_lib::relay::load_datagram::LoadDatagram;
+use badgerferry_lib::relay::load_datagram::LoadSource;
 use badgerferry_lib::relay::load_datagram::MAX_DATAGRAM_BYTES;
-use badgerferry_lib::relay::load_datagram::Teller;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
 use badgerferry_lib::relay::quarantine::RunsOf;
+use badgerferry_lib::relay::slow_engine_tracker::ReportOrigin;
 use badgerferry_lib::relay::state_pull::FRAME_VERSION;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::settings_file::BoxSettings;
@@ -81,7 +81,7 @@
 
 async fn tell(relay: &Arc<Relay>, socket: &UdpSocket) {
     let mut sequence = 0;
-    let mut scope = Scope::Fleet;
+    let mut scope = GossipScope::Fleet;
     let mut is_urgent = false;
     loop {
         let now = relay.clock.now();
@@ -93,16 +93,21 @@
         let mut datagram = LoadDatagram {
             is_urgent,
             waits: lock(&relay.long_queue).head(now),
-            ..datagram(relay, now, sequence, Teller::Box, rows)
+            ..datagram(relay, now, sequence, LoadSource::Box, rows)
         };
         let waits = datagram.waits;
         let others = others(relay);
         send_to_all(socket, &mut datagram, &others).await;
         let heartbeat = match waits {
-            Some(_) => WAITING_HEARTBEAT,
-            None => HEARTBEAT,
+            Some(_) => QUEUED_PROMPT_HEARTBEAT,
+            None => HEARTBEAT_INTERVAL,
         };
-        is_urgent = wait_to_tell(relay, PAUSE_PER_BOX * others.len() as u32, heartbeat).await;
+        is_urgent = wait_to_tell(
+            relay,
+            GOSSIP_INTERVAL_PER_BOX * others.len() as u32,
+            heartbeat,
+        )
+        .await;
         if is_urgent {
             relay.hall_changed.notify_one();
         }
@@ -132,28 +137,28 @@
             turn += 1;
             let mut datagram = hall_datagram(relay, now, turn as u64);
             send_to_all(socket, &mut datagram, &receivers).await;
-            if speaker == Speaker::First {
-                tokio::time::sleep(LEAST_FAR_PAUSE).await;
-                let pause = FAR_PAUSE.saturating_sub(LEAST_FAR_PAUSE);
+            if speaker == DelegateRole::Primary {
+                tokio::time::sleep(MIN_HALL_GOSSIP_INTERVAL).await;
+                let pause = MAX_HALL_GOSSIP_INTERVAL.saturating_sub(MIN_HALL_GOSSIP_INTERVAL);
                 // Nothing changed in that time: what is known is told again.
                 let _ = timeout(pause, relay.hall_changed.notified()).await;
                 continue;
             }
         }
-        tokio::time::sleep(FAR_PAUSE).await;
+        tokio::time::sleep(MAX_HALL_GOSSIP_INTERVAL).await;
     }
 }
 
 /// Whether this box speaks for its hall, and to whom this time.
-fn far_receivers(relay: &Relay, now: Time, turn: usize) -> (Option<Speaker>, Vec<SocketAddr>) {
+fn far_receivers(relay: &Relay, now: Time, turn: usize) -> (Option<DelegateRole>, Vec<SocketAddr>) {
     let own = &relay.settings;
     let followed = lock(&relay.followed);
-    if followed.scope() == Scope::Fleet {
+    if followed.scope() == GossipScope::Fleet {
         return (None, Vec::new());
     }
     let lives = |name: &str| followed.heard.lives(now, name);
-    let speaker = cells::speaker(&followed.boxes, &own.name, &own.hall, lives);
-    let receivers = cells::receivers(&followed.boxes, &own.hall, turn).into_iter();
+    let speaker = gossip_topology::speaker(&followed.boxes, &own.name, &own.hall, lives);
+    let receivers = gossip_topology::receivers(&followed.boxes, &own.hall, turn).into_iter();
     let receivers = receivers.filter_map(|of| of.load.parse().ok());
     (speaker, receivers.collect())
 }
@@ -165,7 +170,7 @@
         let is_near = |name: &str| relay.is_near(&followed.boxes, name);
         lock(&relay.loads).hall_table(now, is_near)
     };
-    let teller = Teller::Hall {
+    let teller = LoadSource::Hall {
         hall: relay.settings.hall.clone(),
         passed_on: false,
     };
@@ -179,16 +184,16 @@
     relay: &Relay,
     now: Time,
     sequence: u64,
-    teller: Teller,
-    rows: HashMap<EngineKey, EngineUse>,
+    teller: LoadSource,
+    rows: HashMap<EngineKey, EngineLoad>,
 ) -> LoadDatagram {
     let (faults, departures) = {
         let mut book = lock(&relay.book);
         (book.faults(now), book.departures(now))
     };
     let (slow, runs_of) = match teller {
-        Teller::Box => (lock(&relay.paces).own(now), RunsOf::Box),
-        Teller::Hall { .. } => (lock(&relay.paces).of_hall(now), RunsOf::Hall),
+        LoadSource::Box => (lock(&relay.paces).own(now), RunsOf::Box),
+        LoadSource::Hall { .. } => (lock(&relay.paces).of_hall(now), RunsOf::Hall),
     };
     let suspects = lock(&relay.quarantine).rows(now, runs_of);
     let notices = lock(&relay.gate.notices).rows(now);
@@ -260,7 +265,7 @@
     }
 }
 
-fn log_scope(relay: &Relay, last: &mut Scope) {
+fn log_scope(relay: &Relay, last: &mut GossipScope) {
     let (scope, boxes) = {
         let followed = lock(&relay.followed);
         (followed.scope(), followed.boxes.len())
@@ -299,7 +304,7 @@
             Ok((len, _from)) => LoadDatagram::decode(&buf[..len]),
             Err(cause) => {
                 tracing::debug!(%cause, "no datagram could be taken");
-                tokio::time::sleep(PAUSE_PER_BOX).await;
+                tokio::time::sleep(GOSSIP_INTERVAL_PER_BOX).await;
                 continue;
             }
         };
@@ -358,7 +363,7 @@
 impl PassedOn {
     /// Whether a datagram is to be passed on now, which then counts as done.
     fn is_due(&mut self, relay: &Relay, now: Time, datagram: &LoadDatagram) -> bool {
-        let Teller::Hall { hall, passed_on } = &datagram.teller else {
+        let LoadSource::Hall { hall, passed_on } = &datagram.teller else {
             return false;
         };
         let last = self.last.get(hall);
@@ -375,15 +380,15 @@
 /// Whose word a datagram is.
 pub fn teller_name(datagram: &LoadDatagram) -> &str {
     match &datagram.teller {
-        Teller::Box => &datagram.from,
-        Teller::Hall { hall, .. } => hall.as_str(),
+        LoadSource::Box => &datagram.from,
+        LoadSource::Hall { hall, .. } => hall.as_str(),
     }
 }
 
 const fn is_passed_on(datagram: &LoadDatagram) -> bool {
     matches!(
         datagram.teller,
-        Teller::Hall {
+        LoadSource::Hall {
             passed_on: true,
             ..
         }
@@ -393,7 +398,7 @@
 /// Gives a datagram of another hall to the boxes of this one.
 async fn pass_on(relay: &Relay, socket: &UdpSocket, datagram: &LoadDatagram) {
     let mut datagram = datagram.clone();
-    if let Teller::Hall { passed_on, .. } = &mut datagram.teller {
+    if let LoadSource::Hall { passed_on, .. } = &mut datagram.teller {
         *passed_on = true;
     }
     send_to_all(socket, &mut datagram, &others(relay)).await;
@@ -403,9 +408,10 @@
     let (lifetime, sequence) = (datagram.lifetime, datagram.sequence);
     let from = &datagram.from;
     match &datagram.teller {
-        Teller::Box => {
+        LoadSource::Box => {
             let rows = std::mem::take(&mut datagram.rows);
-            let is_newer = lock(&relay.loads).take_table(now, from, lifetime, sequence, rows);
+            let is_newer =
+                lock(&relay.loads).update_peer_table(now, from, lifetime, sequence, rows);
             if is_newer {
                 lock(&relay.long_queue).take_head(now, from, datagram.waits);
             }
@@ -414,10 +420,10 @@
             }
         }
         // Its own hall's boxes are known by themselves.
-        Teller::Hall { hall, .. } if *hall == relay.settings.hall => {}
-        Teller::Hall { hall, .. } => {
+        LoadSource::Hall { hall, .. } if *hall == relay.settings.hall => {}
+        LoadSource::Hall { hall, .. } => {
             let rows = datagram.rows.clone();
-            if lock(&relay.loads).take_hall_table(now, hall, lifetime, sequence, rows) {
+            if lock(&relay.loads).update_hall_table(now, hall, lifetime, sequence, rows) {
                 lock(&relay.long_queue).take_hall_head(now, hall, datagram.waits);
             }
         }
@@ -442,9 +448,9 @@
     };
     let own = &relay.settings.hall;
     let said_by = if hall == *own {
-        SaidBy::OwnHall
+        ReportOrigin::OwnHall
     } else {
-        SaidBy::OtherHall
+        ReportOrigin::OtherHall
     };
     lock(&relay.paces).told(now, said_by, &datagram.slow);
     let mut book = lock(&relay.book);
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -13,9 +13,9 @@
 use badgerferry_lib::relay::state_pull::FRAME_VERSION;
 use badgerferry_lib::relay::state_pull::KnownState;
 use badgerferry_lib::relay::state_pull::MAX_FRAME_BYTES;
-use badgerferry_lib::relay::state_pull::PullAnswer;
 use badgerferry_lib::relay::state_pull::PullRequest;
-use badgerferry_lib::relay::state_pull::first_sources;
+use badgerferry_lib::relay::state_pull::PullResponse;
+use badgerferry_lib::relay::state_pull::bootstrap_sources;
 use metrics::counter;
 use rand::seq::IndexedRandom;
 use tokio::io::AsyncReadExt;
@@ -60,7 +60,7 @@
 }
 
 /// An answer of two frames: what is newer, and the route table if that is.
-type Answer = (PullAnswer, Option<RouteTable>);
+type Answer = (PullResponse, Option<RouteTable>);
 
 /// Whether this box lacks addresses of others, and has not asked for them just now.
 pub fn wants_boxes(relay: &Relay) -> bool {
@@ -128,7 +128,7 @@
     while relay.routes.load().is_none() {
         tokio::time::sleep(START_PULL).await;
         let settings = &relay.settings;
-        let all = first_sources(settings.pull, &settings.seeds, &lock(&relay.followed).boxes);
+        let all = bootstrap_sources(settings.pull, &settings.seeds, &lock(&relay.followed).boxes);
         let drawn = all.choose(&mut rand::rng()).copied();
         if let (None, Some(address)) = (relay.routes.load().as_ref(), drawn) {
             pull(relay, address, relay.known_state()).await;
@@ -208,7 +208,7 @@
     write_frame(&mut stream, &postcard::to_stdvec(request)?).await?;
     let bytes = read_frame(&mut stream).await?;
     anyhow::ensure!(!bytes.is_empty(), Busy);
-    let answer: PullAnswer = postcard::from_bytes(&bytes)?;
+    let answer: PullResponse = postcard::from_bytes(&bytes)?;
     let table = if answer.table_follows {
         let bytes = read_frame(&mut stream).await?;
         Some(postcard::from_bytes(&bytes)?)
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -11,12 +11,11 @@
 
 use arc_swap::ArcSwapOption;
 use badgerferry_lib::ids::ServerName;
-use badgerferry_lib::relay::cells;
-use badgerferry_lib::relay::cells::Boxes;
-use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_load::EngineLoads;
-use badgerferry_lib::relay::engine_pace::EnginePaces;
+use badgerferry_lib::relay::engine_load::EngineLoadTracker;
+use badgerferry_lib::relay::gossip_topology;
+use badgerferry_lib::relay::gossip_topology::Boxes;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::long_queue::LongQueue;
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::quarantine::Quarantine;
@@ -27,10 +26,11 @@
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_list::ServerList;
 use badgerferry_lib::relay::server_notices::NoticeRows;
+use badgerferry_lib::relay::slow_engine_tracker::SlowEngineTracker;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 use badgerferry_lib::relay::state_pull::KnownState;
-use badgerferry_lib::relay::state_pull::PullAnswer;
 use badgerferry_lib::relay::state_pull::PullRequest;
+use badgerferry_lib::relay::state_pull::PullResponse;
 use badgerferry_lib::relay::work_key::WorkKey;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::settings_file::BoxSettings;
@@ -87,9 +87,9 @@
     /// Servers and how they do.
     pub book: Arc<Mutex<ServerBook>>,
     /// Work at engines, of all boxes.
-    pub loads: Mutex<EngineLoads>,
+    pub loads: Mutex<EngineLoadTracker>,
     /// Engines that are slow.
-    pub paces: Mutex<EnginePaces>,
+    pub paces: Mutex<SlowEngineTracker>,
     /// Long prompts that wait for engines.
     pub long_queue: Mutex<LongQueue>,
     /// Retry budgets by service.
@@ -232,7 +232,8 @@
         let now = self.clock.now();
         let followed = lock(&self.followed);
         let own = &self.settings;
-        let before = cells::boxes_before(&followed.boxes, &own.hall, own.processor, &own.name);
+        let before =
+            gossip_topology::rank_in_hall(&followed.boxes, &own.hall, own.processor, &own.name);
         let hears = |at: Time| now.since(at) < NEIGHBOUR_SILENCE;
         before < FOLLOWERS_PER_HALL || !followed.neighbour_at.is_some_and(hears)
     }
@@ -252,7 +253,7 @@
     }
 
     /// Boxes that choose among the engines which this box uses first.
-    pub fn boxes_beside(&self, scope: Scope) -> usize {
+    pub fn boxes_beside(&self, scope: GossipScope) -> usize {
         let followed = lock(&self.followed);
         let own = &self.settings.hall;
         let beside = followed.boxes.values();
@@ -274,7 +275,7 @@
     }
 
     /// What another box lacks; see [`Self::table_for`].
-    pub fn newer_than(&self, request: &PullRequest) -> PullAnswer {
+    pub fn newer_than(&self, request: &PullRequest) -> PullResponse {
         let have = request.have;
         // Boxes that are up hear of them with the datagrams.
         let has_just_started = have.routes.is_none();
@@ -289,7 +290,7 @@
         } else {
             Vec::new()
         };
-        PullAnswer {
+        PullResponse {
             table_follows: self.version_in_force() > have.routes,
             servers: followed.servers.news_since(have.servers),
             hold_left: followed.servers.hold_left(self.clock.now()),
@@ -299,7 +300,7 @@
     }
 
     /// The route table in force as it follows an answer.
-    pub fn table_for(&self, answer: &PullAnswer) -> Option<Bytes> {
+    pub fn table_for(&self, answer: &PullResponse) -> Option<Bytes> {
         answer.table_follows.then(|| self.encoded_table()).flatten()
     }
 
--- a/daemon/src/relay/store_follow.rs
+++ b/daemon/src/relay/store_follow.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use badgerferry_lib::backoff::Backoff;
-use badgerferry_lib::relay::cells;
-use badgerferry_lib::relay::cells::Boxes;
+use badgerferry_lib::relay::gossip_topology;
+use badgerferry_lib::relay::gossip_topology::Boxes;
 use badgerferry_lib::relay::server_list::ServerEntries;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 use badgerferry_lib::relay::store_cursor::Ask;
@@ -199,7 +199,7 @@
         let abandoned = {
             let followed = lock(&self.relay.followed);
             let silent_for = |name: &str| followed.heard.silent_for(now, name);
-            cells::abandoned(&followed.boxes, &self.own, silent_for)
+            gossip_topology::abandoned(&followed.boxes, &self.own, silent_for)
         };
         for name in abandoned {
             if let Some(&at) = self.entries.get(&name) {
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -11,7 +11,7 @@
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::outcome::RefusalReason;
 use badgerferry_lib::relay::load_datagram::LoadDatagram;
-use badgerferry_lib::relay::load_datagram::Teller;
+use badgerferry_lib::relay::load_datagram::LoadSource;
 use badgerferry_lib::relay::quarantine::APART_FROM;
 use badgerferry_lib::relay::quarantine::Admission;
 use badgerferry_lib::relay::quarantine::Change;
@@ -274,8 +274,8 @@
 pub fn heard(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let (from, rows) = (teller_name(datagram), &datagram.suspects);
     let of = match datagram.teller {
-        Teller::Box => RunsOf::Box,
-        Teller::Hall { .. } => RunsOf::Hall,
+        LoadSource::Box => RunsOf::Box,
+        LoadSource::Hall { .. } => RunsOf::Hall,
     };
     let changes = lock(&relay.quarantine).take_rows(now, of, from, rows);
     relay.verdicts.notify_waiters();
@@ -328,7 +328,7 @@
         let mut store = Store::new(relay.settings.store, STORE_LIMIT);
         loop {
             let now = relay.clock.now();
-            let is_alone = !lock(&relay.followed).heard.hears_any(now);
+            let is_alone = !lock(&relay.followed).heard.has_live_peer(now);
             let facts = lock(&relay.quarantine).to_store(now, is_alone);
             if facts.is_empty() {
                 break;
--- a/lib/src/relay/engine_cell.rs
+++ b/lib/src/relay/engine_cell.rs
@@ -9,12 +9,12 @@
 use rand::Rng;
 
 use crate::relay::call::Prompt;
-use crate::relay::cells::Scope;
 use crate::relay::engine_plan;
 use crate::relay::engine_plan::Aims;
 use crate::relay::engine_plan::EnginePlan;
 use crate::relay::engine_plan::EnginePool;
 use crate::relay::engine_plan::EngineState;
+use crate::relay::gossip_topology::GossipScope;
 
 /// Part of the time until its first event is due that a short call may be expected to take in
 /// its own hall; the estimate is exceeded about as often as it is not.
@@ -30,7 +30,7 @@
     /// The hall of each engine, as a number; 0 is this box's own.
     pub halls: &'a [usize],
     /// Whether the halls are cells, or all boxes know all engines alike.
-    pub scope: Scope,
+    pub scope: GossipScope,
 }
 
 impl Cells<'_> {
@@ -38,7 +38,7 @@
     ///
     /// `None` if no engine can take it now.
     pub fn plan(&self, prompt: &Prompt, aims: Aims, rng: &mut impl Rng) -> Option<EnginePlan> {
-        if self.scope == Scope::Fleet {
+        if self.scope == GossipScope::Fleet {
             return engine_plan::plan(&self.pool, prompt, aims, rng);
         }
         if engine_plan::is_long(self.pool.model, prompt, aims.pause) {
--- a/lib/src/relay/engine_group.rs
+++ b/lib/src/relay/engine_group.rs
@@ -73,7 +73,7 @@
     fn bears(&self, at: usize) -> Duration {
         let load = &self.engines[at].load;
         match (load.short, load.long) {
-            _ if load.long_reads > 0 => Duration::ZERO,
+            _ if load.long_prefills > 0 => Duration::ZERO,
             _ if at < self.lane => self.bearable.beside_short,
             (0, 0) if self.is_huge => Duration::MAX,
             (0, 0) => self.longest_alone,
--- a/lib/src/relay/engine_load.rs
+++ b/lib/src/relay/engine_load.rs
@@ -19,7 +19,7 @@
 use crate::time::Time;
 
 /// A box's table counts this long; three of the longest intervals between two of them.
-pub const TABLE_LIFETIME: Duration = Duration::from_millis(1_500);
+pub const TABLE_TTL: Duration = Duration::from_millis(1_500);
 /// Reading whose end was not seen counts until it is late by this many times its length, and a
 /// bit more: parts that wait behind others take several times as long, and no caller waits
 /// beyond.
@@ -42,38 +42,38 @@
 
 /// Work at one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineUse {
+pub struct EngineLoad {
     /// Reading still to do, in milliseconds of that engine alone.
-    pub reading_ms: u32,
+    pub prefill_ms: u32,
     /// Long prompts of which it reads a part, until the first event shows that all parts are
     /// over: an engine reads the part that came last first, so a second one would hold up both
     /// that part and all others of the first prompt.
-    pub long_reads: u16,
+    pub long_prefills: u16,
     /// Short calls there, whether they read, wait or write.
     pub short: u16,
     /// Long calls that are led there.
     pub long: u16,
     /// Memory of the calls that are led there, in kilotokens.
-    pub memory_k: u32,
+    pub memory_kilotokens: u32,
 }
 
-impl EngineUse {
+impl EngineLoad {
     /// Adds another box's work.
     pub const fn add(&mut self, other: Self) {
-        self.reading_ms += other.reading_ms;
-        self.long_reads += other.long_reads;
+        self.prefill_ms += other.prefill_ms;
+        self.long_prefills += other.long_prefills;
         self.short += other.short;
         self.long += other.long;
-        self.memory_k += other.memory_k;
+        self.memory_kilotokens += other.memory_kilotokens;
     }
 
     /// Whether there is any.
     pub const fn is_none(&self) -> bool {
-        self.reading_ms == 0
-            && self.long_reads == 0
+        self.prefill_ms == 0
+            && self.long_prefills == 0
             && self.short == 0
             && self.long == 0
-            && self.memory_k == 0
+            && self.memory_kilotokens == 0
     }
 }
 
@@ -112,12 +112,12 @@
     sequence: u64,
     lifetime: u64,
     taken: Time,
-    rows: Vec<(EngineKey, EngineUse)>,
+    rows: Vec<(EngineKey, EngineLoad)>,
 }
 
 /// All work that this box knows of.
 #[derive(Debug, Default)]
-pub struct EngineLoads {
+pub struct EngineLoadTracker {
     next: u64,
     own: HashMap<WorkId, Entry>,
     peers: HashMap<String, PeerTable>,
@@ -135,11 +135,11 @@
     }
 
     fn lives(&self, now: Time) -> bool {
-        now.since(self.taken) < TABLE_LIFETIME
+        now.since(self.taken) < TABLE_TTL
     }
 
     /// Adds its work as it is by now.
-    fn add_to(&self, now: Time, table: &mut HashMap<EngineKey, EngineUse>) {
+    fn add_to(&self, now: Time, table: &mut HashMap<EngineKey, EngineLoad>) {
         for &(engine, row) in &self.rows {
             let row = row.after(now.since(self.taken));
             table.entry(engine).or_default().add(row);
@@ -147,7 +147,7 @@
     }
 }
 
-impl EngineLoads {
+impl EngineLoadTracker {
     /// Records own work sent to an engine.
     pub fn begin(&mut self, now: Time, engine: EngineKey, work: Work) -> WorkId {
         let id = WorkId(self.next);
@@ -177,13 +177,13 @@
     }
 
     /// Takes another box's table; false if it is older than the last, and ignored.
-    pub fn take_table(
+    pub fn update_peer_table(
         &mut self,
         now: Time,
         from: &str,
         lifetime: u64,
         sequence: u64,
-        rows: Vec<(EngineKey, EngineUse)>,
+        rows: Vec<(EngineKey, EngineLoad)>,
     ) -> bool {
         let table = PeerTable {
             sequence,
@@ -196,13 +196,13 @@
 
     /// Takes the table of all boxes of another hall, whichever box speaks for it; false if it is
     /// older than the last of the same box, and ignored.
-    pub fn take_hall_table(
+    pub fn update_hall_table(
         &mut self,
         now: Time,
         hall: &HallName,
         lifetime: u64,
         sequence: u64,
-        rows: Vec<(EngineKey, EngineUse)>,
+        rows: Vec<(EngineKey, EngineLoad)>,
     ) -> bool {
         let table = PeerTable {
             sequence,
@@ -214,8 +214,8 @@
     }
 
     /// Own work by engine, for the other boxes.
-    pub fn own_table(&self, now: Time) -> HashMap<EngineKey, EngineUse> {
-        let mut table: HashMap<EngineKey, EngineUse> = HashMap::new();
+    pub fn own_table(&self, now: Time) -> HashMap<EngineKey, EngineLoad> {
+        let mut table: HashMap<EngineKey, EngineLoad> = HashMap::new();
         for entry in self.own.values() {
             let row = table.entry(entry.engine).or_default();
             row.add(entry.use_at(now));
@@ -225,7 +225,7 @@
     }
 
     /// All work by engine.
-    pub fn table(&self, now: Time) -> HashMap<EngineKey, EngineUse> {
+    pub fn table(&self, now: Time) -> HashMap<EngineKey, EngineLoad> {
         let mut table = self.own_table(now);
         let peers = self.peers.values().chain(self.halls.values());
         for peer in peers.filter(|peer| peer.lives(now)) {
@@ -239,7 +239,7 @@
         &self,
         now: Time,
         is_near: impl Fn(&str) -> bool,
-    ) -> HashMap<EngineKey, EngineUse> {
+    ) -> HashMap<EngineKey, EngineLoad> {
         let mut table = self.own_table(now);
         for (name, peer) in &self.peers {
             if peer.lives(now) && is_near(name) {
@@ -251,11 +251,11 @@
     }
 }
 
-impl EngineUse {
+impl EngineLoad {
     /// The same work a while later: reading goes on meanwhile.
     const fn after(self, passed: Duration) -> Self {
         Self {
-            reading_ms: self.reading_ms.saturating_sub(passed.as_millis() as u32),
+            prefill_ms: self.prefill_ms.saturating_sub(passed.as_millis() as u32),
             ..self
         }
     }
@@ -276,7 +276,7 @@
         left.min(self.work.read)
     }
 
-    fn use_at(&self, now: Time) -> EngineUse {
+    fn use_at(&self, now: Time) -> EngineLoad {
         let reads = self.reading && now < self.forgotten;
         let left = if reads {
             self.reading_left(now)
@@ -284,12 +284,12 @@
             Duration::ZERO
         };
         let leads = self.work.leads;
-        EngineUse {
-            reading_ms: left.as_millis() as u32,
-            long_reads: u16::from(reads && self.work.long),
+        EngineLoad {
+            prefill_ms: left.as_millis() as u32,
+            long_prefills: u16::from(reads && self.work.long),
             short: u16::from(leads && !self.work.long),
             long: u16::from(leads && self.work.long),
-            memory_k: (self.work.memory / 1_000) as u32,
+            memory_kilotokens: (self.work.memory / 1_000) as u32,
         }
     }
 }
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -19,7 +19,7 @@
 use crate::relay::engine_group::EngineGroup;
 use crate::relay::engine_group::LONG_PAUSE;
 use crate::relay::engine_group::LONGEST_PART_ALONE;
-use crate::relay::engine_load::EngineUse;
+use crate::relay::engine_load::EngineLoad;
 use crate::relay::engine_load::Work;
 use crate::relay::standing::Standing;
 
@@ -109,7 +109,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineState {
     /// Work there, of all boxes.
-    pub load: EngineUse,
+    pub load: EngineLoad,
     /// Whether it stands in this box's data hall.
     pub near: bool,
     /// Rank in this box's own order, so that boxes which choose at once choose apart.
@@ -173,7 +173,7 @@
     /// The work at each part's engine, for the load table; `engines` are those of the plan.
     pub fn works(&self, engines: &[EngineState]) -> Vec<Work> {
         let work = |(at, part): (usize, &Part)| {
-            let ahead = Duration::from_millis(engines[part.engine].load.reading_ms.into());
+            let ahead = Duration::from_millis(engines[part.engine].load.prefill_ms.into());
             Work {
                 read: part.read,
                 delay: ahead + part.delay,
@@ -238,8 +238,8 @@
 }
 
 fn reading_ahead(engine: &EngineState) -> Duration {
-    let reading = Duration::from_millis(u64::from(engine.load.reading_ms));
-    let least = match engine.load.long_reads {
+    let reading = Duration::from_millis(u64::from(engine.load.prefill_ms));
+    let least = match engine.load.long_prefills {
         0 => Duration::ZERO,
         _ => LATE_PART,
     };
@@ -268,7 +268,7 @@
     /// Tokens that it has room for.
     pub(crate) fn free_memory(&self, model: &EngineModel) -> u64 {
         let usable = (model.memory as f64 * USABLE_MEMORY) as u64;
-        usable.saturating_sub(u64::from(self.load.memory_k) * 1_000)
+        usable.saturating_sub(u64::from(self.load.memory_kilotokens) * 1_000)
     }
 }
 
--- a/lib/src/relay/engine_time.rs
+++ b/lib/src/relay/engine_utilization.rs
@@ -45,7 +45,7 @@
     /// A call was sent.
     Routed(RoutedLine),
     /// Its first event came.
-    Begins {
+    FirstEvent {
         /// The call's id.
         call: String,
     },
@@ -113,7 +113,7 @@
 
 /// Shares of the engines' time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct EngineTime {
+pub struct EngineUtilization {
     /// Reading.
     pub reads: f64,
     /// Read its part, but the first event of that prompt is not here.
@@ -129,7 +129,7 @@
     (value * 1e3).round() / 1e3
 }
 
-impl EngineTime {
+impl EngineUtilization {
     fn scaled(self, by: f64) -> Self {
         Self {
             reads: rounded(self.reads * by),
@@ -157,7 +157,7 @@
     pub second: u64,
     /// What the engines did.
     #[serde(flatten)]
-    pub time: EngineTime,
+    pub time: EngineUtilization,
     /// Prompts that waited, in the mean.
     pub waiting: f64,
 }
@@ -181,7 +181,7 @@
     /// By second.
     pub seconds: Vec<EngineSecond>,
     /// Over the moments at which prompts waited; none if they never did.
-    pub while_waiting: Option<EngineTime>,
+    pub while_waiting: Option<EngineUtilization>,
     /// Engines, those that are furthest over their estimates first.
     pub estimates: Vec<EngineEstimate>,
 }
@@ -199,7 +199,7 @@
     pub fn take(&mut self, at: u64, line: EngineLine) {
         match line {
             EngineLine::Routed(line) => self.routed(at, line),
-            EngineLine::Begins { call } => {
+            EngineLine::FirstEvent { call } => {
                 if let Some(run) = self.last_run(&call) {
                     run.first_event.get_or_insert(at);
                 }
@@ -261,7 +261,10 @@
         }
     }
 
-    fn seconds(&self, numbers: &HashMap<&str, usize>) -> (Vec<EngineSecond>, Option<EngineTime>) {
+    fn seconds(
+        &self,
+        numbers: &HashMap<&str, usize>,
+    ) -> (Vec<EngineSecond>, Option<EngineUtilization>) {
         let begins = self
             .runs
             .iter()
@@ -275,7 +278,7 @@
             .map(|run| run.ended.unwrap_or(run.held_until()));
         let until = ends.max().unwrap_or(from);
         let mut seconds: BTreeMap<u64, EngineSecond> = BTreeMap::new();
-        let mut while_waiting = EngineTime::default();
+        let mut while_waiting = EngineUtilization::default();
         let mut waiting_steps = 0_u64;
         let mut doing = vec![Doing::Unused; numbers.len()];
         for at in (from..=until).step_by(STEP_MS as usize) {
--- a/lib/src/relay/cells.rs
+++ b/lib/src/relay/gossip_topology.rs
@@ -19,45 +19,45 @@
 /// Shortest time between two datagrams, for each box told: bounds what all boxes spend. What
 /// long prompts do is told at once all the same: it is rare, and boxes that don't know of it
 /// send theirs to the same engines.
-pub const PAUSE_PER_BOX: Duration = Duration::from_millis(1);
+pub const GOSSIP_INTERVAL_PER_BOX: Duration = Duration::from_millis(1);
 /// Longest time between two datagrams while a long prompt waits, to which other boxes give way.
-pub const WAITING_HEARTBEAT: Duration = Duration::from_millis(150);
+pub const QUEUED_PROMPT_HEARTBEAT: Duration = Duration::from_millis(150);
 /// Longest time between two datagrams that tell other halls the work of this one.
-pub const FAR_PAUSE: Duration = Duration::from_millis(200);
+pub const MAX_HALL_GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 /// Shortest time between two of them. Two halls that don't see each other's long prompts send them
 /// to the same engines.
-pub const LEAST_FAR_PAUSE: Duration = Duration::from_millis(20);
+pub const MIN_HALL_GOSSIP_INTERVAL: Duration = Duration::from_millis(20);
 /// Age up to which what all boxes tell each other is fresh: it grows by the pause with each box that
 /// is told. Beyond it, the sums that halls tell each other are newer.
-const MOST_AGE_IN_MESH: Duration = LEAST_FAR_PAUSE;
+const MAX_MESH_STALENESS: Duration = MIN_HALL_GOSSIP_INTERVAL;
 /// Boxes of another hall that are told in turn: each passes on what it hears to its whole hall, so
 /// they share that work, and all but one may be dead before the hall hears nothing.
-const RECEIVERS: usize = 4;
+const RECEIVERS_PER_HALL: usize = 4;
 
 /// How long a box is silent before its entry is removed: a machine that is only frozen, cut off or
 /// away for repair comes back before, and until then costs its neighbours a datagram now and then.
-const ABANDONED: Duration = Duration::from_mins(10);
+const BOX_EXPIRY: Duration = Duration::from_mins(10);
 
 /// Boxes, by name.
 pub type Boxes = BTreeMap<String, BoxAddresses>;
 
 /// Whom a box tells of its work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum GossipScope {
     /// All boxes.
     Fleet,
     /// Those of its own hall.
     Hall,
 }
 
-impl Scope {
+impl GossipScope {
     /// Follows from the boxes that are known, this one included.
     pub fn of(boxes: &Boxes) -> Self {
         let mut halls = boxes.values().map(|of| &of.hall);
         let first = halls.next();
         let has_more_halls = halls.any(|hall| Some(hall) != first);
-        let age_in_mesh = PAUSE_PER_BOX * boxes.len().saturating_sub(1) as u32;
-        if age_in_mesh > MOST_AGE_IN_MESH && has_more_halls {
+        let age_in_mesh = GOSSIP_INTERVAL_PER_BOX * boxes.len().saturating_sub(1) as u32;
+        if age_in_mesh > MAX_MESH_STALENESS && has_more_halls {
             Self::Hall
         } else {
             Self::Fleet
@@ -78,7 +78,7 @@
 }
 
 /// How many boxes of its hall rank before a box, whether it is known itself or not yet.
-pub fn boxes_before(boxes: &Boxes, hall: &HallName, processor: u16, name: &str) -> usize {
+pub fn rank_in_hall(boxes: &Boxes, hall: &HallName, processor: u16, name: &str) -> usize {
     let own = (Reverse(processor), name);
     let ranked = ranked(boxes, hall.as_str());
     let before = |of: &&&BoxAddresses| (Reverse(of.processor), of.name.as_str()) < own;
@@ -87,11 +87,11 @@
 
 /// How a box speaks for its hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Speaker {
+pub enum DelegateRole {
     /// It tells the other halls what changes, at once.
-    First,
+    Primary,
     /// It tells them now and then, in case the first one has died unseen.
-    Second,
+    Backup,
 }
 
 /// Whether and how a box speaks for its hall, as far as it knows who else lives there.
@@ -100,20 +100,20 @@
     own: &str,
     hall: &HallName,
     lives: impl Fn(&str) -> bool,
-) -> Option<Speaker> {
+) -> Option<DelegateRole> {
     let ranked = ranked(boxes, hall.as_str());
     let mut living = ranked
         .into_iter()
         .filter(|of| of.name == own || lives(&of.name));
     match living.position(|of| of.name == own)? {
-        0 => Some(Speaker::First),
-        1 => Some(Speaker::Second),
+        0 => Some(DelegateRole::Primary),
+        1 => Some(DelegateRole::Backup),
         _ => None,
     }
 }
 
 /// The first living box of a hall, or of the next one in which any lives, in an order of its own for each.
-pub fn first_living<'a>(
+pub fn first_live_box<'a>(
     boxes: &'a Boxes,
     own: &str,
     hall: &HallName,
@@ -141,7 +141,7 @@
     own: &BoxAddresses,
     silent_for: impl Fn(&str) -> Duration,
 ) -> Vec<String> {
-    let is_silent = |of: &&BoxAddresses| silent_for(&of.name) >= ABANDONED;
+    let is_silent = |of: &&BoxAddresses| silent_for(&of.name) >= BOX_EXPIRY;
     let others = ranked(boxes, &own.hall).into_iter();
     let others = others.filter(|of| of.name != own.name);
     let (silent, living): (Vec<_>, Vec<_>) = others.partition(is_silent);
@@ -163,7 +163,7 @@
     others
         .filter_map(|hall| {
             let mut ranked = ranked(boxes, hall);
-            ranked.truncate(RECEIVERS);
+            ranked.truncate(RECEIVERS_PER_HALL);
             ranked.get(turn % ranked.len().max(1)).copied()
         })
         .collect()
--- a/lib/src/relay/hall_reach.rs
+++ b/lib/src/relay/hall_reachability.rs
@@ -12,7 +12,7 @@
 use crate::time::Time;
 
 /// Longest time between two datagrams of one box.
-pub const HEARTBEAT: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Silence that is borne whatever the number of boxes: datagrams are lost or late now and then.
 const SILENCE: Duration = Duration::from_millis(250);
 /// A box counts as one that would be heard if it was heard this long before the last one.
@@ -37,7 +37,7 @@
 
 /// A hall that fell silent, or is heard again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReachChange {
+pub struct HallReachabilityChange {
     /// The hall.
     pub hall: HallName,
     /// Whether it is silent now.
@@ -53,7 +53,7 @@
     fn patience(&self) -> Duration {
         let lives = |heard: &&Time| self.heard.since(**heard) < LIVES;
         let boxes = self.boxes.values().filter(lives).count();
-        SILENCE + HEARTBEAT * 2 / boxes.max(1) as u32
+        SILENCE + HEARTBEAT_INTERVAL * 2 / boxes.max(1) as u32
     }
 
     fn is_silent(&self, now: Time) -> bool {
@@ -66,15 +66,15 @@
 
 /// What is heard from each hall.
 #[derive(Debug, Default)]
-pub struct HallReach {
+pub struct HallReachability {
     halls: HashMap<HallName, Reach>,
     /// When another box of this box's own hall was last heard; that hall is never cut off.
     near: Option<Time>,
 }
 
-impl HallReach {
+impl HallReachability {
     /// Records a datagram of another box of the same hall.
-    pub fn heard_near(&mut self, now: Time) {
+    pub fn record_own_hall_heartbeat(&mut self, now: Time) {
         self.near = Some(now);
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// What changed since this was last asked for.
-    pub fn take_changes(&mut self, now: Time) -> Vec<ReachChange> {
+    pub fn take_changes(&mut self, now: Time) -> Vec<HallReachabilityChange> {
         let silent: Vec<bool> = self
             .halls
             .keys()
@@ -120,7 +120,7 @@
         let changed = rows.filter(|((_, reach), is_silent)| reach.was_silent != *is_silent);
         let change = |((hall, reach), is_silent): ((&HallName, &mut Reach), bool)| {
             reach.was_silent = is_silent;
-            ReachChange {
+            HallReachabilityChange {
                 hall: hall.clone(),
                 is_silent,
                 heard_ago: now.since(reach.heard),
@@ -132,7 +132,7 @@
 
     fn is_silent(&self, now: Time, hall: &HallName) -> bool {
         let hears_near = || {
-            let lately = |near: Time| now.since(near) <= SILENCE + HEARTBEAT * 2;
+            let lately = |near: Time| now.since(near) <= SILENCE + HEARTBEAT_INTERVAL * 2;
             self.near.is_some_and(lately)
         };
         let hears_others = || {
--- a/lib/src/relay/leaving_servers.rs
+++ b/lib/src/relay/leaving_servers.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::relay::turns;
+use crate::relay::round_robin;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -69,9 +69,9 @@
     pub fn rows(&mut self, now: Time) -> Vec<ServerLife> {
         let all = self.learned.iter().map(|(life, at)| (*life, *at));
         let (fresh, others): (Vec<_>, Vec<_>) = all.partition(|(_, at)| now.since(*at) < FRESH);
-        let mut rows = turns::in_turn(&fresh, self.fresh_to, MOST_FRESH_ROWS);
+        let mut rows = round_robin::next_in_rotation(&fresh, self.fresh_to, MOST_FRESH_ROWS);
         self.fresh_to = rows.last().map(|(life, _)| *life);
-        let others = turns::in_turn(&others, self.told_to, ROWS_IN_TURN);
+        let others = round_robin::next_in_rotation(&others, self.told_to, ROWS_IN_TURN);
         self.told_to = others.last().map(|(life, _)| *life);
         rows.extend(others);
         rows.into_iter().map(|(life, _)| life).collect()
--- a/lib/src/relay/load_datagram.rs
+++ b/lib/src/relay/load_datagram.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::HallName;
 use crate::relay::engine_load::EngineKey;
-use crate::relay::engine_load::EngineUse;
+use crate::relay::engine_load::EngineLoad;
 use crate::relay::long_queue::QueueHead;
 use crate::relay::quarantine::WorkRow;
 use crate::relay::server_notices::NoticeRows;
@@ -17,7 +17,7 @@
 
 /// Whose work a datagram tells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Teller {
+pub enum LoadSource {
     /// That of the box which sends it.
     Box,
     /// That of all boxes of its hall, for another hall.
@@ -38,10 +38,10 @@
     pub from: String,
     /// Drawn anew at each start of the box.
     pub lifetime: u64,
-    /// Rises with each datagram of a lifetime, for each [`Teller`] by itself.
+    /// Rises with each datagram of a lifetime, for each [`LoadSource`] by itself.
     pub sequence: u64,
     /// Whose work it tells.
-    pub teller: Teller,
+    pub teller: LoadSource,
     /// Whether what can't wait has changed, as what long prompts do; other halls are told at once, too.
     pub is_urgent: bool,
     /// The state that it has.
@@ -61,12 +61,12 @@
     /// What servers say of the calls they take.
     pub notices: NoticeRows,
     /// The work.
-    pub rows: Vec<(EngineKey, EngineUse)>,
+    pub rows: Vec<(EngineKey, EngineLoad)>,
 }
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum BadDatagram {
+pub enum DatagramError {
     /// It can't be decoded.
     #[error("it can't be decoded")]
     Malformed,
@@ -100,12 +100,12 @@
     /// # Errors
     ///
     /// It is not a datagram of this version.
-    pub fn decode(bytes: &[u8]) -> Result<Self, BadDatagram> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         match bytes.first() {
             Some(&FRAME_VERSION) => {}
-            Some(&other) => return Err(BadDatagram::Version(other)),
-            None => return Err(BadDatagram::Malformed),
+            Some(&other) => return Err(DatagramError::Version(other)),
+            None => return Err(DatagramError::Malformed),
         }
-        postcard::from_bytes(bytes).map_err(|_undecodable| BadDatagram::Malformed)
+        postcard::from_bytes(bytes).map_err(|_undecodable| DatagramError::Malformed)
     }
 }
--- a/lib/src/relay/heard_boxes.rs
+++ b/lib/src/relay/peer_liveness.rs
@@ -11,7 +11,7 @@
 use crate::time::Time;
 
 /// A box that was heard within this time lives: two of its longest pauses, and a lost datagram.
-pub(crate) const LIVES: Duration = Duration::from_millis(1_200);
+pub(crate) const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 #[derive(Debug, Clone, Copy)]
 struct Heard {
@@ -21,11 +21,11 @@
 
 /// Other boxes by name.
 #[derive(Debug, Default)]
-pub struct HeardBoxes {
+pub struct PeerLiveness {
     rows: HashMap<String, Heard>,
 }
 
-impl HeardBoxes {
+impl PeerLiveness {
     /// Records what a box said of its state.
     pub fn hear(&mut self, at: Time, name: &str, have: KnownState) {
         self.rows.insert(name.to_owned(), Heard { at, have });
@@ -40,19 +40,20 @@
     /// Whether a box was heard lately.
     pub fn lives(&self, now: Time, name: &str) -> bool {
         let heard = self.rows.get(name);
-        heard.is_some_and(|row| now.since(row.at) < LIVES)
+        heard.is_some_and(|row| now.since(row.at) < LIVENESS_TIMEOUT)
     }
 
     /// Whether any box was heard lately.
-    pub fn hears_any(&self, now: Time) -> bool {
+    pub fn has_live_peer(&self, now: Time) -> bool {
         let mut heard = self.rows.values();
-        heard.any(|row| now.since(row.at) < LIVES)
+        heard.any(|row| now.since(row.at) < LIVENESS_TIMEOUT)
     }
 
     /// Living boxes that said they have newer state than this.
     pub fn ahead_of(&self, now: Time, have: KnownState) -> Vec<&str> {
         let rows = self.rows.iter();
-        let ahead = rows.filter(|(_, row)| now.since(row.at) < LIVES && have.lacks(row.have));
+        let ahead =
+            rows.filter(|(_, row)| now.since(row.at) < LIVENESS_TIMEOUT && have.lacks(row.have));
         ahead.map(|(name, _)| name.as_str()).collect()
     }
 }
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -22,7 +22,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::moment::Moment;
+use crate::relay::round_robin;
+use crate::relay::signed_time::SignedTime;
 use crate::relay::suspect_work::End;
 use crate::relay::suspect_work::HELD_FOR;
 use crate::relay::suspect_work::Hold;
@@ -30,7 +31,6 @@
 use crate::relay::suspect_work::ToldEnd;
 use crate::relay::suspect_work::Verdict;
 use crate::relay::suspect_work::Work;
-use crate::relay::turns;
 use crate::relay::work_key::ServerLife;
 use crate::relay::work_key::WorkKey;
 use crate::time::Time;
@@ -211,11 +211,11 @@
         life: ServerLife,
         began: Time,
     ) -> Option<Change> {
-        let at = Moment::of(now);
+        let at = SignedTime::of(now);
         let end = End {
             life,
             at,
-            began: Moment::of(began),
+            began: SignedTime::of(began),
             to_store: true,
         };
         self.change(now, work, |known| {
@@ -236,12 +236,12 @@
         if !self.works.contains_key(&work) {
             return None;
         }
-        self.change(now, work, |known| known.good = Some(Moment::of(now)))
+        self.change(now, work, |known| known.good = Some(SignedTime::of(now)))
     }
 
     /// Takes what the store holds.
     pub fn stored(&mut self, now: Time, work: WorkKey, fact: Fact) -> Option<Change> {
-        let at = Moment::of(now);
+        let at = SignedTime::of(now);
         match fact {
             Fact::Ended(life) => self.change(now, work, |known| {
                 known.add(End {
@@ -281,7 +281,7 @@
         from: &str,
         rows: &[WorkRow],
     ) -> Vec<Change> {
-        let ago = |millis: u32| Moment::ago(now, millis);
+        let ago = |millis: u32| SignedTime::ago(now, millis);
         let take = |row: &WorkRow| {
             self.change(now, row.work, |known| {
                 // The other box missed the good run that this one knows of.
@@ -387,7 +387,7 @@
         rest.retain(|(_, known)| known.verdict(now) != Verdict::Cleared);
         fresh.sort_by_key(|(work, known)| (!runs(work, known), now.since(known.changed)));
         fresh.truncate(MOST_ROWS);
-        let in_turn = turns::in_turn(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
+        let in_turn = round_robin::next_in_rotation(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
         let told = fresh.iter().chain(&in_turn);
         let rows = told.map(|(work, known)| self.row(now, of, **work, known));
         let rows = rows.collect();
--- a/lib/src/relay/quota_keeper.rs
+++ b/lib/src/relay/quota_keeper.rs
@@ -14,9 +14,9 @@
 use crate::relay::call_quota::CallQuota;
 use crate::relay::call_quota::NoRoom;
 use crate::relay::call_rate::CallRate;
-use crate::relay::cells;
-use crate::relay::cells::Boxes;
-use crate::relay::heard_boxes::LIVES;
+use crate::relay::gossip_topology;
+use crate::relay::gossip_topology::Boxes;
+use crate::relay::peer_liveness::LIVENESS_TIMEOUT;
 use crate::relay::permit_wire::Verdict;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
@@ -56,18 +56,18 @@
         if !hears_others {
             return match boxes.len() {
                 0 | 1 => Self::Here { takers: 1 },
-                _ if up_for < LIVES => Self::Unknown,
+                _ if up_for < LIVENESS_TIMEOUT => Self::Unknown,
                 // It is cut off from the others, or they are gone.
                 boxes => Self::Here { takers: boxes },
             };
         }
-        let Some(first) = cells::first_living(boxes, own, hall, &lives) else {
+        let Some(first) = gossip_topology::first_live_box(boxes, own, hall, &lives) else {
             return Self::Unknown;
         };
         if first.name != own {
             return first.load.parse().map_or(Self::Unknown, Self::At);
         }
-        if up_for < LIVES {
+        if up_for < LIVENESS_TIMEOUT {
             // It may not have heard yet who was first before.
             return Self::Unknown;
         }
@@ -75,7 +75,7 @@
             parts_of_hall(boxes, own, hall, lives)
         } else {
             // Each hall may believe that it is the first one left.
-            cells::halls(boxes)
+            gossip_topology::halls(boxes)
         };
         Self::Here { takers }
     }
@@ -84,7 +84,7 @@
 /// Into how many parts a hall may be cut: one, while most of its boxes are heard. Those that are not
 /// may only be cut off, and go on with a keeper of their own.
 fn parts_of_hall(boxes: &Boxes, own: &str, hall: &HallName, lives: impl Fn(&str) -> bool) -> usize {
-    let known = cells::ranked(boxes, hall.as_str());
+    let known = gossip_topology::ranked(boxes, hall.as_str());
     let heard = known
         .iter()
         .filter(|of| of.name == own || lives(&of.name))
--- a/lib/src/relay/turns.rs
+++ b/lib/src/relay/round_robin.rs
@@ -2,7 +2,7 @@
 
 /// The next few of rows that are sorted by their keys, after the one that was told last; from the end it
 /// goes on at the beginning.
-pub(crate) fn in_turn<K: Ord + Copy, V: Copy>(
+pub(crate) fn next_in_rotation<K: Ord + Copy, V: Copy>(
     rows: &[(K, V)],
     told_to: Option<K>,
     most: usize,
--- a/lib/src/relay/server_book.rs
+++ b/lib/src/relay/server_book.rs
@@ -14,8 +14,8 @@
 use crate::ids::HallName;
 use crate::ids::ServerName;
 use crate::relay::engine_load::EngineKey;
-use crate::relay::hall_reach::HallReach;
-use crate::relay::hall_reach::ReachChange;
+use crate::relay::hall_reachability::HallReachability;
+use crate::relay::hall_reachability::HallReachabilityChange;
 use crate::relay::route_table::ServiceName;
 use crate::relay::server_list::ListedServer;
 use crate::relay::standing::Standing;
@@ -168,7 +168,7 @@
     records: HashMap<ServerName, ServerRecord>,
     by_service: HashMap<ServiceName, Vec<ServerName>>,
     halls: HashMap<HallName, Breaker>,
-    reach: HallReach,
+    reach: HallReachability,
     /// Servers that this box knows to leave or to be gone, and since when.
     departed: Vec<(EngineKey, Time)>,
 }
@@ -312,14 +312,14 @@
     }
 
     /// Halls that fell silent or are heard again since this was last asked for.
-    pub fn take_reach_changes(&mut self, now: Time) -> Vec<ReachChange> {
+    pub fn take_reach_changes(&mut self, now: Time) -> Vec<HallReachabilityChange> {
         self.reach.take_changes(now)
     }
 
     /// Records that a box was heard; `own` is this box's hall.
     pub fn heard(&mut self, now: Time, own: &HallName, hall: &HallName, from: &str) {
         if hall == own {
-            self.reach.heard_near(now);
+            self.reach.record_own_hall_heartbeat(now);
         } else {
             self.reach.heard(now, hall, from);
         }
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -13,10 +13,10 @@
 use serde::Serialize;
 
 use crate::relay::call_rate::CallRate;
-use crate::relay::moment::Moment;
+use crate::relay::round_robin;
+use crate::relay::signed_time::SignedTime;
 use crate::relay::standing::Standing;
 use crate::relay::stated::Stated;
-use crate::relay::turns;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Word {
     rate: Option<CallRate>,
-    at: Moment,
+    at: SignedTime,
     /// When this box learned that it changed.
     changed: Time,
 }
@@ -93,12 +93,13 @@
             Stated::Absent if self.words.contains_key(&life) => None,
             Stated::Absent | Stated::Unreadable => return None,
         };
-        self.take(now, life, rate, Moment::of(now))
+        self.take(now, life, rate, SignedTime::of(now))
     }
 
     /// Takes what another box tells.
     pub fn take_rows(&mut self, now: Time, rows: &[LimitRow]) -> Vec<LimitChange> {
-        let take = |row: &LimitRow| self.take(now, row.life, row.rate, Moment::ago(now, row.ago));
+        let take =
+            |row: &LimitRow| self.take(now, row.life, row.rate, SignedTime::ago(now, row.ago));
         rows.iter().filter_map(take).collect()
     }
 
@@ -107,7 +108,7 @@
         now: Time,
         life: ServerLife,
         rate: Option<CallRate>,
-        at: Moment,
+        at: SignedTime,
     ) -> Option<LimitChange> {
         let known = self.words.get(&life).copied();
         let is_newer = known.is_none_or(|known| at > known.at);
@@ -190,7 +191,7 @@
         let rest = self.words.iter().filter(|(_, word)| !is_fresh(word));
         let mut rest: Vec<_> = rest.collect();
         rest.sort_by_key(|(life, _)| **life);
-        let in_turn = turns::in_turn(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
+        let in_turn = round_robin::next_in_rotation(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
         let told_to = in_turn.last().map(|(life, _)| **life);
         let told = fresh.iter().chain(&in_turn);
         let rows = told.map(|(life, word)| row(now, **life, word)).collect();
--- a/lib/src/relay/moment.rs
+++ b/lib/src/relay/signed_time.rs
@@ -6,9 +6,9 @@
 
 /// A moment on this box's time line, which may lie before its own start: other boxes tell of those.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Moment(i64);
+pub(crate) struct SignedTime(i64);
 
-impl Moment {
+impl SignedTime {
     pub(crate) const fn of(time: Time) -> Self {
         Self(time.as_micros().cast_signed())
     }
--- a/lib/src/relay/engine_pace.rs
+++ b/lib/src/relay/slow_engine_tracker.rs
@@ -23,10 +23,10 @@
 /// about five times as long; other bounds were not tried.
 const SLOW: f64 = 2.0;
 /// Least time until a box asks the same engine again; each report is paid for.
-pub const ASK_PAUSE: Duration = Duration::from_secs(1);
+pub const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 /// What is added to that before an engine is asked again, at most, as a part of it: of the boxes that
 /// asked at once one asks first, and tells the others.
-pub const ASK_JITTER: f64 = 0.25;
+pub const QUERY_JITTER: f64 = 0.25;
 /// How long a box tells of its own sign; datagrams go several times in that time.
 const TOLD: Duration = Duration::from_millis(500);
 /// How long a sign counts: until it has been asked for and told again.
@@ -43,7 +43,7 @@
 
 /// Who says that an engine is slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SaidBy {
+pub enum ReportOrigin {
     /// Another box of this box's hall.
     OwnHall,
     /// A box of another hall.
@@ -52,14 +52,14 @@
 
 /// When an engine was last said to be slow.
 #[derive(Debug, Clone, Copy, Default)]
-struct Signs {
+struct SlowReports {
     /// By itself, to this box.
     own: Option<Time>,
     own_hall: Option<Time>,
     other_hall: Option<Time>,
 }
 
-impl Signs {
+impl SlowReports {
     fn told(&self) -> Option<Time> {
         self.own_hall.max(self.other_hall)
     }
@@ -67,8 +67,8 @@
 
 /// What a box knows of slow engines.
 #[derive(Debug, Default)]
-pub struct EnginePaces {
-    signs: HashMap<EngineKey, Signs>,
+pub struct SlowEngineTracker {
+    signs: HashMap<EngineKey, SlowReports>,
     asked: HashMap<EngineKey, Time>,
 }
 
@@ -76,10 +76,10 @@
     at.is_some_and(|at| now.since(at) < than)
 }
 
-impl EnginePaces {
+impl SlowEngineTracker {
     /// Whether an engine that a late call is read at should be asked now; it then counts as asked.
-    pub fn may_ask(&mut self, now: Time, engine: EngineKey) -> bool {
-        let lately = is_newer(self.asked.get(&engine).copied(), now, ASK_PAUSE);
+    pub fn should_query(&mut self, now: Time, engine: EngineKey) -> bool {
+        let lately = is_newer(self.asked.get(&engine).copied(), now, QUERY_INTERVAL);
         let asks = !lately && !self.is_slow(now, engine);
         if asks {
             self.asked.insert(engine, now);
@@ -89,7 +89,7 @@
 
     /// Whether an engine that told this box of being slow should be asked again: unless another box
     /// did so lately.
-    pub fn may_ask_again(&mut self, now: Time, engine: EngineKey) -> bool {
+    pub fn should_query_again(&mut self, now: Time, engine: EngineKey) -> bool {
         let signs = self.signs.get(&engine);
         let asks = signs.is_some_and(|signs| !is_newer(signs.told(), now, TOLD));
         if asks {
@@ -110,12 +110,12 @@
     }
 
     /// Takes what another box tells.
-    pub fn told(&mut self, now: Time, by: SaidBy, engines: &[EngineKey]) {
+    pub fn told(&mut self, now: Time, by: ReportOrigin, engines: &[EngineKey]) {
         for &engine in engines {
             let signs = self.signs.entry(engine).or_default();
             match by {
-                SaidBy::OwnHall => signs.own_hall = Some(now),
-                SaidBy::OtherHall => signs.other_hall = Some(now),
+                ReportOrigin::OwnHall => signs.own_hall = Some(now),
+                ReportOrigin::OtherHall => signs.other_hall = Some(now),
             }
         }
     }
@@ -130,8 +130,8 @@
         self.newer(now, |signs| signs.own.max(signs.own_hall))
     }
 
-    fn newer(&self, now: Time, at: impl Fn(&Signs) -> Option<Time>) -> Vec<EngineKey> {
-        let newer = |(_, signs): &(&EngineKey, &Signs)| is_newer(at(signs), now, TOLD);
+    fn newer(&self, now: Time, at: impl Fn(&SlowReports) -> Option<Time>) -> Vec<EngineKey> {
+        let newer = |(_, signs): &(&EngineKey, &SlowReports)| is_newer(at(signs), now, TOLD);
         let newer = self.signs.iter().filter(newer);
         newer.map(|(engine, _)| *engine).take(MOST_TOLD).collect()
     }
--- a/lib/src/relay/state_pull.rs
+++ b/lib/src/relay/state_pull.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::cells::Boxes;
+use crate::relay::gossip_topology::Boxes;
 use crate::relay::server_list::ServerNews;
 use crate::relay::server_notices::NoticeRows;
 use crate::relay::store_position::StorePosition;
@@ -49,7 +49,7 @@
 
 /// What is newer.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct PullAnswer {
+pub struct PullResponse {
     /// Whether the route table is newer: it follows in a frame of its own, which is encoded once for
     /// all boxes that ask.
     pub table_follows: bool,
@@ -81,7 +81,7 @@
 
 /// Where a box that has no state yet may ask for it: the seeds and the boxes that it knows, each
 /// once. Never itself, though it knows itself from the start: that pull would be lost.
-pub fn first_sources(own: SocketAddr, seeds: &[SocketAddr], boxes: &Boxes) -> Vec<SocketAddr> {
+pub fn bootstrap_sources(own: SocketAddr, seeds: &[SocketAddr], boxes: &Boxes) -> Vec<SocketAddr> {
     let known = boxes.values().filter_map(|of| of.pull.parse().ok());
     let all: BTreeSet<SocketAddr> = known.chain(seeds.iter().copied()).collect();
     all.into_iter().filter(|address| *address != own).collect()
--- a/lib/src/relay/suspect_work.rs
+++ b/lib/src/relay/suspect_work.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::relay::moment::Moment;
+use crate::relay::signed_time::SignedTime;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct End {
     pub(super) life: ServerLife,
-    pub(super) at: Moment,
+    pub(super) at: SignedTime,
     /// When the run began that it ended under.
-    pub(super) began: Moment,
+    pub(super) began: SignedTime,
     /// Whether this box saw it and the store does not hold it yet.
     pub(super) to_store: bool,
 }
@@ -79,8 +79,8 @@
 /// all: so it matters not what becomes known first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Hold {
-    pub(super) first: Moment,
-    pub(super) last: Moment,
+    pub(super) first: SignedTime,
+    pub(super) last: SignedTime,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -88,14 +88,14 @@
     pub(super) ends: Vec<End>,
     pub(super) held: Option<Hold>,
     /// When an operator released it.
-    pub(super) released: Option<Moment>,
+    pub(super) released: Option<SignedTime>,
     /// Whether the store lost the release, and is to hold it again.
     pub(super) is_release_lost: bool,
     /// Whether the store says that it is held.
     pub(super) is_held_in_store: bool,
     /// Whether a server ended under a run of this box.
     pub(super) is_own: bool,
-    pub(super) good: Option<Moment>,
+    pub(super) good: Option<SignedTime>,
     /// When boxes of this hall, or of all where there are few, last said that they run it.
     pub(super) boxes: BTreeMap<String, Time>,
     /// When other halls did.
@@ -106,7 +106,7 @@
 
 impl Work {
     /// Whether what happened then counts: no good run speaks against it, and it is not too long ago.
-    pub(super) fn counts(&self, now: Time, at: Moment) -> bool {
+    pub(super) fn counts(&self, now: Time, at: SignedTime) -> bool {
         let is_cleared = self.good.is_some_and(|good| at <= good.plus(GOOD_FOR));
         !is_cleared && at.since(now) < REMEMBERED
     }
@@ -118,17 +118,17 @@
     }
 
     /// When it was last known to be held, if that counts.
-    pub(super) fn held_at(&self, now: Time) -> Option<Moment> {
+    pub(super) fn held_at(&self, now: Time) -> Option<SignedTime> {
         let held = self.held.filter(|held| self.counts(now, held.first));
         held.map(|held| held.last)
     }
 
     /// Lives that ended at moments of their own.
     pub(super) fn lives(&self, now: Time) -> usize {
-        let mut last: Option<Moment> = None;
+        let mut last: Option<SignedTime> = None;
         let mut lives = 0;
         for end in self.counting(now) {
-            let is_apart = |last: Moment| end.began > last || end.at > last.plus(SAME_MOMENT);
+            let is_apart = |last: SignedTime| end.began > last || end.at > last.plus(SAME_MOMENT);
             if last.is_none_or(is_apart) {
                 lives += 1;
                 last = Some(end.at);
--- a/lib/tests/test_relay_engine_cell.rs
+++ b/lib/tests/test_relay_engine_cell.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use badgerferry_lib::relay::call::Prompt;
-use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_cell::Cells;
-use badgerferry_lib::relay::engine_load::EngineUse;
+use badgerferry_lib::relay::engine_load::EngineLoad;
 use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::standing::Standing;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -30,7 +30,7 @@
 /// Idle engines of five halls, which stand mixed in the shared order.
 fn idle() -> (Vec<EngineState>, Vec<usize>) {
     let state = |at| EngineState {
-        load: EngineUse::default(),
+        load: EngineLoad::default(),
         near: at % HALLS == 0,
         preference: at as u32,
         standing: Standing::Open,
@@ -48,7 +48,7 @@
             boxes: 59,
         },
         halls,
-        scope: Scope::Hall,
+        scope: GossipScope::Hall,
     };
     let prompt = Prompt {
         tokens,
@@ -68,12 +68,12 @@
 /// Makes a hall's engines read long prompts and write many short ones.
 fn fill(engines: &mut [EngineState], halls: &[usize], hall: usize) {
     for (engine, _) in engines.iter_mut().zip(halls).filter(|(_, of)| **of == hall) {
-        engine.load = EngineUse {
-            reading_ms: 2_000,
-            long_reads: 1,
+        engine.load = EngineLoad {
+            prefill_ms: 2_000,
+            long_prefills: 1,
             short: 10,
             long: 1,
-            memory_k: 290,
+            memory_kilotokens: 290,
         };
     }
 }
@@ -150,7 +150,7 @@
     // The last four engines of each hall are free: too few for a prompt that no engine holds.
     let last = PER_HALL * HALLS - 4 * HALLS;
     for engine in &mut engines[last..] {
-        engine.load = EngineUse::default();
+        engine.load = EngineLoad::default();
     }
 
     let plan = plan(&engines, &halls, 400_000).expect("twenty engines are free");
--- a/lib/tests/test_relay_engine_load.rs
+++ b/lib/tests/test_relay_engine_load.rs
@@ -4,14 +4,14 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_load::EngineLoads;
-use badgerferry_lib::relay::engine_load::EngineUse;
-use badgerferry_lib::relay::engine_load::TABLE_LIFETIME;
+use badgerferry_lib::relay::engine_load::EngineLoad;
+use badgerferry_lib::relay::engine_load::EngineLoadTracker;
+use badgerferry_lib::relay::engine_load::TABLE_TTL;
 use badgerferry_lib::relay::engine_load::Work;
-use badgerferry_lib::relay::load_datagram::BadDatagram;
+use badgerferry_lib::relay::load_datagram::DatagramError;
 use badgerferry_lib::relay::load_datagram::LoadDatagram;
+use badgerferry_lib::relay::load_datagram::LoadSource;
 use badgerferry_lib::relay::load_datagram::MAX_DATAGRAM_BYTES;
-use badgerferry_lib::relay::load_datagram::Teller;
 use badgerferry_lib::relay::server_notices::NoticeRows;
 use badgerferry_lib::relay::state_pull::FRAME_VERSION;
 use badgerferry_lib::relay::state_pull::KnownState;
@@ -32,19 +32,16 @@
 
 #[test]
 fn another_boxs_table_counts_for_its_lifetime_only() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
-    let told = EngineUse {
+    let told = EngineLoad {
         short: 3,
-        ..EngineUse::default()
+        ..EngineLoad::default()
     };
 
-    loads.take_table(Time::ZERO, "box-b", 1, 1, vec![(engine, told)]);
+    loads.update_peer_table(Time::ZERO, "box-b", 1, 1, vec![(engine, told)]);
     let early = loads.table(Time::from_millis(10)).get(&engine).copied();
-    let late = loads
-        .table(Time::ZERO + TABLE_LIFETIME)
-        .get(&engine)
-        .copied();
+    let late = loads.table(Time::ZERO + TABLE_TTL).get(&engine).copied();
 
     assert_eq!(early.map(|row| row.short), Some(3));
     assert_eq!(late, None);
@@ -52,18 +49,18 @@
 
 #[test]
 fn an_overtaken_datagram_is_ignored_and_a_new_lifetime_is_not() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
-    let short = |count| EngineUse {
+    let short = |count| EngineLoad {
         short: count,
-        ..EngineUse::default()
+        ..EngineLoad::default()
     };
     let now = Time::from_millis(1);
 
-    loads.take_table(now, "box-b", 1, 9, vec![(engine, short(3))]);
-    loads.take_table(now, "box-b", 1, 8, vec![(engine, short(5))]);
+    loads.update_peer_table(now, "box-b", 1, 9, vec![(engine, short(3))]);
+    loads.update_peer_table(now, "box-b", 1, 8, vec![(engine, short(5))]);
     let after_old = loads.table(now)[&engine].short;
-    loads.take_table(now, "box-b", 2, 1, vec![(engine, short(1))]);
+    loads.update_peer_table(now, "box-b", 2, 1, vec![(engine, short(1))]);
 
     assert_eq!(after_old, 3);
     assert_eq!(loads.table(now)[&engine].short, 1);
@@ -71,18 +68,18 @@
 
 #[test]
 fn another_halls_work_is_its_last_sum_whichever_box_told_it() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
     let hall = HallName::new("hall-b");
-    let short = |count| EngineUse {
+    let short = |count| EngineLoad {
         short: count,
-        ..EngineUse::default()
+        ..EngineLoad::default()
     };
     let now = Time::from_millis(1);
 
-    loads.take_hall_table(now, &hall, 1, 4, vec![(engine, short(3))]);
-    loads.take_hall_table(now, &hall, 2, 9, vec![(engine, short(5))]);
-    let is_newer = loads.take_hall_table(now, &hall, 2, 8, vec![(engine, short(7))]);
+    loads.update_hall_table(now, &hall, 1, 4, vec![(engine, short(3))]);
+    loads.update_hall_table(now, &hall, 2, 9, vec![(engine, short(5))]);
+    let is_newer = loads.update_hall_table(now, &hall, 2, 8, vec![(engine, short(7))]);
 
     assert!(!is_newer);
     assert_eq!(loads.table(now)[&engine].short, 5);
@@ -90,17 +87,17 @@
 
 #[test]
 fn a_halls_sum_holds_its_own_boxes_only() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
     let now = Time::from_millis(1);
-    let short = |count| EngineUse {
+    let short = |count| EngineLoad {
         short: count,
-        ..EngineUse::default()
+        ..EngineLoad::default()
     };
     loads.begin(now, engine, long_work());
-    loads.take_table(now, "near", 1, 1, vec![(engine, short(2))]);
-    loads.take_table(now, "far", 1, 1, vec![(engine, short(4))]);
-    loads.take_hall_table(now, &HallName::new("b"), 1, 1, vec![(engine, short(8))]);
+    loads.update_peer_table(now, "near", 1, 1, vec![(engine, short(2))]);
+    loads.update_peer_table(now, "far", 1, 1, vec![(engine, short(4))]);
+    loads.update_hall_table(now, &HallName::new("b"), 1, 1, vec![(engine, short(8))]);
 
     let told = loads.hall_table(now, |name| name == "near")[&engine];
 
@@ -109,7 +106,7 @@
 
 #[test]
 fn own_work_counts_until_it_ends() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     let now = Time::from_millis(100);
 
@@ -120,11 +117,11 @@
     loads.end(id);
 
     assert_eq!(
-        (reading.long_reads, reading.long, reading.reading_ms),
+        (reading.long_prefills, reading.long, reading.prefill_ms),
         (1, 1, 300)
     );
     assert_eq!(
-        (writing.long_reads, writing.long, writing.reading_ms),
+        (writing.long_prefills, writing.long, writing.prefill_ms),
         (0, 1, 0)
     );
     assert!(loads.table(now).is_empty());
@@ -132,7 +129,7 @@
 
 #[test]
 fn a_part_that_is_late_counts_until_its_prompt_is_read() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     let id = loads.begin(Time::ZERO, engine, long_work());
 
@@ -140,13 +137,13 @@
     loads.read_done(id);
     let read = loads.table(Time::from_millis(1_900))[&engine];
 
-    assert_eq!((late.long_reads, late.reading_ms), (1, 300));
-    assert_eq!((read.long_reads, read.reading_ms), (0, 0));
+    assert_eq!((late.long_prefills, late.prefill_ms), (1, 300));
+    assert_eq!((read.long_prefills, read.prefill_ms), (0, 0));
 }
 
 #[test]
 fn what_is_read_ahead_counts_once() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     let now = Time::from_millis(100);
     let mut ahead = Duration::ZERO;
@@ -157,7 +154,7 @@
             ..long_work()
         };
         loads.begin(now, engine, work);
-        ahead = Duration::from_millis(loads.table(now)[&engine].reading_ms.into());
+        ahead = Duration::from_millis(loads.table(now)[&engine].prefill_ms.into());
     }
 
     assert_eq!(ahead, long_work().read * 6, "each is read once");
@@ -165,22 +162,22 @@
 
 #[test]
 fn reading_whose_end_is_never_seen_does_not_count_for_ever() {
-    let mut loads = EngineLoads::default();
+    let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     loads.begin(Time::ZERO, engine, long_work());
 
     let later = loads.table(Time::from_millis(10_000));
 
-    assert_eq!(later[&engine].long_reads, 0);
+    assert_eq!(later[&engine].long_prefills, 0);
 }
 
-fn datagram(rows: Vec<(EngineKey, EngineUse)>) -> LoadDatagram {
+fn datagram(rows: Vec<(EngineKey, EngineLoad)>) -> LoadDatagram {
     LoadDatagram {
         version: FRAME_VERSION,
         from: "edge-hall-a-1".to_owned(),
         lifetime: u64::MAX,
         sequence: 12,
-        teller: Teller::Box,
+        teller: LoadSource::Box,
         is_urgent: false,
         have: KnownState {
             routes: Some(3),
@@ -203,12 +200,12 @@
 #[test]
 fn a_datagram_leaves_out_what_does_not_fit_into_a_packet() {
     let row = |key| {
-        let row = EngineUse {
-            reading_ms: u32::MAX,
-            long_reads: u16::MAX,
+        let row = EngineLoad {
+            prefill_ms: u32::MAX,
+            long_prefills: u16::MAX,
             short: u16::MAX,
             long: u16::MAX,
-            memory_k: u32::MAX,
+            memory_kilotokens: u32::MAX,
         };
         (EngineKey(u32::MAX - key), row)
     };
@@ -233,12 +230,12 @@
 
     assert_eq!(
         LoadDatagram::decode(&bytes),
-        Err(BadDatagram::Version(other))
+        Err(DatagramError::Version(other))
     );
-    assert_eq!(LoadDatagram::decode(&[]), Err(BadDatagram::Malformed));
+    assert_eq!(LoadDatagram::decode(&[]), Err(DatagramError::Malformed));
     assert_eq!(
         LoadDatagram::decode(&[FRAME_VERSION, 200]),
-        Err(BadDatagram::Malformed)
+        Err(DatagramError::Malformed)
     );
 }
 
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerferry_lib::relay::call::Prompt;
-use badgerferry_lib::relay::engine_load::EngineUse;
+use badgerferry_lib::relay::engine_load::EngineLoad;
 use badgerferry_lib::relay::engine_plan;
 use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
@@ -34,7 +34,7 @@
 fn idle(count: usize) -> Vec<EngineState> {
     (0..count)
         .map(|at| EngineState {
-            load: EngineUse::default(),
+            load: EngineLoad::default(),
             near: true,
             preference: at as u32,
             standing: Standing::Open,
@@ -138,7 +138,7 @@
 #[test]
 fn an_engine_reads_for_one_long_prompt_at_a_time() {
     let mut engines = idle(18);
-    engines[5].load.long_reads = 1;
+    engines[5].load.long_prefills = 1;
 
     let plan = plan(&engines, 154_000, PATIENT).expect("others are free");
 
@@ -164,7 +164,7 @@
 fn a_prompt_waits_where_too_few_engines_are_free() {
     let mut engines = idle(18);
     for engine in &mut engines[3..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     assert_eq!(plan(&engines, 154_000, PATIENT), None);
@@ -181,7 +181,7 @@
         engine.load.long = 1;
     }
     for engine in &mut engines[10..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     let small = plan(&engines, 100_000, PATIENT).expect("parts of 200 ms");
@@ -198,7 +198,7 @@
 fn a_large_prompt_takes_all_engines_that_are_free() {
     let mut engines = idle(18);
     for engine in &mut engines[11..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("ten are free");
@@ -210,7 +210,7 @@
 fn a_large_prompt_leaves_some_free_engines_where_boxes_are_many() {
     let mut engines = idle(18);
     for engine in &mut engines[11..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
     let aims = aims(Duration::from_secs(3), PATIENT);
 
@@ -315,7 +315,7 @@
 fn a_prompt_that_no_group_can_hold_is_not_planned() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.memory_k = 299;
+        engine.load.memory_kilotokens = 299;
     }
 
     assert_eq!(plan(&engines, 700_000, PATIENT), None);
@@ -328,12 +328,12 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut engines = idle(rng.random_range(1..70));
         for engine in &mut engines {
-            engine.load = EngineUse {
-                reading_ms: rng.random_range(0..800),
-                long_reads: rng.random_range(0..2),
+            engine.load = EngineLoad {
+                prefill_ms: rng.random_range(0..800),
+                long_prefills: rng.random_range(0..2),
                 short: rng.random_range(0..20),
                 long: rng.random_range(0..4),
-                memory_k: rng.random_range(0..320),
+                memory_kilotokens: rng.random_range(0..320),
             };
         }
         let tokens = rng.random_range(1..1_000_000);
@@ -361,7 +361,7 @@
         );
         let memory: u64 = plan.parts.iter().map(|part| part.memory).sum();
         assert!(memory >= prompt.memory(), "seed {seed}: {memory}");
-        let alone = used.iter().all(|&at| engines[at].load.long_reads == 0);
+        let alone = used.iter().all(|&at| engines[at].load.long_prefills == 0);
         assert!(
             !plan.long || alone,
             "seed {seed}: a long prompt beside another"
@@ -373,7 +373,7 @@
 fn a_large_prompt_starts_on_few_free_engines_unless_it_needs_more_to_be_on_time() {
     let mut engines = idle(18);
     for engine in &mut engines[8..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     let early = plan_due(&engines, 250_000, Duration::from_secs(3));
@@ -391,7 +391,7 @@
 fn a_part_that_would_pause_streams_for_long_goes_where_nothing_is_written() {
     let mut engines = idle(18);
     for engine in &mut engines[8..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
     engines[3].load.short = 1;
     engines[4].load.long = 1;
--- a/lib/tests/test_relay_engine_time.rs
+++ b/lib/tests/test_relay_engine_utilization.rs
@@ -1,8 +1,8 @@
 //! What engines did, by the lines of calls.
 
-use badgerferry_lib::relay::engine_time::EngineLine;
-use badgerferry_lib::relay::engine_time::EngineLog;
-use badgerferry_lib::relay::engine_time::RoutedLine;
+use badgerferry_lib::relay::engine_utilization::EngineLine;
+use badgerferry_lib::relay::engine_utilization::EngineLog;
+use badgerferry_lib::relay::engine_utilization::RoutedLine;
 
 fn routed(call: &str, engines: &[&str], part_ms: u64, waited_ms: u64) -> EngineLine {
     EngineLine::Routed(RoutedLine {
@@ -17,7 +17,7 @@
 }
 
 fn begins(call: &str) -> EngineLine {
-    EngineLine::Begins {
+    EngineLine::FirstEvent {
         call: call.to_owned(),
     }
 }
--- a/lib/tests/test_relay_cells.rs
+++ b/lib/tests/test_relay_gossip_topology.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::cells;
-use badgerferry_lib::relay::cells::Boxes;
-use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::cells::Speaker;
+use badgerferry_lib::relay::gossip_topology;
+use badgerferry_lib::relay::gossip_topology::Boxes;
+use badgerferry_lib::relay::gossip_topology::DelegateRole;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 
 fn of_hall(hall: &str, at: usize, processor: u16) -> BoxAddresses {
@@ -39,39 +39,40 @@
 
 #[test]
 fn few_boxes_tell_all_and_many_tell_their_hall() {
-    let scopes = [1, 2, 7, 8, 70].map(|per_hall| Scope::of(&fleet(&["a", "b", "c"], per_hall)));
+    let scopes =
+        [1, 2, 7, 8, 70].map(|per_hall| GossipScope::of(&fleet(&["a", "b", "c"], per_hall)));
 
     assert_eq!(
         scopes,
         [
-            Scope::Fleet,
-            Scope::Fleet,
-            Scope::Fleet,
-            Scope::Hall,
-            Scope::Hall
+            GossipScope::Fleet,
+            GossipScope::Fleet,
+            GossipScope::Fleet,
+            GossipScope::Hall,
+            GossipScope::Hall
         ]
     );
 }
 
 #[test]
 fn many_boxes_of_one_hall_tell_all_since_there_is_no_smaller_cell() {
-    assert_eq!(Scope::of(&fleet(&["a"], 350)), Scope::Fleet);
+    assert_eq!(GossipScope::of(&fleet(&["a"], 350)), GossipScope::Fleet);
 }
 
 #[test]
 fn a_box_that_keeps_to_its_hall_tells_no_other() {
     let own = hall("a");
 
-    assert!(Scope::Hall.holds(&own, "a"));
-    assert!(!Scope::Hall.holds(&own, "b"));
-    assert!(Scope::Fleet.holds(&own, "b"));
+    assert!(GossipScope::Hall.holds(&own, "a"));
+    assert!(!GossipScope::Hall.holds(&own, "b"));
+    assert!(GossipScope::Fleet.holds(&own, "b"));
 }
 
 #[test]
 fn boxes_with_most_processor_time_rank_first_then_by_name() {
     let boxes = fleet(&["a", "b"], 3);
 
-    let names: Vec<&str> = cells::ranked(&boxes, "a")
+    let names: Vec<&str> = gossip_topology::ranked(&boxes, "a")
         .iter()
         .map(|of| of.name.as_str())
         .collect();
@@ -84,24 +85,30 @@
     let mut boxes = fleet(&["a"], 3);
     boxes.remove("edge-a-00");
 
-    assert_eq!(cells::boxes_before(&boxes, &hall("a"), 120, "edge-a-00"), 1);
-    assert_eq!(cells::boxes_before(&boxes, &hall("a"), 500, "edge-a-02"), 0);
+    assert_eq!(
+        gossip_topology::rank_in_hall(&boxes, &hall("a"), 120, "edge-a-00"),
+        1
+    );
+    assert_eq!(
+        gossip_topology::rank_in_hall(&boxes, &hall("a"), 500, "edge-a-02"),
+        0
+    );
 }
 
 #[test]
 fn two_that_live_speak_for_a_hall_whoever_dies() {
     let boxes = fleet(&["a", "b"], 5);
-    let speakers = |dead: &[&str]| -> Vec<(String, Speaker)> {
+    let speakers = |dead: &[&str]| -> Vec<(String, DelegateRole)> {
         let lives = |name: &str| !dead.contains(&name);
         let names = boxes.keys().filter(|name| lives(name));
         let speaks = |name: &String| {
-            let speaker = cells::speaker(&boxes, name, &hall("a"), lives)?;
+            let speaker = gossip_topology::speaker(&boxes, name, &hall("a"), lives)?;
             Some((name.clone(), speaker))
         };
         names.filter_map(speaks).collect()
     };
-    let first = |name: &str| (name.to_owned(), Speaker::First);
-    let second = |name: &str| (name.to_owned(), Speaker::Second);
+    let first = |name: &str| (name.to_owned(), DelegateRole::Primary);
+    let second = |name: &str| (name.to_owned(), DelegateRole::Backup);
 
     assert_eq!(speakers(&[]), [second("edge-a-00"), first("edge-a-04")]);
     assert_eq!(
@@ -118,9 +125,9 @@
 fn a_box_that_hears_nobody_speaks_for_its_hall() {
     let boxes = fleet(&["a", "b"], 5);
 
-    let speaker = cells::speaker(&boxes, "edge-a-03", &hall("a"), |_| false);
+    let speaker = gossip_topology::speaker(&boxes, "edge-a-03", &hall("a"), |_| false);
 
-    assert_eq!(speaker, Some(Speaker::First));
+    assert_eq!(speaker, Some(DelegateRole::Primary));
 }
 
 #[test]
@@ -129,7 +136,7 @@
 
     let turns: Vec<Vec<&str>> = (0..4)
         .map(|turn| {
-            let receivers = cells::receivers(&boxes, &hall("a"), turn);
+            let receivers = gossip_topology::receivers(&boxes, &hall("a"), turn);
             receivers.iter().map(|of| of.name.as_str()).collect()
         })
         .collect();
@@ -147,7 +154,7 @@
         "edge-a-01" => Duration::from_mins(1),
         _ => Duration::ZERO,
     };
-    let removes = |own: &str| cells::abandoned(&boxes, &boxes[own], silent_for);
+    let removes = |own: &str| gossip_topology::abandoned(&boxes, &boxes[own], silent_for);
 
     assert_eq!(removes("edge-a-00"), ["edge-a-03"], "the first one is dead");
     assert!(removes("edge-a-02").is_empty(), "the first one does it");
@@ -157,7 +164,8 @@
 fn a_box_that_hears_nobody_removes_nobody() {
     let boxes = fleet(&["a"], 4);
 
-    let removed = cells::abandoned(&boxes, &boxes["edge-a-03"], |_| Duration::from_hours(1));
+    let removed =
+        gossip_topology::abandoned(&boxes, &boxes["edge-a-03"], |_| Duration::from_hours(1));
 
     assert!(removed.is_empty());
 }
--- a/lib/tests/test_relay_hall_reach.rs
+++ b/lib/tests/test_relay_hall_reachability.rs
@@ -1,7 +1,7 @@
 //! Which halls can be reached, by what is heard from the boxes there.
 
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::hall_reach::HallReach;
+use badgerferry_lib::relay::hall_reachability::HallReachability;
 use badgerferry_lib::time::Time;
 
 /// When the last datagram of the silent hall came.
@@ -12,8 +12,8 @@
 }
 
 /// Boxes of both halls are heard every 100 ms, those of hall b until [`LAST`] only.
-fn reach(boxes_there: usize, now_ms: u64) -> HallReach {
-    let mut reach = HallReach::default();
+fn reach(boxes_there: usize, now_ms: u64) -> HallReachability {
+    let mut reach = HallReachability::default();
     for at in (LAST - 1_000..=now_ms).step_by(100) {
         reach.heard(Time::from_millis(at), &hall("a"), "a1");
         for number in 0..boxes_there {
@@ -104,7 +104,7 @@
     let now = Time::from_millis(LAST + 2_000);
     let mut reach = reach(20, LAST);
 
-    reach.heard_near(now);
+    reach.record_own_hall_heartbeat(now);
 
     assert!(!reach.admits(now, &hall("a")));
     assert!(!reach.admits(now, &hall("b")));
@@ -113,8 +113,8 @@
 #[test]
 fn a_boxs_own_hall_is_never_silent() {
     let now = Time::from_millis(LAST + 3_000);
-    let mut reach = HallReach::default();
-    reach.heard_near(Time::from_millis(LAST));
+    let mut reach = HallReachability::default();
+    reach.record_own_hall_heartbeat(Time::from_millis(LAST));
     reach.heard(now, &hall("b"), "b1");
 
     assert!(reach.admits(now, &hall("own")));
--- a/lib/tests/test_relay_largest.rs
+++ b/lib/tests/test_relay_largest.rs
@@ -1,6 +1,6 @@
 //! The largest prompts are served, too: on each day, not only in the mean over days.
 
-use badgerferry_lib::relay::cells::Scope;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::served_shares::ServedShares;
 use badgerferry_testutils::relay_model;
 use badgerferry_testutils::relay_model::Scenario;
@@ -24,7 +24,7 @@
 }
 
 /// What share of the long prompts is served on each day.
-fn served(scenario: &Scenario, scope: Scope, seeds: &[u64]) -> Vec<ServedShares> {
+fn served(scenario: &Scenario, scope: GossipScope, seeds: &[u64]) -> Vec<ServedShares> {
     let day = |at: u64| {
         relay_model::run(scenario, Some(scope), seeds[at as usize])
             .0
@@ -45,7 +45,7 @@
 /// against that of all.
 #[test]
 fn the_largest_prompts_are_served_more_than_half_as_often_as_all() {
-    let days = served(&starved_150(), Scope::Hall, &[0, 1, 2, 3, 4, 5, 6, 7]);
+    let days = served(&starved_150(), GossipScope::Hall, &[0, 1, 2, 3, 4, 5, 6, 7]);
 
     let mean = days.iter().map(ServedShares::of_the_largest).sum::<f64>() / days.len() as f64;
 
@@ -54,14 +54,14 @@
 
 #[test]
 fn no_day_of_150_engines_starves_the_largest_prompts() {
-    let days = served(&starved_150(), Scope::Hall, &STARVED_AT_150);
+    let days = served(&starved_150(), GossipScope::Hall, &STARVED_AT_150);
 
     assert_none_starved(&days);
 }
 
 #[test]
 fn no_day_of_18_engines_starves_the_largest_prompts() {
-    let days = served(&turns_18(), Scope::Fleet, &STARVED_AT_18);
+    let days = served(&turns_18(), GossipScope::Fleet, &STARVED_AT_18);
 
     assert_none_starved(&days);
 }
--- a/lib/tests/test_relay_model.rs
+++ b/lib/tests/test_relay_model.rs
@@ -1,6 +1,6 @@
 //! The model of a fleet in virtual time, and what policies are worth in it.
 
-use badgerferry_lib::relay::cells::Scope;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_testutils::relay_model;
 use badgerferry_testutils::relay_model::BadScenario;
 use badgerferry_testutils::relay_model::CallOutcome;
@@ -37,8 +37,8 @@
     let mut busy = scenario("turns-18.json");
     busy.seconds = 6.0;
 
-    let first = relay_model::run(&busy, Some(Scope::Fleet), 3);
-    let again = relay_model::run(&busy, Some(Scope::Fleet), 3);
+    let first = relay_model::run(&busy, Some(GossipScope::Fleet), 3);
+    let again = relay_model::run(&busy, Some(GossipScope::Fleet), 3);
 
     assert_eq!(first, again);
 }
@@ -52,8 +52,8 @@
         calls.iter().map(one).collect()
     };
 
-    let fleet = relay_model::run(&busy, Some(Scope::Fleet), 3).1;
-    let hall = relay_model::run(&busy, Some(Scope::Hall), 3).1;
+    let fleet = relay_model::run(&busy, Some(GossipScope::Fleet), 3).1;
+    let hall = relay_model::run(&busy, Some(GossipScope::Hall), 3).1;
 
     assert_eq!(arrivals(fleet), arrivals(hall));
 }
@@ -63,7 +63,7 @@
 fn a_prompt_alone_is_read_in_the_time_that_its_engines_need() {
     let one_engine_ms = 154_000.0 / 154.0 + 154_000.0 * 154_000.0 / 2.0 * 0.162e-6;
 
-    let calls = relay_model::run(&alone(154_000.0), Some(Scope::Fleet), 1).1;
+    let calls = relay_model::run(&alone(154_000.0), Some(GossipScope::Fleet), 1).1;
 
     assert!(!calls.is_empty());
     for call in calls {
@@ -108,7 +108,7 @@
         days.iter().sum::<f64>() / days.len() as f64
     };
 
-    let (all_to_all, by_halls) = (mean(Scope::Fleet), mean(Scope::Hall));
+    let (all_to_all, by_halls) = (mean(GossipScope::Fleet), mean(GossipScope::Hall));
 
     assert!(
         by_halls > all_to_all + 0.01,
@@ -121,7 +121,7 @@
 #[test]
 fn slow_engines_are_found_and_left_out() {
     let slow = scenario("slow-60.json");
-    let runs = (0..8).map(|seed| relay_model::run(&slow, Some(Scope::Hall), seed).0);
+    let runs = (0..8).map(|seed| relay_model::run(&slow, Some(GossipScope::Hall), seed).0);
     let runs: Vec<_> = runs.collect();
 
     let mean = runs.iter().map(|run| run.worth).sum::<f64>() / runs.len() as f64;
--- a/lib/tests/test_relay_heard_boxes.rs
+++ b/lib/tests/test_relay_peer_liveness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerferry_lib::relay::heard_boxes::HeardBoxes;
+use badgerferry_lib::relay::peer_liveness::PeerLiveness;
 use badgerferry_lib::relay::state_pull::KnownState;
 use badgerferry_lib::relay::store_position::StorePosition;
 use badgerferry_lib::time::Time;
@@ -24,7 +24,7 @@
 
 #[test]
 fn boxes_that_said_they_have_newer_state_are_ahead_while_they_live() {
-    let mut heard = HeardBoxes::default();
+    let mut heard = PeerLiveness::default();
     heard.hear(at(0), "routes", have(5, 1));
     heard.hear(at(100), "servers", have(4, 9));
     heard.hear(at(100), "level", have(4, 1));
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_box_that_is_silent_lives_no_more() {
-    let mut heard = HeardBoxes::default();
+    let mut heard = PeerLiveness::default();
     heard.hear(at(1_000), "a", have(1, 1));
 
     assert!(heard.lives(at(2_100), "a"));
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_box_of_an_older_era_is_ahead_of_none_whatever_its_revision() {
-    let mut heard = HeardBoxes::default();
+    let mut heard = PeerLiveness::default();
     heard.hear(at(0), "older", in_era(1, 5, 90));
     heard.hear(at(0), "newer", in_era(2, 5, 4));
 
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_box_without_routes_lacks_any() {
-    let mut heard = HeardBoxes::default();
+    let mut heard = PeerLiveness::default();
     heard.hear(at(0), "first", have(0, 1));
     let none = KnownState {
         routes: None,
--- a/lib/tests/test_relay_quota_keeper.rs
+++ b/lib/tests/test_relay_quota_keeper.rs
@@ -5,7 +5,7 @@
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::relay::call_quota::CallQuota;
 use badgerferry_lib::relay::call_rate::CallRate;
-use badgerferry_lib::relay::cells::Boxes;
+use badgerferry_lib::relay::gossip_topology::Boxes;
 use badgerferry_lib::relay::permit_wire::PermitAsk;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
 use badgerferry_lib::relay::permit_wire::Verdict;
--- a/lib/tests/test_relay_engine_pace.rs
+++ b/lib/tests/test_relay_slow_engine_tracker.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_pace;
-use badgerferry_lib::relay::engine_pace::EnginePaces;
-use badgerferry_lib::relay::engine_pace::SaidBy;
+use badgerferry_lib::relay::slow_engine_tracker;
+use badgerferry_lib::relay::slow_engine_tracker::ReportOrigin;
+use badgerferry_lib::relay::slow_engine_tracker::SlowEngineTracker;
 use badgerferry_lib::time::Time;
 
 const SLOW: EngineKey = EngineKey(3);
@@ -14,7 +14,7 @@
     (0..count).map(EngineKey).collect()
 }
 
-fn used(paces: &EnginePaces, now: Time, count: u32) -> Vec<EngineKey> {
+fn used(paces: &SlowEngineTracker, now: Time, count: u32) -> Vec<EngineKey> {
     paces.without_slow(now, keys(count), |engine| *engine)
 }
 
@@ -24,7 +24,7 @@
 
 #[test]
 fn an_engine_that_says_it_is_slow_is_left_out_until_the_word_lapses() {
-    let mut paces = EnginePaces::default();
+    let mut paces = SlowEngineTracker::default();
 
     assert!(paces.reported(at(0), SLOW, 5.0));
 
@@ -34,7 +34,7 @@
 
 #[test]
 fn an_engine_of_usual_pace_is_used_again_at_once() {
-    let mut paces = EnginePaces::default();
+    let mut paces = SlowEngineTracker::default();
     paces.reported(at(0), SLOW, 5.0);
 
     assert!(!paces.reported(at(500), SLOW, 1.0));
@@ -44,7 +44,7 @@
 
 #[test]
 fn where_most_are_slow_all_are_used() {
-    let mut paces = EnginePaces::default();
+    let mut paces = SlowEngineTracker::default();
     for engine in keys(3) {
         paces.reported(at(0), engine, 5.0);
     }
@@ -55,13 +55,13 @@
 
 #[test]
 fn what_a_box_learns_reaches_its_hall_and_other_halls() {
-    let (mut learns, mut speaks) = (EnginePaces::default(), EnginePaces::default());
-    let (mut beside, mut far) = (EnginePaces::default(), EnginePaces::default());
+    let (mut learns, mut speaks) = (SlowEngineTracker::default(), SlowEngineTracker::default());
+    let (mut beside, mut far) = (SlowEngineTracker::default(), SlowEngineTracker::default());
 
     learns.reported(at(0), SLOW, 5.0);
-    speaks.told(at(10), SaidBy::OwnHall, &learns.own(at(10)));
-    beside.told(at(10), SaidBy::OwnHall, &learns.own(at(10)));
-    far.told(at(30), SaidBy::OtherHall, &speaks.of_hall(at(20)));
+    speaks.told(at(10), ReportOrigin::OwnHall, &learns.own(at(10)));
+    beside.told(at(10), ReportOrigin::OwnHall, &learns.own(at(10)));
+    far.told(at(30), ReportOrigin::OtherHall, &speaks.of_hall(at(20)));
 
     assert!(beside.is_slow(at(40), SLOW));
     assert!(far.is_slow(at(40), SLOW));
@@ -72,24 +72,27 @@
 /// Each report is paid for: of many boxes one asks on.
 #[test]
 fn an_engine_is_asked_once_a_second_and_on_by_one_box() {
-    let (mut first, mut second) = (EnginePaces::default(), EnginePaces::default());
+    let (mut first, mut second) = (SlowEngineTracker::default(), SlowEngineTracker::default());
 
-    assert!(first.may_ask(at(0), SLOW));
-    assert!(!first.may_ask(at(900), SLOW));
+    assert!(first.should_query(at(0), SLOW));
+    assert!(!first.should_query(at(900), SLOW));
     first.reported(at(1_000), SLOW, 5.0);
     second.reported(at(1_000), SLOW, 5.0);
-    assert!(!first.may_ask(at(1_100), SLOW), "it is known to be slow");
+    assert!(
+        !first.should_query(at(1_100), SLOW),
+        "it is known to be slow"
+    );
 
-    assert!(first.may_ask_again(at(2_000), SLOW));
+    assert!(first.should_query_again(at(2_000), SLOW));
     first.reported(at(2_000), SLOW, 5.0);
-    second.told(at(2_010), SaidBy::OwnHall, &first.own(at(2_010)));
-    assert!(!second.may_ask_again(at(2_100), SLOW));
+    second.told(at(2_010), ReportOrigin::OwnHall, &first.own(at(2_010)));
+    assert!(!second.should_query_again(at(2_100), SLOW));
     assert!(second.is_slow(at(3_000), SLOW));
 }
 
 #[test]
 fn an_engine_that_is_gone_is_forgotten() {
-    let mut paces = EnginePaces::default();
+    let mut paces = SlowEngineTracker::default();
     paces.reported(at(0), SLOW, 5.0);
 
     paces.keep(|engine| engine != SLOW);
@@ -99,7 +102,7 @@
 
 #[test]
 fn a_first_event_is_late_well_beyond_its_estimate() {
-    let late = engine_pace::late_after(Duration::from_millis(400));
+    let late = slow_engine_tracker::late_after(Duration::from_millis(400));
 
     assert_eq!(late, Duration::from_millis(1_100));
 }
--- a/lib/tests/test_relay_state_pull.rs
+++ b/lib/tests/test_relay_state_pull.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use badgerferry_lib::relay::cells::Boxes;
+use badgerferry_lib::relay::gossip_topology::Boxes;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
-use badgerferry_lib::relay::state_pull::first_sources;
+use badgerferry_lib::relay::state_pull::bootstrap_sources;
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, 15], port))
@@ -26,7 +26,7 @@
 fn a_box_never_asks_itself_for_its_first_state() {
     let boxes = Boxes::from([of("own", 1), of("other", 2)]);
 
-    let sources = first_sources(address(1), &[address(1), address(3)], &boxes);
+    let sources = bootstrap_sources(address(1), &[address(1), address(3)], &boxes);
 
     assert_eq!(sources, [address(2), address(3)]);
 }
@@ -35,7 +35,7 @@
 fn a_seed_that_is_known_is_asked_no_more_often_than_others() {
     let boxes = Boxes::from([of("own", 1), of("seed", 3)]);
 
-    let sources = first_sources(address(1), &[address(3)], &boxes);
+    let sources = bootstrap_sources(address(1), &[address(3)], &boxes);
 
     assert_eq!(sources, [address(3)]);
 }
--- a/testutils/src/bin/emulate/relay.rs
+++ b/testutils/src/bin/emulate/relay.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context;
 use argh::FromArgs;
-use badgerferry_lib::relay::cells::Scope;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::served_shares::ServedShares;
 use badgerferry_testutils::relay_model;
 use badgerferry_testutils::relay_model::DayResult;
@@ -55,8 +55,8 @@
         .with_context(|| format!("failed to read {}", args.scenario))?;
     let scenario = Scenario::parse(&text).with_context(|| args.scenario.clone())?;
     let scope = match args.scope.as_str() {
-        "fleet" => Scope::Fleet,
-        "hall" => Scope::Hall,
+        "fleet" => GossipScope::Fleet,
+        "hall" => GossipScope::Hall,
         other => anyhow::bail!("--scope: fleet or hall is expected, not {other}"),
     };
     if args.calls {
--- a/testutils/src/crash_model.rs
+++ b/testutils/src/crash_model.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use badgerferry_lib::relay::cells::LEAST_FAR_PAUSE;
-use badgerferry_lib::relay::hall_reach::HEARTBEAT;
+use badgerferry_lib::relay::gossip_topology::MIN_HALL_GOSSIP_INTERVAL;
+use badgerferry_lib::relay::hall_reachability::HEARTBEAT_INTERVAL;
 use badgerferry_lib::relay::quarantine::APART_FROM;
 use badgerferry_lib::relay::quarantine::Admission;
 use badgerferry_lib::relay::quarantine::Fact;
@@ -259,12 +259,13 @@
             Event::Starts(server) => self.servers[server].start(),
             Event::Heartbeat(at) => {
                 self.tells(now, at);
-                self.agenda.put(now + HEARTBEAT, Event::Heartbeat(at));
+                self.agenda
+                    .put(now + HEARTBEAT_INTERVAL, Event::Heartbeat(at));
             }
             Event::Tells(at) => self.tells(now, at),
             Event::TellsFar(at) => {
                 // One that was due meanwhile has told it already.
-                if now.since(self.boxes[at].last_far) >= LEAST_FAR_PAUSE {
+                if now.since(self.boxes[at].last_far) >= MIN_HALL_GOSSIP_INTERVAL {
                     self.tells(now, at);
                 }
             }
@@ -274,7 +275,7 @@
                     self.keep_in_store(now, at);
                 }
                 if !changes.is_empty() && self.speaks(at) {
-                    let due = now.max(self.boxes[at].last_far + LEAST_FAR_PAUSE);
+                    let due = now.max(self.boxes[at].last_far + MIN_HALL_GOSSIP_INTERVAL);
                     self.agenda.put(due, Event::TellsFar(at));
                 }
             }
@@ -540,7 +541,8 @@
                 self.tell(now + way, at, to, (RunsOf::Box, name.clone()), &rows);
             }
         }
-        let speaks = self.speaks(at) && now.since(self.boxes[at].last_far) >= LEAST_FAR_PAUSE;
+        let speaks =
+            self.speaks(at) && now.since(self.boxes[at].last_far) >= MIN_HALL_GOSSIP_INTERVAL;
         let of_hall = speaks.then(|| self.boxes[at].rows(now, RunsOf::Hall));
         let Some(rows) = of_hall.flatten() else {
             return;
--- a/testutils/src/limit_model/fleet.rs
+++ b/testutils/src/limit_model/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::cells::Boxes;
+use badgerferry_lib::relay::gossip_topology::Boxes;
 use badgerferry_lib::relay::quota_keeper::Keeper;
 use badgerferry_lib::relay::quota_keeper::QuotaKeeper;
 use badgerferry_lib::relay::server_limits::ServerLimits;
--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -6,21 +6,21 @@
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::relay::call::Prompt;
-use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_cell::Cells;
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_load::EngineLoads;
-use badgerferry_lib::relay::engine_load::EngineUse;
+use badgerferry_lib::relay::engine_load::EngineLoad;
+use badgerferry_lib::relay::engine_load::EngineLoadTracker;
 use badgerferry_lib::relay::engine_load::WorkId;
-use badgerferry_lib::relay::engine_pace::EnginePaces;
-use badgerferry_lib::relay::engine_pace::SaidBy;
 use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
 use badgerferry_lib::relay::engine_plan::EnginePool;
 use badgerferry_lib::relay::engine_plan::EngineState;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::long_queue::LongQueue;
 use badgerferry_lib::relay::long_queue::QueueHead;
+use badgerferry_lib::relay::slow_engine_tracker::ReportOrigin;
+use badgerferry_lib::relay::slow_engine_tracker::SlowEngineTracker;
 use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::time::Time;
 use rand::Rng;
@@ -57,7 +57,7 @@
     pub(super) is_urgent: bool,
     pub(super) waits: Option<QueueHead>,
     pub(super) slow: Vec<EngineKey>,
-    pub(super) rows: Vec<(EngineKey, EngineUse)>,
+    pub(super) rows: Vec<(EngineKey, EngineLoad)>,
 }
 
 /// A call that a box places.
@@ -92,9 +92,9 @@
 pub(super) struct ModelBox {
     pub(super) name: String,
     pub(super) hall: usize,
-    pub(super) loads: EngineLoads,
+    pub(super) loads: EngineLoadTracker,
     pub(super) queue: LongQueue,
-    pub(super) paces: EnginePaces,
+    pub(super) paces: SlowEngineTracker,
     pub(super) last_told: Time,
     pub(super) tells_at: Option<Time>,
     sequence: u64,
@@ -104,7 +104,7 @@
 #[derive(Debug)]
 pub(super) struct Rules {
     pub(super) model: EngineModel,
-    pub(super) scope: Scope,
+    pub(super) scope: GossipScope,
     /// Boxes that choose among the same engines.
     pub(super) boxes: usize,
     pub(super) least_pause: Option<Duration>,
@@ -116,9 +116,9 @@
         Self {
             name: format!("box-{at:04}"),
             hall,
-            loads: EngineLoads::default(),
+            loads: EngineLoadTracker::default(),
             queue: LongQueue::default(),
-            paces: EnginePaces::default(),
+            paces: SlowEngineTracker::default(),
             last_told: Time::ZERO,
             tells_at: None,
             sequence: 0,
@@ -141,9 +141,12 @@
 
     /// Takes what another one told.
     pub(super) fn hear(&mut self, now: Time, from: &str, told: &Told) {
-        self.paces.told(now, SaidBy::OwnHall, &told.slow);
+        self.paces.told(now, ReportOrigin::OwnHall, &told.slow);
         let rows = told.rows.clone();
-        if self.loads.take_table(now, from, 1, told.sequence, rows) {
+        if self
+            .loads
+            .update_peer_table(now, from, 1, told.sequence, rows)
+        {
             self.queue.take_head(now, from, told.waits);
         }
     }
@@ -161,11 +164,11 @@
 
     /// Takes what another hall told.
     pub(super) fn hear_hall(&mut self, now: Time, hall: &HallName, told: &Told) {
-        self.paces.told(now, SaidBy::OtherHall, &told.slow);
+        self.paces.told(now, ReportOrigin::OtherHall, &told.slow);
         let rows = told.rows.clone();
         if self
             .loads
-            .take_hall_table(now, hall, 1, told.sequence, rows)
+            .update_hall_table(now, hall, 1, told.sequence, rows)
         {
             self.queue.take_hall_head(now, hall, told.waits);
         }
@@ -179,7 +182,7 @@
         asked: &Asked,
         rng: &mut impl Rng,
     ) -> Option<Planned> {
-        let table: HashMap<EngineKey, EngineUse> = self.loads.table(now);
+        let table: HashMap<EngineKey, EngineLoad> = self.loads.table(now);
         let own = EngineKey::of(&ServerName::new(&self.name)).0;
         let rows = rules.engines.rows.clone();
         let rows = self.paces.without_slow(now, rows, |row| row.0);
--- a/testutils/src/relay_model/run.rs
+++ b/testutils/src/relay_model/run.rs
@@ -5,18 +5,18 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::relay::call::Prompt;
-use badgerferry_lib::relay::cells::FAR_PAUSE;
-use badgerferry_lib::relay::cells::LEAST_FAR_PAUSE;
-use badgerferry_lib::relay::cells::PAUSE_PER_BOX;
-use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::cells::WAITING_HEARTBEAT;
-use badgerferry_lib::relay::engine_pace;
 use badgerferry_lib::relay::engine_plan;
-use badgerferry_lib::relay::hall_reach::HEARTBEAT;
+use badgerferry_lib::relay::gossip_topology::GOSSIP_INTERVAL_PER_BOX;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
+use badgerferry_lib::relay::gossip_topology::MAX_HALL_GOSSIP_INTERVAL;
+use badgerferry_lib::relay::gossip_topology::MIN_HALL_GOSSIP_INTERVAL;
+use badgerferry_lib::relay::gossip_topology::QUEUED_PROMPT_HEARTBEAT;
+use badgerferry_lib::relay::hall_reachability::HEARTBEAT_INTERVAL;
 use badgerferry_lib::relay::long_queue::LOOK_AGAIN;
 use badgerferry_lib::relay::long_queue::RESERVE_AGAIN;
 use badgerferry_lib::relay::long_queue::Ticket;
 use badgerferry_lib::relay::long_queue::Waiting;
+use badgerferry_lib::relay::slow_engine_tracker;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::SeedableRng;
@@ -94,7 +94,11 @@
 }
 
 /// Plays a scenario with a seed; equal seeds give equal arrivals whatever boxes decide.
-pub fn run(scenario: &Scenario, scope: Option<Scope>, seed: u64) -> (DayResult, Vec<CallOutcome>) {
+pub fn run(
+    scenario: &Scenario,
+    scope: Option<GossipScope>,
+    seed: u64,
+) -> (DayResult, Vec<CallOutcome>) {
     let mut world = World::new(scenario, scope, seed);
     let end = Time::ZERO + Duration::from_secs_f64(scenario.seconds) + TAIL;
     while let Some((now, event)) = world.agenda.take(end) {
@@ -117,16 +121,16 @@
 }
 
 impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, scope: Option<Scope>, seed: u64) -> Self {
+    fn new(scenario: &'a Scenario, scope: Option<GossipScope>, seed: u64) -> Self {
         let fleet = &scenario.fleet;
         let halls = fleet.halls.len();
         let boxes: Vec<ModelBox> = (0..halls * fleet.boxes_per_hall)
             .map(|at| ModelBox::new(at, at / fleet.boxes_per_hall))
             .collect();
-        let scope = scope.unwrap_or(Scope::Fleet);
+        let scope = scope.unwrap_or(GossipScope::Fleet);
         let beside = match scope {
-            Scope::Fleet => boxes.len(),
-            Scope::Hall => fleet.boxes_per_hall,
+            GossipScope::Fleet => boxes.len(),
+            GossipScope::Hall => fleet.boxes_per_hall,
         };
         let engines = (0..halls * fleet.engines_per_hall)
             .map(|_| Engine::new(fleet.engine, fleet.context_ms_per_k));
@@ -152,7 +156,7 @@
         for at in 0..world.boxes.len() {
             world.agenda.put(Time::ZERO, Event::Heartbeat(at));
         }
-        if scope == Scope::Hall {
+        if scope == GossipScope::Hall {
             (0..halls).for_each(|hall| world.agenda.put(Time::ZERO, Event::RefreshesFar(hall)));
         }
         world
@@ -233,21 +237,22 @@
             Event::Tells(_) => {}
             Event::Heartbeat(at) => {
                 let pause = if self.boxes[at].queue.is_empty() {
-                    HEARTBEAT
+                    HEARTBEAT_INTERVAL
                 } else {
-                    WAITING_HEARTBEAT
+                    QUEUED_PROMPT_HEARTBEAT
                 };
                 if now.since(self.boxes[at].last_told) >= pause {
                     self.tell(now, at, false);
                 }
                 self.agenda
-                    .put(now + WAITING_HEARTBEAT, Event::Heartbeat(at));
+                    .put(now + QUEUED_PROMPT_HEARTBEAT, Event::Heartbeat(at));
             }
             Event::Hears(from, told) => self.hear(now, from, &told),
             Event::TellsFar(hall) => self.tells_far(now, hall),
             Event::RefreshesFar(hall) => {
                 self.hall_changed(now, hall);
-                self.agenda.put(now + FAR_PAUSE, Event::RefreshesFar(hall));
+                self.agenda
+                    .put(now + MAX_HALL_GOSSIP_INTERVAL, Event::RefreshesFar(hall));
             }
             Event::IsLate(id) => self.is_late(now, id),
             Event::Reports(box_at, engine) => self.reports(now, box_at, engine),
@@ -387,7 +392,7 @@
             let at = now + self.delay(id, engine);
             self.agenda.put(at, Event::Reads(id, engine, part.read));
         }
-        let late_at = now + engine_pace::late_after(placed.plan.expected);
+        let late_at = now + slow_engine_tracker::late_after(placed.plan.expected);
         self.agenda.put(late_at, Event::IsLate(id));
         if !placed.plan.reserve {
             self.engines[placed.engines[0]].hold(self.calls[id].prompt.memory());
@@ -493,7 +498,7 @@
 
     /// Tells of a change after the pause that telling all takes.
     fn changed(&mut self, now: Time, at: usize) {
-        let pause = PAUSE_PER_BOX * self.rules.boxes as u32;
+        let pause = GOSSIP_INTERVAL_PER_BOX * self.rules.boxes as u32;
         let of = &mut self.boxes[at];
         if of.tells_at.is_none() {
             let due = (of.last_told + pause).max(now);
@@ -511,8 +516,8 @@
         let told = Rc::new(self.boxes[at].tell(now, is_urgent));
         let fleet = &self.scenario.fleet;
         let way = match self.rules.scope {
-            Scope::Fleet => fleet.far_ms,
-            Scope::Hall => fleet.near_ms,
+            GossipScope::Fleet => fleet.far_ms,
+            GossipScope::Hall => fleet.near_ms,
         };
         let heard = now + Duration::from_secs_f64((way + fleet.box_ms) / 1e3);
         self.agenda.put(heard, Event::Hears(at, told));
@@ -520,12 +525,12 @@
 
     fn hear(&mut self, now: Time, from: usize, told: &Told) {
         let (name, hall) = (self.boxes[from].name.clone(), self.boxes[from].hall);
-        if told.is_urgent && self.rules.scope == Scope::Hall {
+        if told.is_urgent && self.rules.scope == GossipScope::Hall {
             self.hall_changed(now, hall);
         }
         for at in 0..self.boxes.len() {
             let of = &mut self.boxes[at];
-            if at != from && (self.rules.scope == Scope::Fleet || of.hall == hall) {
+            if at != from && (self.rules.scope == GossipScope::Fleet || of.hall == hall) {
                 of.hear(now, &name, told);
             }
         }
@@ -535,7 +540,7 @@
     fn hall_changed(&mut self, now: Time, hall: usize) {
         let [last, next] = &mut self.far_told[hall];
         if *next <= *last {
-            *next = (*last + LEAST_FAR_PAUSE).max(now);
+            *next = (*last + MIN_HALL_GOSSIP_INTERVAL).max(now);
             self.agenda.put(*next, Event::TellsFar(hall));
         }
     }
--- a/testutils/src/relay_model/run/slow_engines.rs
+++ b/testutils/src/relay_model/run/slow_engines.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use badgerferry_lib::relay::engine_pace::ASK_JITTER;
-use badgerferry_lib::relay::engine_pace::ASK_PAUSE;
+use badgerferry_lib::relay::slow_engine_tracker::QUERY_INTERVAL;
+use badgerferry_lib::relay::slow_engine_tracker::QUERY_JITTER;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -37,7 +37,7 @@
         let box_at = call.box_at;
         for engine in engines {
             let key = self.rules.engines.key(engine);
-            if self.boxes[box_at].paces.may_ask(now, key) {
+            if self.boxes[box_at].paces.should_query(now, key) {
                 self.asks(now, box_at, engine);
             }
         }
@@ -55,8 +55,8 @@
         let pace = self.engines[engine].slowness;
         if self.boxes[box_at].paces.reported(now, key, pace) {
             self.tells(now, box_at);
-            let jitter = self.rng.random_range(0.0..ASK_JITTER);
-            let again = now + ASK_PAUSE + ASK_PAUSE.mul_f64(jitter);
+            let jitter = self.rng.random_range(0.0..QUERY_JITTER);
+            let again = now + QUERY_INTERVAL + QUERY_INTERVAL.mul_f64(jitter);
             self.agenda.put(again, Event::AsksAgain(box_at, engine));
         }
     }
@@ -64,7 +64,7 @@
     /// Asks a slow engine again, unless another box did.
     pub(super) fn asks_again(&mut self, now: Time, box_at: usize, engine: usize) {
         let key = self.rules.engines.key(engine);
-        if self.boxes[box_at].paces.may_ask_again(now, key) {
+        if self.boxes[box_at].paces.should_query_again(now, key) {
             self.asks(now, box_at, engine);
         }
     }
