--- a/cli/src/commands/engines.rs
+++ b/cli/src/commands/engines.rs
@@ -57,7 +57,7 @@
     let mut skipped = 0;
     for path in &args.files {
         log_files::read(path, |line| match line.as_ref().map(engine_line) {
-            Some(Ok(Some((at, line)))) => log.take(at, line),
+            Some(Ok(Some((at, line)))) => log.record(at, line),
             Some(Ok(None)) => {}
             Some(Err(())) | None => skipped += 1,
         })?;
--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -9,8 +9,8 @@
 use badgerferry_lib::relay::call::Prompt;
 use badgerferry_lib::relay::engine_cell::Cells;
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_load::Work;
-use badgerferry_lib::relay::engine_load::WorkId;
+use badgerferry_lib::relay::engine_load::EngineWork;
+use badgerferry_lib::relay::engine_load::EngineWorkId;
 use badgerferry_lib::relay::engine_plan;
 use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
@@ -90,13 +90,13 @@
     }
 
     /// Notes that all reading is over.
-    pub fn read_done(&self, call: &Call) {
+    pub fn prefill_done(&self, call: &Call) {
         if let Some(late) = &self.late {
             late.end();
         }
         let mut loads = lock(&call.relay.loads);
         for &id in &self.works.ids {
-            loads.read_done(id);
+            loads.prefill_done(id);
         }
         drop(loads);
         self.works.changed();
@@ -107,7 +107,7 @@
 #[derive(Debug)]
 struct Works {
     relay: Arc<Relay>,
-    ids: Vec<WorkId>,
+    ids: Vec<EngineWorkId>,
     long: bool,
 }
 
@@ -311,7 +311,7 @@
 struct Planned {
     addresses: Vec<Engine>,
     /// Work at each of them.
-    works: Vec<Work>,
+    works: Vec<EngineWork>,
     plan: EnginePlan,
 }
 
@@ -359,7 +359,9 @@
     if among == Among::Apart {
         let busy = |(record, _): &(&ServerRecord, Standing)| {
             let load = table.get(&record.key);
-            load.map_or(0, |load| u32::from(load.short) + u32::from(load.long))
+            load.map_or(0, |load| {
+                u32::from(load.short_calls) + u32::from(load.long_calls)
+            })
         };
         candidates.retain(|(_, standing)| standing.takes_calls());
         candidates = quarantine::apart(candidates, busy, &mut rand::rng());
--- a/daemon/src/relay/followed.rs
+++ b/daemon/src/relay/followed.rs
@@ -33,7 +33,7 @@
     pub fn take_boxes(&mut self, now: Time, listed: Boxes) {
         let before = std::mem::replace(&mut self.boxes, listed);
         for (name, of) in before {
-            if self.heard.lives(now, &name) {
+            if self.heard.is_live(now, &name) {
                 self.boxes.entry(name).or_insert(of);
             }
         }
@@ -46,7 +46,7 @@
 
     /// Who gives out the calls of limited servers of a hall; `own` is this box.
     pub fn keeper(&self, now: Time, own: &str, hall: &HallName) -> Keeper {
-        let lives = |name: &str| self.heard.lives(now, name);
+        let lives = |name: &str| self.heard.is_live(now, name);
         let up_for = now.since(Time::ZERO);
         Keeper::of(&self.boxes, own, hall, up_for, lives)
     }
--- a/daemon/src/relay/late_calls.rs
+++ b/daemon/src/relay/late_calls.rs
@@ -74,7 +74,7 @@
     let key = engine.key;
     while let Some(pace) = pace_of(&relay, &engine).await {
         let now = relay.clock.now();
-        let is_slow = lock(&relay.paces).reported(now, key, pace);
+        let is_slow = lock(&relay.paces).record_pace(now, key, pace);
         tracing::info!(
             engine = engine.address,
             pace,
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -59,7 +59,7 @@
             hall = %relay.settings.hall,
             front = %relay.settings.front,
             store = %relay.settings.store,
-            lifetime = relay.lifetime,
+            lifetime = relay.incarnation,
             "daemon started"
         );
         tokio::spawn(front::serve(front, Arc::clone(&relay)));
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -92,13 +92,13 @@
         sequence += 1;
         let mut datagram = LoadDatagram {
             is_urgent,
-            waits: lock(&relay.long_queue).head(now),
+            queue_head: lock(&relay.long_queue).head(now),
             ..datagram(relay, now, sequence, LoadSource::Box, rows)
         };
-        let waits = datagram.waits;
+        let queue_head = datagram.queue_head;
         let others = others(relay);
         send_to_all(socket, &mut datagram, &others).await;
-        let heartbeat = match waits {
+        let heartbeat = match queue_head {
             Some(_) => QUEUED_PROMPT_HEARTBEAT,
             None => HEARTBEAT_INTERVAL,
         };
@@ -156,9 +156,9 @@
     if followed.scope() == GossipScope::Fleet {
         return (None, Vec::new());
     }
-    let lives = |name: &str| followed.heard.lives(now, name);
-    let speaker = gossip_topology::speaker(&followed.boxes, &own.name, &own.hall, lives);
-    let receivers = gossip_topology::receivers(&followed.boxes, &own.hall, turn).into_iter();
+    let lives = |name: &str| followed.heard.is_live(now, name);
+    let speaker = gossip_topology::delegate_role(&followed.boxes, &own.name, &own.hall, lives);
+    let receivers = gossip_topology::gossip_targets(&followed.boxes, &own.hall, turn).into_iter();
     let receivers = receivers.filter_map(|of| of.load.parse().ok());
     (speaker, receivers.collect())
 }
@@ -170,13 +170,13 @@
         let is_near = |name: &str| relay.is_near(&followed.boxes, name);
         lock(&relay.loads).hall_table(now, is_near)
     };
-    let teller = LoadSource::Hall {
+    let source = LoadSource::Hall {
         hall: relay.settings.hall.clone(),
-        passed_on: false,
+        is_forwarded: false,
     };
     LoadDatagram {
-        waits: lock(&relay.long_queue).head_of_hall(now),
-        ..datagram(relay, now, sequence, teller, rows)
+        queue_head: lock(&relay.long_queue).head_of_hall(now),
+        ..datagram(relay, now, sequence, source, rows)
     }
 }
 
@@ -184,32 +184,32 @@
     relay: &Relay,
     now: Time,
     sequence: u64,
-    teller: LoadSource,
+    source: LoadSource,
     rows: HashMap<EngineKey, EngineLoad>,
 ) -> LoadDatagram {
     let (faults, departures) = {
         let mut book = lock(&relay.book);
         (book.faults(now), book.departures(now))
     };
-    let (slow, runs_of) = match teller {
-        LoadSource::Box => (lock(&relay.paces).own(now), RunsOf::Box),
-        LoadSource::Hall { .. } => (lock(&relay.paces).of_hall(now), RunsOf::Hall),
+    let (slow_engines, runs_of) = match source {
+        LoadSource::Box => (lock(&relay.paces).own_reports(now), RunsOf::Box),
+        LoadSource::Hall { .. } => (lock(&relay.paces).hall_reports(now), RunsOf::Hall),
     };
     let suspects = lock(&relay.quarantine).rows(now, runs_of);
     let notices = lock(&relay.gate.notices).rows(now);
     LoadDatagram {
         version: FRAME_VERSION,
         from: relay.settings.name.clone(),
-        lifetime: relay.lifetime,
+        incarnation: relay.incarnation,
         sequence,
-        teller,
+        source,
         is_urgent: false,
-        have: relay.known_state(),
+        known_state: relay.known_state(),
         follows_store: relay.follows_store(),
-        waits: None,
+        queue_head: None,
         faults,
         departures,
-        slow,
+        slow_engines,
         suspects,
         notices,
         rows: rows.into_iter().collect(),
@@ -217,7 +217,7 @@
 }
 
 async fn send_to_all(socket: &UdpSocket, datagram: &mut LoadDatagram, to: &[SocketAddr]) {
-    let left_out = datagram.fit();
+    let left_out = datagram.truncate_rows();
     counter!("badgerferry_load_rows_left_out_total").increment(left_out as u64);
     let bytes = datagram.encode();
     for address in to {
@@ -283,7 +283,7 @@
     let own = &relay.settings;
     let others = followed.boxes.values().filter(|of| of.name != own.name);
     others
-        .filter(|of| scope.holds(&own.hall, &of.hall))
+        .filter(|of| scope.includes(&own.hall, &of.hall))
         .filter_map(|of| of.load.parse().ok())
         .collect()
 }
@@ -325,8 +325,8 @@
         if passed_on.is_due(relay, now, &datagram) {
             pass_on(relay, socket, &datagram).await;
         }
-        let have = relay.known_state();
-        let is_newer = have.lacks(datagram.have);
+        let known_state = relay.known_state();
+        let is_newer = known_state.is_behind(datagram.known_state);
         // Far news is pulled by the box that passes it on, the others pull from that one.
         let lacks_state = is_newer && !is_passed_on(&datagram);
         if !lacks_state && !pulls::wants_boxes(relay) {
@@ -363,11 +363,11 @@
 impl PassedOn {
     /// Whether a datagram is to be passed on now, which then counts as done.
     fn is_due(&mut self, relay: &Relay, now: Time, datagram: &LoadDatagram) -> bool {
-        let LoadSource::Hall { hall, passed_on } = &datagram.teller else {
+        let LoadSource::Hall { hall, is_forwarded } = &datagram.source else {
             return false;
         };
         let last = self.last.get(hall);
-        let is_due = !passed_on
+        let is_due = !is_forwarded
             && *hall != relay.settings.hall
             && last.is_none_or(|last| now.since(*last) >= PASS_ON_PAUSE);
         if is_due {
@@ -379,7 +379,7 @@
 
 /// Whose word a datagram is.
 pub fn teller_name(datagram: &LoadDatagram) -> &str {
-    match &datagram.teller {
+    match &datagram.source {
         LoadSource::Box => &datagram.from,
         LoadSource::Hall { hall, .. } => hall.as_str(),
     }
@@ -387,9 +387,9 @@
 
 const fn is_passed_on(datagram: &LoadDatagram) -> bool {
     matches!(
-        datagram.teller,
+        datagram.source,
         LoadSource::Hall {
-            passed_on: true,
+            is_forwarded: true,
             ..
         }
     )
@@ -398,22 +398,22 @@
 /// Gives a datagram of another hall to the boxes of this one.
 async fn pass_on(relay: &Relay, socket: &UdpSocket, datagram: &LoadDatagram) {
     let mut datagram = datagram.clone();
-    if let LoadSource::Hall { passed_on, .. } = &mut datagram.teller {
-        *passed_on = true;
+    if let LoadSource::Hall { is_forwarded, .. } = &mut datagram.source {
+        *is_forwarded = true;
     }
     send_to_all(socket, &mut datagram, &others(relay)).await;
 }
 
 fn take_rows(relay: &Relay, now: Time, datagram: &mut LoadDatagram) {
-    let (lifetime, sequence) = (datagram.lifetime, datagram.sequence);
+    let (incarnation, sequence) = (datagram.incarnation, datagram.sequence);
     let from = &datagram.from;
-    match &datagram.teller {
+    match &datagram.source {
         LoadSource::Box => {
             let rows = std::mem::take(&mut datagram.rows);
             let is_newer =
-                lock(&relay.loads).update_peer_table(now, from, lifetime, sequence, rows);
+                lock(&relay.loads).update_peer_table(now, from, incarnation, sequence, rows);
             if is_newer {
-                lock(&relay.long_queue).take_head(now, from, datagram.waits);
+                lock(&relay.long_queue).take_head(now, from, datagram.queue_head);
             }
             if datagram.is_urgent {
                 relay.hall_changed.notify_one();
@@ -423,8 +423,8 @@
         LoadSource::Hall { hall, .. } if *hall == relay.settings.hall => {}
         LoadSource::Hall { hall, .. } => {
             let rows = datagram.rows.clone();
-            if lock(&relay.loads).update_hall_table(now, hall, lifetime, sequence, rows) {
-                lock(&relay.long_queue).take_hall_head(now, hall, datagram.waits);
+            if lock(&relay.loads).update_hall_table(now, hall, incarnation, sequence, rows) {
+                lock(&relay.long_queue).take_hall_head(now, hall, datagram.queue_head);
             }
         }
     }
@@ -437,7 +437,9 @@
         if datagram.follows_store {
             followed.neighbour_at = Some(now);
         }
-        followed.heard.hear(now, &datagram.from, datagram.have);
+        followed
+            .heard
+            .record(now, &datagram.from, datagram.known_state);
         let hall = followed.boxes.get(&datagram.from);
         let hall = hall.map(|of| HallName::new(&of.hall));
         followed.heard_unknown |= hall.is_none();
@@ -452,7 +454,7 @@
     } else {
         ReportOrigin::OtherHall
     };
-    lock(&relay.paces).told(now, said_by, &datagram.slow);
+    lock(&relay.paces).record_gossip(now, said_by, &datagram.slow_engines);
     let mut book = lock(&relay.book);
     book.heard(now, own, &hall, &datagram.from);
     book.told_departures(now, &datagram.departures);
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -97,14 +97,14 @@
 
 /// A box that has newer state, drawn from those that said so.
 fn any_ahead(relay: &Relay) -> Option<String> {
-    let have = relay.known_state();
+    let known_state = relay.known_state();
     let followed = lock(&relay.followed);
-    let ahead = followed.heard.ahead_of(relay.clock.now(), have);
+    let ahead = followed.heard.ahead_of(relay.clock.now(), known_state);
     ahead.choose(&mut rand::rng()).map(|&name| name.to_owned())
 }
 
 /// Pulls from a box, or from any other one if its address is not known.
-async fn pull_from_named(relay: &Arc<Relay>, name: &str, have: KnownState) -> Pulled {
+async fn pull_from_named(relay: &Arc<Relay>, name: &str, known_state: KnownState) -> Pulled {
     let address = {
         let followed = lock(&relay.followed);
         let named = followed.boxes.get(name).map(|of| of.pull.clone());
@@ -118,7 +118,7 @@
         })
     };
     match address.and_then(|address| address.parse().ok()) {
-        Some(address) => pull(relay, address, have).await,
+        Some(address) => pull(relay, address, known_state).await,
         None => Pulled::Done,
     }
 }
@@ -136,10 +136,10 @@
     }
 }
 
-async fn pull(relay: &Arc<Relay>, address: SocketAddr, have: KnownState) -> Pulled {
+async fn pull(relay: &Arc<Relay>, address: SocketAddr, known_state: KnownState) -> Pulled {
     let request = PullRequest {
         version: FRAME_VERSION,
-        have,
+        known_state,
         wants_boxes: wants_boxes(relay),
     };
     if request.wants_boxes {
@@ -164,8 +164,8 @@
     };
     tracing::info!(
         %address,
-        have_version = have.routes,
-        have_servers = %have.servers,
+        have_version = known_state.routes,
+        have_servers = %known_state.servers,
         version = table.as_ref().map(|table| table.version),
         servers = answer.servers.as_ref().map(news_for_log),
         "state from a neighbour"
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -77,7 +77,7 @@
     /// What the platform told this process.
     pub settings: BoxSettings,
     /// Distinguishes this life of the process from others.
-    pub lifetime: u64,
+    pub incarnation: u64,
     /// The process's clock.
     pub clock: Clock,
     /// The route table in force.
@@ -150,7 +150,7 @@
         });
         Self {
             settings,
-            lifetime: rand::random(),
+            incarnation: rand::random(),
             clock,
             routes: ArcSwapOption::empty(),
             routes_known: Notify::new(),
@@ -257,7 +257,7 @@
         let followed = lock(&self.followed);
         let own = &self.settings.hall;
         let beside = followed.boxes.values();
-        let beside = beside.filter(|of| scope.holds(own, &of.hall)).count();
+        let beside = beside.filter(|of| scope.includes(own, &of.hall)).count();
         beside.max(1)
     }
 
@@ -276,9 +276,9 @@
 
     /// What another box lacks; see [`Self::table_for`].
     pub fn newer_than(&self, request: &PullRequest) -> PullResponse {
-        let have = request.have;
+        let known_state = request.known_state;
         // Boxes that are up hear of them with the datagrams.
-        let has_just_started = have.routes.is_none();
+        let has_just_started = known_state.routes.is_none();
         let notices = if has_just_started {
             lock(&self.gate.notices).all_rows(self.clock.now())
         } else {
@@ -291,8 +291,8 @@
             Vec::new()
         };
         PullResponse {
-            table_follows: self.version_in_force() > have.routes,
-            servers: followed.servers.news_since(have.servers),
+            table_follows: self.version_in_force() > known_state.routes,
+            servers: followed.servers.news_since(known_state.servers),
             hold_left: followed.servers.hold_left(self.clock.now()),
             notices,
             boxes,
@@ -383,7 +383,7 @@
         let listed: HashSet<EngineKey> = (servers.iter())
             .map(|server| EngineKey::of(&server.name))
             .collect();
-        lock(&self.paces).keep(|engine| listed.contains(&engine));
+        lock(&self.paces).retain(|engine| listed.contains(&engine));
         lock(&self.book).set_servers(servers);
         self.load_changed.notify_one();
     }
--- a/daemon/src/relay/store_follow.rs
+++ b/daemon/src/relay/store_follow.rs
@@ -199,7 +199,7 @@
         let abandoned = {
             let followed = lock(&self.relay.followed);
             let silent_for = |name: &str| followed.heard.silent_for(now, name);
-            gossip_topology::abandoned(&followed.boxes, &self.own, silent_for)
+            gossip_topology::expired_boxes(&followed.boxes, &self.own, silent_for)
         };
         for name in abandoned {
             if let Some(&at) = self.entries.get(&name) {
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -273,7 +273,7 @@
 /// one hear it from there as well, but for those of other halls, if this one speaks for its own.
 pub fn heard(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let (from, rows) = (teller_name(datagram), &datagram.suspects);
-    let of = match datagram.teller {
+    let of = match datagram.source {
         LoadSource::Box => RunsOf::Box,
         LoadSource::Hall { .. } => RunsOf::Hall,
     };
--- a/daemon/src/relay/tries.rs
+++ b/daemon/src/relay/tries.rs
@@ -507,7 +507,7 @@
         };
         return broken.end(call, flight).await;
     };
-    flight.chosen.read_done(call);
+    flight.chosen.prefill_done(call);
     TryResult::Live(Box::new(Live {
         head: parts,
         events,
--- a/lib/src/relay/engine_group.rs
+++ b/lib/src/relay/engine_group.rs
@@ -72,7 +72,7 @@
     /// longer part gains.
     fn bears(&self, at: usize) -> Duration {
         let load = &self.engines[at].load;
-        match (load.short, load.long) {
+        match (load.short_calls, load.long_calls) {
             _ if load.long_prefills > 0 => Duration::ZERO,
             _ if at < self.lane => self.bearable.beside_short,
             (0, 0) if self.is_huge => Duration::MAX,
@@ -94,7 +94,7 @@
     fn leads(&self, at: usize) -> bool {
         let engine = &self.engines[at];
         engine.free_memory(self.model) >= self.prompt.memory()
-            && engine.load.long < MOST_LONG_STREAMS
+            && engine.load.long_calls < MOST_LONG_STREAMS
             && engine.writers() < self.model.slots
     }
 
@@ -132,7 +132,7 @@
             (
                 is_ordered,
                 writes_short,
-                engine.load.long,
+                engine.load.long_calls,
                 engine.preference,
             )
         });
--- a/lib/src/relay/engine_load.rs
+++ b/lib/src/relay/engine_load.rs
@@ -1,7 +1,7 @@
 //! What every engine is doing, from this box's own calls and from what other boxes tell.
 //!
 //! Engines report late, and asking them costs. A box knows its own calls exactly, and each
-//! box sends the others its whole table often; a table has a lifetime, so nothing that a dead
+//! box sends the others its whole table often; a table has a incarnation, so nothing that a dead
 //! box announced stays. Where boxes are many, those of another hall are known by one table that
 //! holds the sum of theirs. The sum over all tables is what routing goes by.
 
@@ -50,9 +50,9 @@
     /// that part and all others of the first prompt.
     pub long_prefills: u16,
     /// Short calls there, whether they read, wait or write.
-    pub short: u16,
+    pub short_calls: u16,
     /// Long calls that are led there.
-    pub long: u16,
+    pub long_calls: u16,
     /// Memory of the calls that are led there, in kilotokens.
     pub memory_kilotokens: u32,
 }
@@ -62,56 +62,56 @@
     pub const fn add(&mut self, other: Self) {
         self.prefill_ms += other.prefill_ms;
         self.long_prefills += other.long_prefills;
-        self.short += other.short;
-        self.long += other.long;
+        self.short_calls += other.short_calls;
+        self.long_calls += other.long_calls;
         self.memory_kilotokens += other.memory_kilotokens;
     }
 
     /// Whether there is any.
-    pub const fn is_none(&self) -> bool {
+    pub const fn is_idle(&self) -> bool {
         self.prefill_ms == 0
             && self.long_prefills == 0
-            && self.short == 0
-            && self.long == 0
+            && self.short_calls == 0
+            && self.long_calls == 0
             && self.memory_kilotokens == 0
     }
 }
 
 /// Identifies a piece of own work until it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WorkId(u64);
+pub struct EngineWorkId(u64);
 
 /// What a call does at one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Work {
+pub struct EngineWork {
     /// Reading there.
-    pub read: Duration,
+    pub prefill: Duration,
     /// Until the engine begins with it.
     pub delay: Duration,
     /// Memory that it takes there, in tokens.
-    pub memory: u64,
+    pub memory_tokens: u64,
     /// Whether the engine leads the call, or only reads a part.
-    pub leads: bool,
+    pub is_lead: bool,
     /// Whether the call is long.
-    pub long: bool,
+    pub is_long: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     engine: EngineKey,
-    work: Work,
+    work: EngineWork,
     /// When its reading should be over.
-    read_over: Time,
+    prefill_ends_at: Time,
     /// When it no longer counts as reading even if its end was not seen.
-    forgotten: Time,
-    reading: bool,
+    expires_at: Time,
+    is_prefilling: bool,
 }
 
 #[derive(Debug, Default)]
 struct PeerTable {
     sequence: u64,
-    lifetime: u64,
-    taken: Time,
+    incarnation: u64,
+    received_at: Time,
     rows: Vec<(EngineKey, EngineLoad)>,
 }
 
@@ -119,29 +119,29 @@
 #[derive(Debug, Default)]
 pub struct EngineLoadTracker {
     next: u64,
-    own: HashMap<WorkId, Entry>,
+    own: HashMap<EngineWorkId, Entry>,
     peers: HashMap<String, PeerTable>,
     halls: HashMap<HallName, PeerTable>,
 }
 
 impl PeerTable {
     /// Takes a newer table; false if it is older, and ignored.
-    fn take(&mut self, newer: Self) -> bool {
-        let is_newer = self.lifetime != newer.lifetime || newer.sequence > self.sequence;
+    fn update(&mut self, newer: Self) -> bool {
+        let is_newer = self.incarnation != newer.incarnation || newer.sequence > self.sequence;
         if is_newer {
             *self = newer;
         }
         is_newer
     }
 
-    fn lives(&self, now: Time) -> bool {
-        now.since(self.taken) < TABLE_TTL
+    fn is_live(&self, now: Time) -> bool {
+        now.since(self.received_at) < TABLE_TTL
     }
 
     /// Adds its work as it is by now.
     fn add_to(&self, now: Time, table: &mut HashMap<EngineKey, EngineLoad>) {
         for &(engine, row) in &self.rows {
-            let row = row.after(now.since(self.taken));
+            let row = row.after(now.since(self.received_at));
             table.entry(engine).or_default().add(row);
         }
     }
@@ -149,30 +149,30 @@
 
 impl EngineLoadTracker {
     /// Records own work sent to an engine.
-    pub fn begin(&mut self, now: Time, engine: EngineKey, work: Work) -> WorkId {
-        let id = WorkId(self.next);
+    pub fn begin(&mut self, now: Time, engine: EngineKey, work: EngineWork) -> EngineWorkId {
+        let id = EngineWorkId(self.next);
         self.next += 1;
-        let read_over = now + work.delay + work.read;
+        let prefill_ends_at = now + work.delay + work.prefill;
         let entry = Entry {
             engine,
             work,
-            read_over,
-            forgotten: read_over + work.read * OVERRUN + OVERRUN_SLACK,
-            reading: true,
+            prefill_ends_at,
+            expires_at: prefill_ends_at + work.prefill * OVERRUN + OVERRUN_SLACK,
+            is_prefilling: true,
         };
         self.own.insert(id, entry);
         id
     }
 
     /// Records that its reading is over: the first token has come.
-    pub fn read_done(&mut self, id: WorkId) {
+    pub fn prefill_done(&mut self, id: EngineWorkId) {
         if let Some(entry) = self.own.get_mut(&id) {
-            entry.reading = false;
+            entry.is_prefilling = false;
         }
     }
 
     /// Records its end.
-    pub fn end(&mut self, id: WorkId) {
+    pub fn end(&mut self, id: EngineWorkId) {
         self.own.remove(&id);
     }
 
@@ -181,17 +181,17 @@
         &mut self,
         now: Time,
         from: &str,
-        lifetime: u64,
+        incarnation: u64,
         sequence: u64,
         rows: Vec<(EngineKey, EngineLoad)>,
     ) -> bool {
         let table = PeerTable {
             sequence,
-            lifetime,
-            taken: now,
+            incarnation,
+            received_at: now,
             rows,
         };
-        self.peers.entry(from.to_owned()).or_default().take(table)
+        self.peers.entry(from.to_owned()).or_default().update(table)
     }
 
     /// Takes the table of all boxes of another hall, whichever box speaks for it; false if it is
@@ -200,17 +200,17 @@
         &mut self,
         now: Time,
         hall: &HallName,
-        lifetime: u64,
+        incarnation: u64,
         sequence: u64,
         rows: Vec<(EngineKey, EngineLoad)>,
     ) -> bool {
         let table = PeerTable {
             sequence,
-            lifetime,
-            taken: now,
+            incarnation,
+            received_at: now,
             rows,
         };
-        self.halls.entry(hall.clone()).or_default().take(table)
+        self.halls.entry(hall.clone()).or_default().update(table)
     }
 
     /// Own work by engine, for the other boxes.
@@ -218,9 +218,9 @@
         let mut table: HashMap<EngineKey, EngineLoad> = HashMap::new();
         for entry in self.own.values() {
             let row = table.entry(entry.engine).or_default();
-            row.add(entry.use_at(now));
+            row.add(entry.load_at(now));
         }
-        table.retain(|_, row| !row.is_none());
+        table.retain(|_, row| !row.is_idle());
         table
     }
 
@@ -228,7 +228,7 @@
     pub fn table(&self, now: Time) -> HashMap<EngineKey, EngineLoad> {
         let mut table = self.own_table(now);
         let peers = self.peers.values().chain(self.halls.values());
-        for peer in peers.filter(|peer| peer.lives(now)) {
+        for peer in peers.filter(|peer| peer.is_live(now)) {
             peer.add_to(now, &mut table);
         }
         table
@@ -242,11 +242,11 @@
     ) -> HashMap<EngineKey, EngineLoad> {
         let mut table = self.own_table(now);
         for (name, peer) in &self.peers {
-            if peer.lives(now) && is_near(name) {
+            if peer.is_live(now) && is_near(name) {
                 peer.add_to(now, &mut table);
             }
         }
-        table.retain(|_, row| !row.is_none());
+        table.retain(|_, row| !row.is_idle());
         table
     }
 }
@@ -266,30 +266,30 @@
     ///
     /// Never more than the part itself: what is read before it has entries of its own, and
     /// counting that again in each one told of 300 s of reading in a jam of two seconds.
-    fn reading_left(&self, now: Time) -> Duration {
-        let late = now.since(self.read_over);
+    fn remaining_prefill(&self, now: Time) -> Duration {
+        let late = now.since(self.prefill_ends_at);
         let left = if late.is_zero() {
-            now.until(self.read_over)
+            now.until(self.prefill_ends_at)
         } else {
             late
         };
-        left.min(self.work.read)
+        left.min(self.work.prefill)
     }
 
-    fn use_at(&self, now: Time) -> EngineLoad {
-        let reads = self.reading && now < self.forgotten;
+    fn load_at(&self, now: Time) -> EngineLoad {
+        let reads = self.is_prefilling && now < self.expires_at;
         let left = if reads {
-            self.reading_left(now)
+            self.remaining_prefill(now)
         } else {
             Duration::ZERO
         };
-        let leads = self.work.leads;
+        let is_lead = self.work.is_lead;
         EngineLoad {
             prefill_ms: left.as_millis() as u32,
-            long_prefills: u16::from(reads && self.work.long),
-            short: u16::from(leads && !self.work.long),
-            long: u16::from(leads && self.work.long),
-            memory_kilotokens: (self.work.memory / 1_000) as u32,
+            long_prefills: u16::from(reads && self.work.is_long),
+            short_calls: u16::from(is_lead && !self.work.is_long),
+            long_calls: u16::from(is_lead && self.work.is_long),
+            memory_kilotokens: (self.work.memory_tokens / 1_000) as u32,
         }
     }
 }
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -20,7 +20,7 @@
 use crate::relay::engine_group::LONG_PAUSE;
 use crate::relay::engine_group::LONGEST_PART_ALONE;
 use crate::relay::engine_load::EngineLoad;
-use crate::relay::engine_load::Work;
+use crate::relay::engine_load::EngineWork;
 use crate::relay::standing::Standing;
 
 /// Engines that may read for one call beside the one that leads it; the engines' limit.
@@ -171,15 +171,15 @@
 
 impl EnginePlan {
     /// The work at each part's engine, for the load table; `engines` are those of the plan.
-    pub fn works(&self, engines: &[EngineState]) -> Vec<Work> {
+    pub fn works(&self, engines: &[EngineState]) -> Vec<EngineWork> {
         let work = |(at, part): (usize, &Part)| {
             let ahead = Duration::from_millis(engines[part.engine].load.prefill_ms.into());
-            Work {
-                read: part.read,
+            EngineWork {
+                prefill: part.read,
                 delay: ahead + part.delay,
-                memory: part.memory,
-                leads: at == 0,
-                long: self.long,
+                memory_tokens: part.memory,
+                is_lead: at == 0,
+                is_long: self.long,
             }
         };
         self.parts.iter().enumerate().map(work).collect()
@@ -199,7 +199,7 @@
 pub fn short_lane(model: &EngineModel, engines: &[EngineState]) -> usize {
     let short: usize = engines
         .iter()
-        .map(|engine| usize::from(engine.load.short))
+        .map(|engine| usize::from(engine.load.short_calls))
         .sum();
     let per_engine = (f64::from(model.slots) * SHORT_PART_OF_BATCH).max(1.0) as usize;
     let wanted = short.div_ceil(per_engine) + SPARE_SHORT_ENGINES;
@@ -262,7 +262,7 @@
 impl EngineState {
     /// Streams that it writes.
     pub(crate) fn writers(&self) -> u32 {
-        u32::from(self.load.short) + u32::from(self.load.long)
+        u32::from(self.load.short_calls) + u32::from(self.load.long_calls)
     }
 
     /// Tokens that it has room for.
--- a/lib/src/relay/engine_utilization.rs
+++ b/lib/src/relay/engine_utilization.rs
@@ -196,7 +196,7 @@
 impl EngineLog {
     /// Takes a line that was written at a time, in milliseconds of any epoch. Lines of one box come
     /// in the order of their times; those of several may be mixed.
-    pub fn take(&mut self, at: u64, line: EngineLine) {
+    pub fn record(&mut self, at: u64, line: EngineLine) {
         match line {
             EngineLine::Routed(line) => self.routed(at, line),
             EngineLine::FirstEvent { call } => {
--- a/lib/src/relay/gossip_topology.rs
+++ b/lib/src/relay/gossip_topology.rs
@@ -65,13 +65,13 @@
     }
 
     /// Whether a box that keeps to this scope tells one of that hall.
-    pub fn holds(self, own: &HallName, hall: &str) -> bool {
+    pub fn includes(self, own: &HallName, hall: &str) -> bool {
         self == Self::Fleet || own.as_str() == hall
     }
 }
 
 /// Boxes of a hall; those with most processor time come first, and do what one must do for all.
-pub fn ranked<'a>(boxes: &'a Boxes, hall: &str) -> Vec<&'a BoxAddresses> {
+pub fn ranked_boxes<'a>(boxes: &'a Boxes, hall: &str) -> Vec<&'a BoxAddresses> {
     let mut ranked: Vec<&BoxAddresses> = boxes.values().filter(|of| of.hall == hall).collect();
     ranked.sort_by_key(|of| (Reverse(of.processor), &of.name));
     ranked
@@ -80,7 +80,7 @@
 /// How many boxes of its hall rank before a box, whether it is known itself or not yet.
 pub fn rank_in_hall(boxes: &Boxes, hall: &HallName, processor: u16, name: &str) -> usize {
     let own = (Reverse(processor), name);
-    let ranked = ranked(boxes, hall.as_str());
+    let ranked = ranked_boxes(boxes, hall.as_str());
     let before = |of: &&&BoxAddresses| (Reverse(of.processor), of.name.as_str()) < own;
     ranked.iter().filter(before).count()
 }
@@ -95,16 +95,16 @@
 }
 
 /// Whether and how a box speaks for its hall, as far as it knows who else lives there.
-pub fn speaker(
+pub fn delegate_role(
     boxes: &Boxes,
     own: &str,
     hall: &HallName,
-    lives: impl Fn(&str) -> bool,
+    is_live: impl Fn(&str) -> bool,
 ) -> Option<DelegateRole> {
-    let ranked = ranked(boxes, hall.as_str());
+    let ranked = ranked_boxes(boxes, hall.as_str());
     let mut living = ranked
         .into_iter()
-        .filter(|of| of.name == own || lives(&of.name));
+        .filter(|of| of.name == own || is_live(&of.name));
     match living.position(|of| of.name == own)? {
         0 => Some(DelegateRole::Primary),
         1 => Some(DelegateRole::Backup),
@@ -117,32 +117,32 @@
     boxes: &'a Boxes,
     own: &str,
     hall: &HallName,
-    lives: impl Fn(&str) -> bool,
+    is_live: impl Fn(&str) -> bool,
 ) -> Option<&'a BoxAddresses> {
     let halls: BTreeSet<&str> = boxes.values().map(|of| of.hall.as_str()).collect();
     let from = halls.range(hall.as_str()..);
     let mut halls = from.chain(halls.range(..hall.as_str()));
     halls.find_map(|hall| {
-        let mut ranked = ranked(boxes, hall).into_iter();
-        ranked.find(|of| of.name == own || lives(&of.name))
+        let mut ranked = ranked_boxes(boxes, hall).into_iter();
+        ranked.find(|of| of.name == own || is_live(&of.name))
     })
 }
 
 /// Halls in which boxes are known.
-pub fn halls(boxes: &Boxes) -> usize {
+pub fn hall_count(boxes: &Boxes) -> usize {
     let halls: BTreeSet<&str> = boxes.values().map(|of| of.hall.as_str()).collect();
     halls.len()
 }
 
 /// Boxes of a hall that were silent so long that they are gone for good. Its first box that lives
 /// sees to it, and none that hears nobody: then it is itself that is cut off.
-pub fn abandoned(
+pub fn expired_boxes(
     boxes: &Boxes,
     own: &BoxAddresses,
     silent_for: impl Fn(&str) -> Duration,
 ) -> Vec<String> {
     let is_silent = |of: &&BoxAddresses| silent_for(&of.name) >= BOX_EXPIRY;
-    let others = ranked(boxes, &own.hall).into_iter();
+    let others = ranked_boxes(boxes, &own.hall).into_iter();
     let others = others.filter(|of| of.name != own.name);
     let (silent, living): (Vec<_>, Vec<_>) = others.partition(is_silent);
     let goes_before = |of: &&BoxAddresses| {
@@ -155,14 +155,14 @@
 }
 
 /// One box of each other hall, another one each turn.
-pub fn receivers<'a>(boxes: &'a Boxes, own: &HallName, turn: usize) -> Vec<&'a BoxAddresses> {
+pub fn gossip_targets<'a>(boxes: &'a Boxes, own: &HallName, turn: usize) -> Vec<&'a BoxAddresses> {
     let mut halls: Vec<&str> = boxes.values().map(|of| of.hall.as_str()).collect();
     halls.sort_unstable();
     halls.dedup();
     let others = halls.into_iter().filter(|hall| *hall != own.as_str());
     others
         .filter_map(|hall| {
-            let mut ranked = ranked(boxes, hall);
+            let mut ranked = ranked_boxes(boxes, hall);
             ranked.truncate(RECEIVERS_PER_HALL);
             ranked.get(turn % ranked.len().max(1)).copied()
         })
--- a/lib/src/relay/hall_reachability.rs
+++ b/lib/src/relay/hall_reachability.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records a datagram of a box of another hall.
-    pub fn heard(&mut self, now: Time, hall: &HallName, from: &str) {
+    pub fn record_heartbeat(&mut self, now: Time, hall: &HallName, from: &str) {
         let reach = self.of(hall);
         reach.heard = now;
         reach.next_trial = now + TRIAL;
@@ -92,19 +92,19 @@
     }
 
     /// Records an answer of a server.
-    pub fn answered(&mut self, now: Time, hall: &HallName) {
+    pub fn record_answer(&mut self, now: Time, hall: &HallName) {
         self.of(hall).answered = now;
     }
 
     /// Records a call sent there.
-    pub fn sent(&mut self, now: Time, hall: &HallName) {
+    pub fn record_call(&mut self, now: Time, hall: &HallName) {
         if self.is_silent(now, hall) {
             self.of(hall).next_trial = now + TRIAL;
         }
     }
 
     /// Whether calls may go there.
-    pub fn admits(&self, now: Time, hall: &HallName) -> bool {
+    pub fn allows_calls(&self, now: Time, hall: &HallName) -> bool {
         let trial = self.halls.get(hall).map(|reach| reach.next_trial);
         !self.is_silent(now, hall) || trial.is_some_and(|trial| now >= trial)
     }
--- a/lib/src/relay/load_datagram.rs
+++ b/lib/src/relay/load_datagram.rs
@@ -25,7 +25,7 @@
         /// The hall.
         hall: HallName,
         /// Whether a box of the hall that is told passes it on to the others there.
-        passed_on: bool,
+        is_forwarded: bool,
     },
 }
 
@@ -37,25 +37,25 @@
     /// The box.
     pub from: String,
     /// Drawn anew at each start of the box.
-    pub lifetime: u64,
+    pub incarnation: u64,
     /// Rises with each datagram of a lifetime, for each [`LoadSource`] by itself.
     pub sequence: u64,
     /// Whose work it tells.
-    pub teller: LoadSource,
+    pub source: LoadSource,
     /// Whether what can't wait has changed, as what long prompts do; other halls are told at once, too.
     pub is_urgent: bool,
     /// The state that it has.
-    pub have: KnownState,
+    pub known_state: KnownState,
     /// Whether the store answered it lately, so that others may follow it in place of the store.
     pub follows_store: bool,
     /// The long prompt that would be sent next of those that wait there, if any.
-    pub waits: Option<QueueHead>,
+    pub queue_head: Option<QueueHead>,
     /// Servers that others named to it as being at fault lately.
     pub faults: Vec<EngineKey>,
     /// Servers that leave or are gone, as the store told it lately.
     pub departures: Vec<EngineKey>,
     /// Engines that told it, or a box of the hall that it tells of, of being slow lately.
-    pub slow: Vec<EngineKey>,
+    pub slow_engines: Vec<EngineKey>,
     /// Pieces of work under which servers ended.
     pub suspects: Vec<WorkRow>,
     /// What servers say of the calls they take.
@@ -86,7 +86,7 @@
     }
 
     /// Leaves out rows until it fits into a packet; gives back how many.
-    pub fn fit(&mut self) -> usize {
+    pub fn truncate_rows(&mut self) -> usize {
         let before = self.rows.len();
         while self.encode().len() > MAX_DATAGRAM_BYTES && !self.rows.is_empty() {
             let most = self.rows.len() * 4 / 5;
--- a/lib/src/relay/peer_liveness.rs
+++ b/lib/src/relay/peer_liveness.rs
@@ -1,4 +1,4 @@
-//! Which other boxes are heard, and what state they say they have.
+//! Which other boxes are heard, and what state they say they known_state.
 //!
 //! Newer state spreads by pulls, of which a box answers a few at a time. One that is turned away asks
 //! another box that has said it is ahead: by then there are more of them, so the state spreads in a
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Heard {
     at: Time,
-    have: KnownState,
+    known_state: KnownState,
 }
 
 /// Other boxes by name.
@@ -27,8 +27,8 @@
 
 impl PeerLiveness {
     /// Records what a box said of its state.
-    pub fn hear(&mut self, at: Time, name: &str, have: KnownState) {
-        self.rows.insert(name.to_owned(), Heard { at, have });
+    pub fn record(&mut self, at: Time, name: &str, known_state: KnownState) {
+        self.rows.insert(name.to_owned(), Heard { at, known_state });
     }
 
     /// How long a box has not been heard; since the start if it never was.
@@ -38,7 +38,7 @@
     }
 
     /// Whether a box was heard lately.
-    pub fn lives(&self, now: Time, name: &str) -> bool {
+    pub fn is_live(&self, now: Time, name: &str) -> bool {
         let heard = self.rows.get(name);
         heard.is_some_and(|row| now.since(row.at) < LIVENESS_TIMEOUT)
     }
@@ -49,11 +49,12 @@
         heard.any(|row| now.since(row.at) < LIVENESS_TIMEOUT)
     }
 
-    /// Living boxes that said they have newer state than this.
-    pub fn ahead_of(&self, now: Time, have: KnownState) -> Vec<&str> {
+    /// Living boxes that said they known_state newer state than this.
+    pub fn ahead_of(&self, now: Time, known_state: KnownState) -> Vec<&str> {
         let rows = self.rows.iter();
-        let ahead =
-            rows.filter(|(_, row)| now.since(row.at) < LIVENESS_TIMEOUT && have.lacks(row.have));
+        let ahead = rows.filter(|(_, row)| {
+            now.since(row.at) < LIVENESS_TIMEOUT && known_state.is_behind(row.known_state)
+        });
         ahead.map(|(name, _)| name.as_str()).collect()
     }
 }
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -211,11 +211,11 @@
         life: ServerLife,
         began: Time,
     ) -> Option<Change> {
-        let at = SignedTime::of(now);
+        let at = SignedTime::from_time(now);
         let end = End {
             life,
             at,
-            began: SignedTime::of(began),
+            began: SignedTime::from_time(began),
             to_store: true,
         };
         self.change(now, work, |known| {
@@ -236,12 +236,14 @@
         if !self.works.contains_key(&work) {
             return None;
         }
-        self.change(now, work, |known| known.good = Some(SignedTime::of(now)))
+        self.change(now, work, |known| {
+            known.good = Some(SignedTime::from_time(now))
+        })
     }
 
     /// Takes what the store holds.
     pub fn stored(&mut self, now: Time, work: WorkKey, fact: Fact) -> Option<Change> {
-        let at = SignedTime::of(now);
+        let at = SignedTime::from_time(now);
         match fact {
             Fact::Ended(life) => self.change(now, work, |known| {
                 known.add(End {
@@ -281,7 +283,7 @@
         from: &str,
         rows: &[WorkRow],
     ) -> Vec<Change> {
-        let ago = |millis: u32| SignedTime::ago(now, millis);
+        let ago = |millis: u32| SignedTime::before_now(now, millis);
         let take = |row: &WorkRow| {
             self.change(now, row.work, |known| {
                 // The other box missed the good run that this one knows of.
@@ -407,9 +409,9 @@
             work,
             lives: newest.map(|end| end.told(now)).collect(),
             held: (known.held.filter(|_| known.held_at(now).is_some()))
-                .map(|held| (held.first.millis_ago(now), held.last.millis_ago(now))),
-            released: known.released.map(|at| at.millis_ago(now)),
-            good: known.good.map(|at| at.millis_ago(now)),
+                .map(|held| (held.first.age_ms(now), held.last.age_ms(now))),
+            released: known.released.map(|at| at.age_ms(now)),
+            good: known.good.map(|at| at.age_ms(now)),
             runs: self.runs_of(now, of, work, known),
         }
     }
--- a/lib/src/relay/quota_keeper.rs
+++ b/lib/src/relay/quota_keeper.rs
@@ -75,7 +75,7 @@
             parts_of_hall(boxes, own, hall, lives)
         } else {
             // Each hall may believe that it is the first one left.
-            gossip_topology::halls(boxes)
+            gossip_topology::hall_count(boxes)
         };
         Self::Here { takers }
     }
@@ -84,7 +84,7 @@
 /// Into how many parts a hall may be cut: one, while most of its boxes are heard. Those that are not
 /// may only be cut off, and go on with a keeper of their own.
 fn parts_of_hall(boxes: &Boxes, own: &str, hall: &HallName, lives: impl Fn(&str) -> bool) -> usize {
-    let known = gossip_topology::ranked(boxes, hall.as_str());
+    let known = gossip_topology::ranked_boxes(boxes, hall.as_str());
     let heard = known
         .iter()
         .filter(|of| of.name == own || lives(&of.name))
--- a/lib/src/relay/server_book.rs
+++ b/lib/src/relay/server_book.rs
@@ -308,7 +308,7 @@
 
     fn hall_works(&self, now: Time, hall: &HallName) -> bool {
         let breaker = self.halls.get(hall);
-        breaker.is_none_or(|breaker| breaker.admits(now)) && self.reach.admits(now, hall)
+        breaker.is_none_or(|breaker| breaker.admits(now)) && self.reach.allows_calls(now, hall)
     }
 
     /// Halls that fell silent or are heard again since this was last asked for.
@@ -321,14 +321,14 @@
         if hall == own {
             self.reach.record_own_hall_heartbeat(now);
         } else {
-            self.reach.heard(now, hall, from);
+            self.reach.record_heartbeat(now, hall, from);
         }
     }
 
     /// Records a call sent there.
     pub fn sent(&mut self, now: Time, name: &ServerName) {
         if let Some(record) = self.records.get_mut(name) {
-            self.reach.sent(now, &record.info.hall);
+            self.reach.record_call(now, &record.info.hall);
             record.in_flight += 1;
             record.breaker.on_dispatch();
             self.halls
@@ -341,7 +341,7 @@
     /// Records that it answers, though its call may take long: a trial has succeeded.
     pub fn answers(&mut self, now: Time, name: &ServerName) {
         if let Some(record) = self.records.get_mut(name) {
-            self.reach.answered(now, &record.info.hall);
+            self.reach.record_answer(now, &record.info.hall);
             record.breaker.on_success();
             self.halls
                 .entry(record.info.hall.clone())
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -93,13 +93,19 @@
             Stated::Absent if self.words.contains_key(&life) => None,
             Stated::Absent | Stated::Unreadable => return None,
         };
-        self.take(now, life, rate, SignedTime::of(now))
+        self.take(now, life, rate, SignedTime::from_time(now))
     }
 
     /// Takes what another box tells.
     pub fn take_rows(&mut self, now: Time, rows: &[LimitRow]) -> Vec<LimitChange> {
-        let take =
-            |row: &LimitRow| self.take(now, row.life, row.rate, SignedTime::ago(now, row.ago));
+        let take = |row: &LimitRow| {
+            self.take(
+                now,
+                row.life,
+                row.rate,
+                SignedTime::before_now(now, row.ago),
+            )
+        };
         rows.iter().filter_map(take).collect()
     }
 
@@ -112,7 +118,7 @@
     ) -> Option<LimitChange> {
         let known = self.words.get(&life).copied();
         let is_newer = known.is_none_or(|known| at > known.at);
-        if !is_newer || at.since(now) >= REMEMBERED {
+        if !is_newer || at.age(now) >= REMEMBERED {
             return None;
         }
         if known.is_none() {
@@ -140,7 +146,7 @@
         if self.words.len() < MOST_SERVERS {
             return;
         }
-        self.words.retain(|_, word| word.at.since(now) < REMEMBERED);
+        self.words.retain(|_, word| word.at.age(now) < REMEMBERED);
         let oldest = self.words.iter().min_by_key(|(_, word)| word.at);
         if let (true, Some((&life, _))) = (self.words.len() >= MOST_SERVERS, oldest) {
             self.words.remove(&life);
@@ -181,7 +187,7 @@
         if self.words.is_empty() {
             return Vec::new();
         }
-        self.words.retain(|_, word| word.at.since(now) < REMEMBERED);
+        self.words.retain(|_, word| word.at.age(now) < REMEMBERED);
         let is_fresh = |word: &Word| now.since(word.changed) < FRESH;
         let mut fresh: Vec<_> = (self.words.iter())
             .filter(|(_, word)| is_fresh(word))
@@ -226,6 +232,6 @@
     LimitRow {
         life,
         rate: word.rate,
-        ago: word.at.millis_ago(now) + WAY.as_millis() as u32,
+        ago: word.at.age_ms(now) + WAY.as_millis() as u32,
     }
 }
--- a/lib/src/relay/signed_time.rs
+++ b/lib/src/relay/signed_time.rs
@@ -9,22 +9,22 @@
 pub(crate) struct SignedTime(i64);
 
 impl SignedTime {
-    pub(crate) const fn of(time: Time) -> Self {
+    pub(crate) const fn from_time(time: Time) -> Self {
         Self(time.as_micros().cast_signed())
     }
 
-    pub(crate) const fn ago(now: Time, millis: u32) -> Self {
+    pub(crate) const fn before_now(now: Time, millis: u32) -> Self {
         Self(now.as_micros().cast_signed() - millis as i64 * 1_000)
     }
 
     /// How long ago it was; zero if it lies ahead.
-    pub(crate) const fn since(self, now: Time) -> Duration {
+    pub(crate) const fn age(self, now: Time) -> Duration {
         let micros = now.as_micros().cast_signed() - self.0;
         Duration::from_micros(if micros > 0 { micros as u64 } else { 0 })
     }
 
-    pub(crate) const fn millis_ago(self, now: Time) -> u32 {
-        self.since(now).as_millis() as u32
+    pub(crate) const fn age_ms(self, now: Time) -> u32 {
+        self.age(now).as_millis() as u32
     }
 
     pub(crate) const fn plus(self, span: Duration) -> Self {
--- a/lib/src/relay/slow_engine_tracker.rs
+++ b/lib/src/relay/slow_engine_tracker.rs
@@ -99,7 +99,7 @@
     }
 
     /// Takes what an engine reports, as a multiple of the usual time; true if it is slow.
-    pub fn reported(&mut self, now: Time, engine: EngineKey, pace: f64) -> bool {
+    pub fn record_pace(&mut self, now: Time, engine: EngineKey, pace: f64) -> bool {
         let is_slow = pace >= SLOW;
         if is_slow {
             self.signs.entry(engine).or_default().own = Some(now);
@@ -110,7 +110,7 @@
     }
 
     /// Takes what another box tells.
-    pub fn told(&mut self, now: Time, by: ReportOrigin, engines: &[EngineKey]) {
+    pub fn record_gossip(&mut self, now: Time, by: ReportOrigin, engines: &[EngineKey]) {
         for &engine in engines {
             let signs = self.signs.entry(engine).or_default();
             match by {
@@ -121,16 +121,16 @@
     }
 
     /// Engines that told this box of being slow, for the other boxes.
-    pub fn own(&self, now: Time) -> Vec<EngineKey> {
-        self.newer(now, |signs| signs.own)
+    pub fn own_reports(&self, now: Time) -> Vec<EngineKey> {
+        self.recent(now, |signs| signs.own)
     }
 
     /// Engines that told a box of this hall, for the other halls.
-    pub fn of_hall(&self, now: Time) -> Vec<EngineKey> {
-        self.newer(now, |signs| signs.own.max(signs.own_hall))
+    pub fn hall_reports(&self, now: Time) -> Vec<EngineKey> {
+        self.recent(now, |signs| signs.own.max(signs.own_hall))
     }
 
-    fn newer(&self, now: Time, at: impl Fn(&SlowReports) -> Option<Time>) -> Vec<EngineKey> {
+    fn recent(&self, now: Time, at: impl Fn(&SlowReports) -> Option<Time>) -> Vec<EngineKey> {
         let newer = |(_, signs): &(&EngineKey, &SlowReports)| is_newer(at(signs), now, TOLD);
         let newer = self.signs.iter().filter(newer);
         newer.map(|(engine, _)| *engine).take(MOST_TOLD).collect()
@@ -158,7 +158,7 @@
     }
 
     /// Forgets engines that are not listed any more.
-    pub fn keep(&mut self, is_listed: impl Fn(EngineKey) -> bool) {
+    pub fn retain(&mut self, is_listed: impl Fn(EngineKey) -> bool) {
         self.signs.retain(|engine, _| is_listed(*engine));
         self.asked.retain(|engine, _| is_listed(*engine));
     }
--- a/lib/src/relay/state_pull.rs
+++ b/lib/src/relay/state_pull.rs
@@ -31,7 +31,7 @@
 
 impl KnownState {
     /// Whether another box that has this is ahead of it in anything.
-    pub fn lacks(self, other: Self) -> bool {
+    pub fn is_behind(self, other: Self) -> bool {
         other.routes > self.routes || other.servers > self.servers
     }
 }
@@ -42,7 +42,7 @@
     /// [`FRAME_VERSION`].
     pub version: u8,
     /// What the asking box has.
-    pub have: KnownState,
+    pub known_state: KnownState,
     /// Whether it lacks boxes: it knows hardly any, or heard of one that it does not know.
     pub wants_boxes: bool,
 }
--- a/lib/src/relay/suspect_work.rs
+++ b/lib/src/relay/suspect_work.rs
@@ -66,11 +66,11 @@
 
 impl End {
     pub(super) const fn told(&self, now: Time) -> ToldEnd {
-        let ago = self.at.millis_ago(now);
+        let ago = self.at.age_ms(now);
         ToldEnd {
             life: self.life,
             ago,
-            ran: self.began.millis_ago(now).saturating_sub(ago),
+            ran: self.began.age_ms(now).saturating_sub(ago),
         }
     }
 }
@@ -108,7 +108,7 @@
     /// Whether what happened then counts: no good run speaks against it, and it is not too long ago.
     pub(super) fn counts(&self, now: Time, at: SignedTime) -> bool {
         let is_cleared = self.good.is_some_and(|good| at <= good.plus(GOOD_FOR));
-        !is_cleared && at.since(now) < REMEMBERED
+        !is_cleared && at.age(now) < REMEMBERED
     }
 
     /// Lives that count.
@@ -139,7 +139,7 @@
 
     pub(super) fn verdict(&self, now: Time) -> Verdict {
         match self.held_at(now) {
-            Some(at) if at.since(now) < HELD_FOR && self.released < Some(at) => Verdict::Held,
+            Some(at) if at.age(now) < HELD_FOR && self.released < Some(at) => Verdict::Held,
             Some(_) => Verdict::Suspect,
             None if self.lives(now) > 0 => Verdict::Suspect,
             None => Verdict::Cleared,
@@ -150,7 +150,7 @@
     pub(super) fn last_end(&self, now: Time) -> Duration {
         let ends = self.counting(now).map(|end| end.at);
         let last = ends.chain(self.held_at(now)).max();
-        last.map_or(Duration::MAX, |at| at.since(now))
+        last.map_or(Duration::MAX, |at| at.age(now))
     }
 
     /// Holds it if enough lives ended.
@@ -189,8 +189,8 @@
     pub(super) fn is_forgotten(&self, now: Time) -> bool {
         let ends = self.ends.iter().map(|end| end.at);
         let mut ends = ends.chain(self.held.map(|held| held.last));
-        let ends_count = ends.any(|at| at.since(now) < REMEMBERED);
-        let good_counts = self.good.is_some_and(|at| at.since(now) < GOOD_FOR);
+        let ends_count = ends.any(|at| at.age(now) < REMEMBERED);
+        let good_counts = self.good.is_some_and(|at| at.age(now) < GOOD_FOR);
         !ends_count && !good_counts
     }
 }
--- a/lib/tests/test_relay_engine_cell.rs
+++ b/lib/tests/test_relay_engine_cell.rs
@@ -71,8 +71,8 @@
         engine.load = EngineLoad {
             prefill_ms: 2_000,
             long_prefills: 1,
-            short: 10,
-            long: 1,
+            short_calls: 10,
+            long_calls: 1,
             memory_kilotokens: 290,
         };
     }
--- a/lib/tests/test_relay_engine_load.rs
+++ b/lib/tests/test_relay_engine_load.rs
@@ -1,4 +1,4 @@
-//! Work at engines, and the datagrams that tell it.
+//! EngineWork at engines, and the datagrams that tell it.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use badgerferry_lib::relay::engine_load::EngineKey;
 use badgerferry_lib::relay::engine_load::EngineLoad;
 use badgerferry_lib::relay::engine_load::EngineLoadTracker;
+use badgerferry_lib::relay::engine_load::EngineWork;
 use badgerferry_lib::relay::engine_load::TABLE_TTL;
-use badgerferry_lib::relay::engine_load::Work;
 use badgerferry_lib::relay::load_datagram::DatagramError;
 use badgerferry_lib::relay::load_datagram::LoadDatagram;
 use badgerferry_lib::relay::load_datagram::LoadSource;
@@ -20,13 +20,13 @@
 
 use crate::seeded::seeded;
 
-fn long_work() -> Work {
-    Work {
-        read: Duration::from_millis(300),
+fn long_work() -> EngineWork {
+    EngineWork {
+        prefill: Duration::from_millis(300),
         delay: Duration::ZERO,
-        memory: 150_000,
-        leads: true,
-        long: true,
+        memory_tokens: 150_000,
+        is_lead: true,
+        is_long: true,
     }
 }
 
@@ -35,7 +35,7 @@
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
     let told = EngineLoad {
-        short: 3,
+        short_calls: 3,
         ..EngineLoad::default()
     };
 
@@ -43,7 +43,7 @@
     let early = loads.table(Time::from_millis(10)).get(&engine).copied();
     let late = loads.table(Time::ZERO + TABLE_TTL).get(&engine).copied();
 
-    assert_eq!(early.map(|row| row.short), Some(3));
+    assert_eq!(early.map(|row| row.short_calls), Some(3));
     assert_eq!(late, None);
 }
 
@@ -52,18 +52,18 @@
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
     let short = |count| EngineLoad {
-        short: count,
+        short_calls: count,
         ..EngineLoad::default()
     };
     let now = Time::from_millis(1);
 
     loads.update_peer_table(now, "box-b", 1, 9, vec![(engine, short(3))]);
     loads.update_peer_table(now, "box-b", 1, 8, vec![(engine, short(5))]);
-    let after_old = loads.table(now)[&engine].short;
+    let after_old = loads.table(now)[&engine].short_calls;
     loads.update_peer_table(now, "box-b", 2, 1, vec![(engine, short(1))]);
 
     assert_eq!(after_old, 3);
-    assert_eq!(loads.table(now)[&engine].short, 1);
+    assert_eq!(loads.table(now)[&engine].short_calls, 1);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let engine = EngineKey(7);
     let hall = HallName::new("hall-b");
     let short = |count| EngineLoad {
-        short: count,
+        short_calls: count,
         ..EngineLoad::default()
     };
     let now = Time::from_millis(1);
@@ -82,7 +82,7 @@
     let is_newer = loads.update_hall_table(now, &hall, 2, 8, vec![(engine, short(7))]);
 
     assert!(!is_newer);
-    assert_eq!(loads.table(now)[&engine].short, 5);
+    assert_eq!(loads.table(now)[&engine].short_calls, 5);
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let engine = EngineKey(7);
     let now = Time::from_millis(1);
     let short = |count| EngineLoad {
-        short: count,
+        short_calls: count,
         ..EngineLoad::default()
     };
     loads.begin(now, engine, long_work());
@@ -101,7 +101,7 @@
 
     let told = loads.hall_table(now, |name| name == "near")[&engine];
 
-    assert_eq!((told.short, told.long), (2, 1));
+    assert_eq!((told.short_calls, told.long_calls), (2, 1));
 }
 
 #[test]
@@ -112,16 +112,24 @@
 
     let id = loads.begin(now, engine, long_work());
     let reading = loads.table(now)[&engine];
-    loads.read_done(id);
+    loads.prefill_done(id);
     let writing = loads.table(now)[&engine];
     loads.end(id);
 
     assert_eq!(
-        (reading.long_prefills, reading.long, reading.prefill_ms),
+        (
+            reading.long_prefills,
+            reading.long_calls,
+            reading.prefill_ms
+        ),
         (1, 1, 300)
     );
     assert_eq!(
-        (writing.long_prefills, writing.long, writing.prefill_ms),
+        (
+            writing.long_prefills,
+            writing.long_calls,
+            writing.prefill_ms
+        ),
         (0, 1, 0)
     );
     assert!(loads.table(now).is_empty());
@@ -134,7 +142,7 @@
     let id = loads.begin(Time::ZERO, engine, long_work());
 
     let late = loads.table(Time::from_millis(1_900))[&engine];
-    loads.read_done(id);
+    loads.prefill_done(id);
     let read = loads.table(Time::from_millis(1_900))[&engine];
 
     assert_eq!((late.long_prefills, late.prefill_ms), (1, 300));
@@ -149,7 +157,7 @@
     let mut ahead = Duration::ZERO;
 
     for _ in 0..6 {
-        let work = Work {
+        let work = EngineWork {
             delay: ahead,
             ..long_work()
         };
@@ -157,7 +165,7 @@
         ahead = Duration::from_millis(loads.table(now)[&engine].prefill_ms.into());
     }
 
-    assert_eq!(ahead, long_work().read * 6, "each is read once");
+    assert_eq!(ahead, long_work().prefill * 6, "each is read once");
 }
 
 #[test]
@@ -175,11 +183,11 @@
     LoadDatagram {
         version: FRAME_VERSION,
         from: "edge-hall-a-1".to_owned(),
-        lifetime: u64::MAX,
+        incarnation: u64::MAX,
         sequence: 12,
-        teller: LoadSource::Box,
+        source: LoadSource::Box,
         is_urgent: false,
-        have: KnownState {
+        known_state: KnownState {
             routes: Some(3),
             servers: StorePosition {
                 era: 2,
@@ -187,10 +195,10 @@
             },
         },
         follows_store: true,
-        waits: None,
+        queue_head: None,
         faults: Vec::new(),
         departures: Vec::new(),
-        slow: Vec::new(),
+        slow_engines: Vec::new(),
         suspects: Vec::new(),
         notices: NoticeRows::default(),
         rows,
@@ -203,8 +211,8 @@
         let row = EngineLoad {
             prefill_ms: u32::MAX,
             long_prefills: u16::MAX,
-            short: u16::MAX,
-            long: u16::MAX,
+            short_calls: u16::MAX,
+            long_calls: u16::MAX,
             memory_kilotokens: u32::MAX,
         };
         (EngineKey(u32::MAX - key), row)
@@ -213,7 +221,7 @@
     large.faults = (0..16).map(|key| EngineKey(u32::MAX - key)).collect();
     let mut small = datagram((0..5).map(row).collect());
 
-    let (left_out, none) = (large.fit(), small.fit());
+    let (left_out, none) = (large.truncate_rows(), small.truncate_rows());
 
     assert!(large.encode().len() <= MAX_DATAGRAM_BYTES);
     assert_eq!(LoadDatagram::decode(&large.encode()), Ok(large.clone()));
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -87,7 +87,7 @@
 #[test]
 fn short_calls_stay_on_the_first_engines() {
     let mut engines = idle(18);
-    engines[0].load.short = 12;
+    engines[0].load.short_calls = 12;
 
     let plan = plan(&engines, 5_000, SHORT).expect("there is room");
 
@@ -104,7 +104,7 @@
     let mut engines = idle(18);
     assert_eq!(engine_plan::short_lane(&MODEL, &engines), 1);
 
-    engines[3].load.short = 100;
+    engines[3].load.short_calls = 100;
 
     assert_eq!(engine_plan::short_lane(&MODEL, &engines), 10);
 }
@@ -113,7 +113,7 @@
 #[test]
 fn smaller_batches_make_a_wider_lane() {
     let mut engines = idle(18);
-    engines[3].load.short = 72;
+    engines[3].load.short_calls = 72;
     let small = EngineModel { slots: 12, ..MODEL };
 
     assert_eq!(engine_plan::short_lane(&MODEL, &engines), 7);
@@ -150,7 +150,7 @@
 fn a_single_short_stream_is_not_made_to_pause_by_a_long_part() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.short = 1;
+        engine.load.short_calls = 1;
     }
 
     assert_eq!(plan(&engines, 310_000, PATIENT), None);
@@ -178,7 +178,7 @@
 fn large_parts_stay_away_from_long_streams() {
     let mut engines = idle(18);
     for engine in &mut engines[4..] {
-        engine.load.long = 1;
+        engine.load.long_calls = 1;
     }
     for engine in &mut engines[10..] {
         engine.load.long_prefills = 1;
@@ -233,7 +233,7 @@
 fn a_prompt_is_read_beside_short_streams_in_parts_that_they_bear() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.short = 8;
+        engine.load.short_calls = 8;
     }
 
     let small = plan_due(&engines, 100_000, Duration::from_secs(3));
@@ -253,7 +253,7 @@
 fn streams_that_pause_longer_bear_larger_parts_beside_them() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.short = 8;
+        engine.load.short_calls = 8;
     }
     let aims = Aims {
         least_pause: MIDDLE,
@@ -270,7 +270,7 @@
 fn a_prompt_led_among_short_streams_is_read_in_the_lane_where_parts_would_pause_them() {
     let mut engines = idle(18);
     for engine in &mut engines[..15] {
-        engine.load.short = 11;
+        engine.load.short_calls = 11;
     }
 
     let plan = plan(&engines, 100_000, MIDDLE).expect("there is room");
@@ -331,8 +331,8 @@
             engine.load = EngineLoad {
                 prefill_ms: rng.random_range(0..800),
                 long_prefills: rng.random_range(0..2),
-                short: rng.random_range(0..20),
-                long: rng.random_range(0..4),
+                short_calls: rng.random_range(0..20),
+                long_calls: rng.random_range(0..4),
                 memory_kilotokens: rng.random_range(0..320),
             };
         }
@@ -393,8 +393,8 @@
     for engine in &mut engines[8..] {
         engine.load.long_prefills = 1;
     }
-    engines[3].load.short = 1;
-    engines[4].load.long = 1;
+    engines[3].load.short_calls = 1;
+    engines[4].load.long_calls = 1;
 
     let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("five are left");
 
@@ -444,7 +444,7 @@
     engines[1].standing = Standing::Limited;
     let with_room = plan(&engines, 5_000, SHORT).expect("there is room");
     for at in [2, 3] {
-        engines[at].load.short = 16;
+        engines[at].load.short_calls = 16;
     }
 
     let without = plan(&engines, 5_000, SHORT).expect("there is room");
--- a/lib/tests/test_relay_engine_utilization.rs
+++ b/lib/tests/test_relay_engine_utilization.rs
@@ -35,9 +35,9 @@
 #[test]
 fn a_long_prompts_engines_read_are_held_and_one_of_them_writes() {
     let mut log = EngineLog::default();
-    log.take(1_000, routed("a", &["x", "y"], 400, 0));
-    log.take(1_600, begins("a"));
-    log.take(2_000, ended("a"));
+    log.record(1_000, routed("a", &["x", "y"], 400, 0));
+    log.record(1_600, begins("a"));
+    log.record(2_000, ended("a"));
 
     let report = log.report();
 
@@ -56,15 +56,15 @@
     let EngineLine::Routed(line) = routed("a", &["x", "y"], 400, 0) else {
         unreachable!("it was just made");
     };
-    log.take(
+    log.record(
         0,
         EngineLine::Routed(RoutedLine {
             long: false,
             ..line
         }),
     );
-    log.take(800, begins("a"));
-    log.take(1_000, ended("a"));
+    log.record(800, begins("a"));
+    log.record(1_000, ended("a"));
 
     let time = log.report().seconds[0].time;
 
@@ -77,12 +77,12 @@
 #[test]
 fn what_engines_do_while_prompts_wait_is_told_apart() {
     let mut log = EngineLog::default();
-    log.take(1_000, routed("a", &["x", "y"], 500, 0));
-    log.take(1_500, begins("a"));
-    log.take(1_500, ended("a"));
-    log.take(2_000, routed("b", &["x"], 500, 500));
-    log.take(2_500, begins("b"));
-    log.take(2_500, ended("b"));
+    log.record(1_000, routed("a", &["x", "y"], 500, 0));
+    log.record(1_500, begins("a"));
+    log.record(1_500, ended("a"));
+    log.record(2_000, routed("b", &["x"], 500, 500));
+    log.record(2_500, begins("b"));
+    log.record(2_500, ended("b"));
 
     let report = log.report();
 
@@ -96,12 +96,12 @@
     let mut log = EngineLog::default();
     for (at, call) in ["a", "b", "c"].into_iter().enumerate() {
         let at = 10_000 * at as u64;
-        log.take(at, routed(call, &["slow", "beside"], 400, 0));
-        log.take(at + 2_000, begins(call));
+        log.record(at, routed(call, &["slow", "beside"], 400, 0));
+        log.record(at + 2_000, begins(call));
         for again in [5_000, 7_000] {
             let other = format!("{call}-{again}");
-            log.take(at + again, routed(&other, &["beside"], 400, 0));
-            log.take(at + again + 400, begins(&other));
+            log.record(at + again, routed(&other, &["beside"], 400, 0));
+            log.record(at + again + 400, begins(&other));
         }
     }
 
@@ -118,14 +118,14 @@
     let EngineLine::Routed(line) = routed("plain", &["server"], 0, 0) else {
         unreachable!("it was just made");
     };
-    log.take(
+    log.record(
         0,
         EngineLine::Routed(RoutedLine {
             part_ms: None,
             ..line
         }),
     );
-    log.take(5, begins("unknown"));
+    log.record(5, begins("unknown"));
 
     let report = log.report();
 
--- a/lib/tests/test_relay_era_model.rs
+++ b/lib/tests/test_relay_era_model.rs
@@ -293,7 +293,7 @@
     fn pull(&mut self, now: Time, from: usize, to: usize) {
         let reach = |at: usize| self.boxes[at].reaches_others;
         let (have, theirs) = (self.boxes[to].known(), self.boxes[from].known());
-        if from == to || !reach(from) || !reach(to) || !have.lacks(theirs) {
+        if from == to || !reach(from) || !reach(to) || !have.is_behind(theirs) {
             return;
         }
         let news = self.boxes[from].servers.news_since(have.servers);
--- a/lib/tests/test_relay_gossip_topology.rs
+++ b/lib/tests/test_relay_gossip_topology.rs
@@ -63,16 +63,16 @@
 fn a_box_that_keeps_to_its_hall_tells_no_other() {
     let own = hall("a");
 
-    assert!(GossipScope::Hall.holds(&own, "a"));
-    assert!(!GossipScope::Hall.holds(&own, "b"));
-    assert!(GossipScope::Fleet.holds(&own, "b"));
+    assert!(GossipScope::Hall.includes(&own, "a"));
+    assert!(!GossipScope::Hall.includes(&own, "b"));
+    assert!(GossipScope::Fleet.includes(&own, "b"));
 }
 
 #[test]
 fn boxes_with_most_processor_time_rank_first_then_by_name() {
     let boxes = fleet(&["a", "b"], 3);
 
-    let names: Vec<&str> = gossip_topology::ranked(&boxes, "a")
+    let names: Vec<&str> = gossip_topology::ranked_boxes(&boxes, "a")
         .iter()
         .map(|of| of.name.as_str())
         .collect();
@@ -102,7 +102,7 @@
         let lives = |name: &str| !dead.contains(&name);
         let names = boxes.keys().filter(|name| lives(name));
         let speaks = |name: &String| {
-            let speaker = gossip_topology::speaker(&boxes, name, &hall("a"), lives)?;
+            let speaker = gossip_topology::delegate_role(&boxes, name, &hall("a"), lives)?;
             Some((name.clone(), speaker))
         };
         names.filter_map(speaks).collect()
@@ -125,7 +125,7 @@
 fn a_box_that_hears_nobody_speaks_for_its_hall() {
     let boxes = fleet(&["a", "b"], 5);
 
-    let speaker = gossip_topology::speaker(&boxes, "edge-a-03", &hall("a"), |_| false);
+    let speaker = gossip_topology::delegate_role(&boxes, "edge-a-03", &hall("a"), |_| false);
 
     assert_eq!(speaker, Some(DelegateRole::Primary));
 }
@@ -136,7 +136,7 @@
 
     let turns: Vec<Vec<&str>> = (0..4)
         .map(|turn| {
-            let receivers = gossip_topology::receivers(&boxes, &hall("a"), turn);
+            let receivers = gossip_topology::gossip_targets(&boxes, &hall("a"), turn);
             receivers.iter().map(|of| of.name.as_str()).collect()
         })
         .collect();
@@ -154,7 +154,7 @@
         "edge-a-01" => Duration::from_mins(1),
         _ => Duration::ZERO,
     };
-    let removes = |own: &str| gossip_topology::abandoned(&boxes, &boxes[own], silent_for);
+    let removes = |own: &str| gossip_topology::expired_boxes(&boxes, &boxes[own], silent_for);
 
     assert_eq!(removes("edge-a-00"), ["edge-a-03"], "the first one is dead");
     assert!(removes("edge-a-02").is_empty(), "the first one does it");
@@ -165,7 +165,7 @@
     let boxes = fleet(&["a"], 4);
 
     let removed =
-        gossip_topology::abandoned(&boxes, &boxes["edge-a-03"], |_| Duration::from_hours(1));
+        gossip_topology::expired_boxes(&boxes, &boxes["edge-a-03"], |_| Duration::from_hours(1));
 
     assert!(removed.is_empty());
 }
--- a/lib/tests/test_relay_peer_liveness.rs
+++ b/lib/tests/test_relay_peer_liveness.rs
@@ -25,9 +25,9 @@
 #[test]
 fn boxes_that_said_they_have_newer_state_are_ahead_while_they_live() {
     let mut heard = PeerLiveness::default();
-    heard.hear(at(0), "routes", have(5, 1));
-    heard.hear(at(100), "servers", have(4, 9));
-    heard.hear(at(100), "level", have(4, 1));
+    heard.record(at(0), "routes", have(5, 1));
+    heard.record(at(100), "servers", have(4, 9));
+    heard.record(at(100), "level", have(4, 1));
 
     let mut ahead = heard.ahead_of(at(200), have(4, 1));
     ahead.sort_unstable();
@@ -40,10 +40,10 @@
 #[test]
 fn a_box_that_is_silent_lives_no_more() {
     let mut heard = PeerLiveness::default();
-    heard.hear(at(1_000), "a", have(1, 1));
+    heard.record(at(1_000), "a", have(1, 1));
 
-    assert!(heard.lives(at(2_100), "a"));
-    assert!(!heard.lives(at(2_200), "a"));
+    assert!(heard.is_live(at(2_100), "a"));
+    assert!(!heard.is_live(at(2_200), "a"));
     assert_eq!(heard.silent_for(at(3_000), "a"), Duration::from_secs(2));
     assert_eq!(heard.silent_for(at(3_000), "b"), Duration::from_secs(3));
 }
@@ -51,8 +51,8 @@
 #[test]
 fn a_box_of_an_older_era_is_ahead_of_none_whatever_its_revision() {
     let mut heard = PeerLiveness::default();
-    heard.hear(at(0), "older", in_era(1, 5, 90));
-    heard.hear(at(0), "newer", in_era(2, 5, 4));
+    heard.record(at(0), "older", in_era(1, 5, 90));
+    heard.record(at(0), "newer", in_era(2, 5, 4));
 
     assert!(heard.ahead_of(at(100), in_era(2, 5, 4)).is_empty());
     assert_eq!(heard.ahead_of(at(100), in_era(1, 5, 90)), ["newer"]);
@@ -61,7 +61,7 @@
 #[test]
 fn a_box_without_routes_lacks_any() {
     let mut heard = PeerLiveness::default();
-    heard.hear(at(0), "first", have(0, 1));
+    heard.record(at(0), "first", have(0, 1));
     let none = KnownState {
         routes: None,
         ..have(0, 1)
--- a/lib/tests/test_relay_slow_engine_tracker.rs
+++ b/lib/tests/test_relay_slow_engine_tracker.rs
@@ -26,7 +26,7 @@
 fn an_engine_that_says_it_is_slow_is_left_out_until_the_word_lapses() {
     let mut paces = SlowEngineTracker::default();
 
-    assert!(paces.reported(at(0), SLOW, 5.0));
+    assert!(paces.record_pace(at(0), SLOW, 5.0));
 
     assert!(!used(&paces, at(1_000), 6).contains(&SLOW));
     assert!(used(&paces, at(1_500), 6).contains(&SLOW));
@@ -35,9 +35,9 @@
 #[test]
 fn an_engine_of_usual_pace_is_used_again_at_once() {
     let mut paces = SlowEngineTracker::default();
-    paces.reported(at(0), SLOW, 5.0);
+    paces.record_pace(at(0), SLOW, 5.0);
 
-    assert!(!paces.reported(at(500), SLOW, 1.0));
+    assert!(!paces.record_pace(at(500), SLOW, 1.0));
 
     assert!(used(&paces, at(500), 6).contains(&SLOW));
 }
@@ -46,7 +46,7 @@
 fn where_most_are_slow_all_are_used() {
     let mut paces = SlowEngineTracker::default();
     for engine in keys(3) {
-        paces.reported(at(0), engine, 5.0);
+        paces.record_pace(at(0), engine, 5.0);
     }
 
     assert_eq!(used(&paces, at(0), 9).len(), 6);
@@ -58,15 +58,23 @@
     let (mut learns, mut speaks) = (SlowEngineTracker::default(), SlowEngineTracker::default());
     let (mut beside, mut far) = (SlowEngineTracker::default(), SlowEngineTracker::default());
 
-    learns.reported(at(0), SLOW, 5.0);
-    speaks.told(at(10), ReportOrigin::OwnHall, &learns.own(at(10)));
-    beside.told(at(10), ReportOrigin::OwnHall, &learns.own(at(10)));
-    far.told(at(30), ReportOrigin::OtherHall, &speaks.of_hall(at(20)));
+    learns.record_pace(at(0), SLOW, 5.0);
+    speaks.record_gossip(at(10), ReportOrigin::OwnHall, &learns.own_reports(at(10)));
+    beside.record_gossip(at(10), ReportOrigin::OwnHall, &learns.own_reports(at(10)));
+    far.record_gossip(
+        at(30),
+        ReportOrigin::OtherHall,
+        &speaks.hall_reports(at(20)),
+    );
 
     assert!(beside.is_slow(at(40), SLOW));
     assert!(far.is_slow(at(40), SLOW));
-    assert_eq!(far.own(at(40)), [], "a box tells what it was told itself");
-    assert_eq!(far.of_hall(at(40)), [], "nor does a hall tell on");
+    assert_eq!(
+        far.own_reports(at(40)),
+        [],
+        "a box tells what it was told itself"
+    );
+    assert_eq!(far.hall_reports(at(40)), [], "nor does a hall tell on");
 }
 
 /// Each report is paid for: of many boxes one asks on.
@@ -76,16 +84,20 @@
 
     assert!(first.should_query(at(0), SLOW));
     assert!(!first.should_query(at(900), SLOW));
-    first.reported(at(1_000), SLOW, 5.0);
-    second.reported(at(1_000), SLOW, 5.0);
+    first.record_pace(at(1_000), SLOW, 5.0);
+    second.record_pace(at(1_000), SLOW, 5.0);
     assert!(
         !first.should_query(at(1_100), SLOW),
         "it is known to be slow"
     );
 
     assert!(first.should_query_again(at(2_000), SLOW));
-    first.reported(at(2_000), SLOW, 5.0);
-    second.told(at(2_010), ReportOrigin::OwnHall, &first.own(at(2_010)));
+    first.record_pace(at(2_000), SLOW, 5.0);
+    second.record_gossip(
+        at(2_010),
+        ReportOrigin::OwnHall,
+        &first.own_reports(at(2_010)),
+    );
     assert!(!second.should_query_again(at(2_100), SLOW));
     assert!(second.is_slow(at(3_000), SLOW));
 }
@@ -93,9 +105,9 @@
 #[test]
 fn an_engine_that_is_gone_is_forgotten() {
     let mut paces = SlowEngineTracker::default();
-    paces.reported(at(0), SLOW, 5.0);
+    paces.record_pace(at(0), SLOW, 5.0);
 
-    paces.keep(|engine| engine != SLOW);
+    paces.retain(|engine| engine != SLOW);
 
     assert!(!paces.is_slow(at(0), SLOW));
 }
--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -10,7 +10,7 @@
 use badgerferry_lib::relay::engine_load::EngineKey;
 use badgerferry_lib::relay::engine_load::EngineLoad;
 use badgerferry_lib::relay::engine_load::EngineLoadTracker;
-use badgerferry_lib::relay::engine_load::WorkId;
+use badgerferry_lib::relay::engine_load::EngineWorkId;
 use badgerferry_lib::relay::engine_plan::Aims;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
@@ -75,7 +75,7 @@
 pub(super) struct Placed {
     pub(super) plan: EnginePlan,
     pub(super) engines: Vec<usize>,
-    pub(super) works: Vec<WorkId>,
+    pub(super) works: Vec<EngineWorkId>,
 }
 
 /// A plan whose work is not entered yet.
@@ -134,14 +134,15 @@
             sequence: self.sequence,
             is_urgent,
             waits: self.queue.head(now),
-            slow: self.paces.own(now),
+            slow: self.paces.own_reports(now),
             rows: self.loads.own_table(now).into_iter().collect(),
         }
     }
 
     /// Takes what another one told.
     pub(super) fn hear(&mut self, now: Time, from: &str, told: &Told) {
-        self.paces.told(now, ReportOrigin::OwnHall, &told.slow);
+        self.paces
+            .record_gossip(now, ReportOrigin::OwnHall, &told.slow);
         let rows = told.rows.clone();
         if self
             .loads
@@ -157,14 +158,15 @@
             sequence: now.as_micros() + 1,
             is_urgent: false,
             waits: self.queue.head_of_hall(now),
-            slow: self.paces.of_hall(now),
+            slow: self.paces.hall_reports(now),
             rows: self.loads.hall_table(now, |_| true).into_iter().collect(),
         }
     }
 
     /// Takes what another hall told.
     pub(super) fn hear_hall(&mut self, now: Time, hall: &HallName, told: &Told) {
-        self.paces.told(now, ReportOrigin::OtherHall, &told.slow);
+        self.paces
+            .record_gossip(now, ReportOrigin::OtherHall, &told.slow);
         let rows = told.rows.clone();
         if self
             .loads
--- a/testutils/src/relay_model/run.rs
+++ b/testutils/src/relay_model/run.rs
@@ -471,7 +471,7 @@
         };
         let is_long = placed.plan.long;
         for &work in &placed.works {
-            self.boxes[box_at].loads.read_done(work);
+            self.boxes[box_at].loads.prefill_done(work);
         }
         if is_long {
             self.tells(now, box_at);
--- a/testutils/src/relay_model/run/slow_engines.rs
+++ b/testutils/src/relay_model/run/slow_engines.rs
@@ -53,7 +53,7 @@
     pub(super) fn reports(&mut self, now: Time, box_at: usize, engine: usize) {
         let key = self.rules.engines.key(engine);
         let pace = self.engines[engine].slowness;
-        if self.boxes[box_at].paces.reported(now, key, pace) {
+        if self.boxes[box_at].paces.record_pace(now, key, pace) {
             self.tells(now, box_at);
             let jitter = self.rng.random_range(0.0..QUERY_JITTER);
             let again = now + QUERY_INTERVAL + QUERY_INTERVAL.mul_f64(jitter);
