--- a/daemon/src/relay/followed.rs
+++ b/daemon/src/relay/followed.rs
@@ -1,9 +1,9 @@
 //! What control knows of the platform's state and of the other boxes.
 
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::cells::Boxes;
-use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::heard_boxes::HeardBoxes;
+use badgerferry_lib::relay::gossip_topology::Boxes;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
+use badgerferry_lib::relay::peer_liveness::PeerLiveness;
 use badgerferry_lib::relay::quota_owner::QuotaOwner;
 use badgerferry_lib::relay::server_list::ServerList;
 use badgerferry_lib::time::Time;
@@ -16,7 +16,7 @@
     /// All boxes that are known, this one included.
     pub boxes: Boxes,
     /// Which other boxes are heard.
-    pub heard: HeardBoxes,
+    pub heard: PeerLiveness,
     /// When the store last answered this box.
     pub store_at: Option<Time>,
     /// When a neighbour last said that the store answers it.
@@ -33,20 +33,20 @@
     pub fn take_boxes(&mut self, now: Time, listed: Boxes) {
         let before = std::mem::replace(&mut self.boxes, listed);
         for (name, of) in before {
-            if self.heard.lives(now, &name) {
+            if self.heard.is_live(now, &name) {
                 self.boxes.entry(name).or_insert(of);
             }
         }
     }
 
     /// Whom this box tells of its work, and whose engines it uses first.
-    pub fn scope(&self) -> Scope {
-        Scope::of(&self.boxes)
+    pub fn scope(&self) -> GossipScope {
+        GossipScope::of(&self.boxes)
     }
 
     /// Who gives out the calls of limited servers of a hall; `own` is this box.
     pub fn keeper(&self, now: Time, own: &str, hall: &HallName) -> QuotaOwner {
-        let lives = |name: &str| self.heard.lives(now, name);
+        let lives = |name: &str| self.heard.is_live(now, name);
         let up_for = now.since(Time::ZERO);
         QuotaOwner::elect(&self.boxes, own, hall, up_for, lives)
     }
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -7,22 +7,22 @@
 
 use anyhow::Context;
 use badgerferry_lib::ids::HallName;
-use badgerferry_lib::relay::cells;
-use badgerferry_lib::relay::cells::FAR_PAUSE;
-use badgerferry_lib::relay::cells::LEAST_FAR_PAUSE;
-use badgerferry_lib::relay::cells::PAUSE_PER_BOX;
-use badgerferry_lib::relay::cells::Scope;
-use badgerferry_lib::relay::cells::Speaker;
-use badgerferry_lib::relay::cells::WAITING_HEARTBEAT;
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_load::EngineUse;
-use badgerferry_lib::relay::engine_pace::SaidBy;
-use badgerferry_lib::relay::hall_reach::HEARTBEAT;
+use badgerferry_lib::relay::engine_load::EngineLoad;
+use badgerferry_lib::relay::gossip_topology;
+use badgerferry_lib::relay::gossip_topology::DelegateRole;
+use badgerferry_lib::relay::gossip_topology::GOSSIP_INTERVAL_PER_BOX;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
+use badgerferry_lib::relay::gossip_topology::MAX_HALL_GOSSIP_INTERVAL;
+use badgerferry_lib::relay::gossip_topology::MIN_HALL_GOSSIP_INTERVAL;
+use badgerferry_lib::relay::gossip_topology::QUEUED_PROMPT_HEARTBEAT;
+use badgerferry_lib::relay::hall_reachability::HEARTBEAT_INTERVAL;
 use badgerferry_lib::relay::load_datagram::LoadDatagram;
+use badgerferry_lib::relay::load_datagram::LoadSource;
 use badgerferry_lib::relay::load_datagram::MAX_DATAGRAM_BYTES;
-use badgerferry_lib::relay::load_datagram::Teller;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
 use badgerferry_lib::relay::quarantine::RunsOf;
+use badgerferry_lib::relay::slow_engine_tracker::ReportOrigin;
 use badgerferry_lib::relay::state_pull::FRAME_VERSION;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::settings_file::BoxSettings;
@@ -81,7 +81,7 @@
 
 async fn tell(relay: &Arc<Relay>, socket: &UdpSocket) {
     let mut sequence = 0;
-    let mut scope = Scope::Fleet;
+    let mut scope = GossipScope::Fleet;
     let mut is_urgent = false;
     loop {
         let now = relay.clock.now();
@@ -92,17 +92,22 @@
         sequence += 1;
         let mut datagram = LoadDatagram {
             is_urgent,
-            waits: lock(&relay.long_prompt_queue).head(now),
-            ..datagram(relay, now, sequence, Teller::Box, rows)
+            queue_head: lock(&relay.long_prompt_queue).head(now),
+            ..datagram(relay, now, sequence, LoadSource::Box, rows)
         };
-        let waits = datagram.waits;
+        let queue_head = datagram.queue_head;
         let others = others(relay);
         send_to_all(socket, &mut datagram, &others).await;
-        let heartbeat = match waits {
-            Some(_) => WAITING_HEARTBEAT,
-            None => HEARTBEAT,
+        let heartbeat = match queue_head {
+            Some(_) => QUEUED_PROMPT_HEARTBEAT,
+            None => HEARTBEAT_INTERVAL,
         };
-        is_urgent = wait_to_tell(relay, PAUSE_PER_BOX * others.len() as u32, heartbeat).await;
+        is_urgent = wait_to_tell(
+            relay,
+            GOSSIP_INTERVAL_PER_BOX * others.len() as u32,
+            heartbeat,
+        )
+        .await;
         if is_urgent {
             relay.hall_changed.notify_one();
         }
@@ -132,28 +137,28 @@
             turn += 1;
             let mut datagram = hall_datagram(relay, now, turn as u64);
             send_to_all(socket, &mut datagram, &receivers).await;
-            if speaker == Speaker::First {
-                tokio::time::sleep(LEAST_FAR_PAUSE).await;
-                let pause = FAR_PAUSE.saturating_sub(LEAST_FAR_PAUSE);
+            if speaker == DelegateRole::Primary {
+                tokio::time::sleep(MIN_HALL_GOSSIP_INTERVAL).await;
+                let pause = MAX_HALL_GOSSIP_INTERVAL.saturating_sub(MIN_HALL_GOSSIP_INTERVAL);
                 // Nothing changed in that time: what is known is told again.
                 let _ = timeout(pause, relay.hall_changed.notified()).await;
                 continue;
             }
         }
-        tokio::time::sleep(FAR_PAUSE).await;
+        tokio::time::sleep(MAX_HALL_GOSSIP_INTERVAL).await;
     }
 }
 
 /// Whether this box speaks for its hall, and to whom this time.
-fn far_receivers(relay: &Relay, now: Time, turn: usize) -> (Option<Speaker>, Vec<SocketAddr>) {
+fn far_receivers(relay: &Relay, now: Time, turn: usize) -> (Option<DelegateRole>, Vec<SocketAddr>) {
     let own = &relay.settings;
     let followed = lock(&relay.followed);
-    if followed.scope() == Scope::Fleet {
+    if followed.scope() == GossipScope::Fleet {
         return (None, Vec::new());
     }
-    let lives = |name: &str| followed.heard.lives(now, name);
-    let speaker = cells::speaker(&followed.boxes, &own.name, &own.hall, lives);
-    let receivers = cells::receivers(&followed.boxes, &own.hall, turn).into_iter();
+    let lives = |name: &str| followed.heard.is_live(now, name);
+    let speaker = gossip_topology::delegate_role(&followed.boxes, &own.name, &own.hall, lives);
+    let receivers = gossip_topology::gossip_targets(&followed.boxes, &own.hall, turn).into_iter();
     let receivers = receivers.filter_map(|of| of.load.parse().ok());
     (speaker, receivers.collect())
 }
@@ -165,13 +170,13 @@
         let is_near = |name: &str| relay.is_near(&followed.boxes, name);
         lock(&relay.loads).hall_table(now, is_near)
     };
-    let teller = Teller::Hall {
+    let source = LoadSource::Hall {
         hall: relay.settings.hall.clone(),
-        passed_on: false,
+        is_forwarded: false,
     };
     LoadDatagram {
-        waits: lock(&relay.long_prompt_queue).hall_head(now),
-        ..datagram(relay, now, sequence, teller, rows)
+        queue_head: lock(&relay.long_prompt_queue).hall_head(now),
+        ..datagram(relay, now, sequence, source, rows)
     }
 }
 
@@ -179,32 +184,32 @@
     relay: &Relay,
     now: Time,
     sequence: u64,
-    teller: Teller,
-    rows: HashMap<EngineKey, EngineUse>,
+    source: LoadSource,
+    rows: HashMap<EngineKey, EngineLoad>,
 ) -> LoadDatagram {
     let (faults, departures) = {
         let mut tracker = lock(&relay.tracker);
         (tracker.recent_faults(now), tracker.recent_departures(now))
     };
-    let (slow, runs_of) = match teller {
-        Teller::Box => (lock(&relay.paces).own(now), RunsOf::Box),
-        Teller::Hall { .. } => (lock(&relay.paces).of_hall(now), RunsOf::Hall),
+    let (slow_engines, runs_of) = match source {
+        LoadSource::Box => (lock(&relay.paces).own_reports(now), RunsOf::Box),
+        LoadSource::Hall { .. } => (lock(&relay.paces).hall_reports(now), RunsOf::Hall),
     };
     let suspects = lock(&relay.quarantine).rows(now, runs_of);
     let notices = lock(&relay.gate.notices).rows(now);
     LoadDatagram {
         version: FRAME_VERSION,
         from: relay.settings.name.clone(),
-        lifetime: relay.lifetime,
+        incarnation: relay.incarnation,
         sequence,
-        teller,
+        source,
         is_urgent: false,
-        have: relay.known_state(),
+        known_state: relay.known_state(),
         follows_store: relay.follows_store(),
-        waits: None,
+        queue_head: None,
         faults,
         departures,
-        slow,
+        slow_engines,
         suspects,
         notices,
         rows: rows.into_iter().collect(),
@@ -212,7 +217,7 @@
 }
 
 async fn send_to_all(socket: &UdpSocket, datagram: &mut LoadDatagram, to: &[SocketAddr]) {
-    let left_out = datagram.fit();
+    let left_out = datagram.truncate_rows();
     counter!("badgerferry_load_rows_left_out_total").increment(left_out as u64);
     let bytes = datagram.encode();
     for address in to {
@@ -260,7 +265,7 @@
     }
 }
 
-fn log_scope(relay: &Relay, last: &mut Scope) {
+fn log_scope(relay: &Relay, last: &mut GossipScope) {
     let (scope, boxes) = {
         let followed = lock(&relay.followed);
         (followed.scope(), followed.boxes.len())
@@ -278,7 +283,7 @@
     let own = &relay.settings;
     let others = followed.boxes.values().filter(|of| of.name != own.name);
     others
-        .filter(|of| scope.holds(&own.hall, &of.hall))
+        .filter(|of| scope.includes(&own.hall, &of.hall))
         .filter_map(|of| of.load.parse().ok())
         .collect()
 }
@@ -299,7 +304,7 @@
             Ok((len, _from)) => LoadDatagram::decode(&buf[..len]),
             Err(cause) => {
                 tracing::debug!(%cause, "no datagram could be taken");
-                tokio::time::sleep(PAUSE_PER_BOX).await;
+                tokio::time::sleep(GOSSIP_INTERVAL_PER_BOX).await;
                 continue;
             }
         };
@@ -320,8 +325,8 @@
         if passed_on.is_due(relay, now, &datagram) {
             pass_on(relay, socket, &datagram).await;
         }
-        let have = relay.known_state();
-        let is_newer = have.lacks(datagram.have);
+        let known_state = relay.known_state();
+        let is_newer = known_state.is_behind(datagram.known_state);
         // Far news is pulled by the box that passes it on, the others pull from that one.
         let lacks_state = is_newer && !is_passed_on(&datagram);
         if !lacks_state && !pulls::wants_boxes(relay) {
@@ -358,11 +363,11 @@
 impl PassedOn {
     /// Whether a datagram is to be passed on now, which then counts as done.
     fn is_due(&mut self, relay: &Relay, now: Time, datagram: &LoadDatagram) -> bool {
-        let Teller::Hall { hall, passed_on } = &datagram.teller else {
+        let LoadSource::Hall { hall, is_forwarded } = &datagram.source else {
             return false;
         };
         let last = self.last.get(hall);
-        let is_due = !passed_on
+        let is_due = !is_forwarded
             && *hall != relay.settings.hall
             && last.is_none_or(|last| now.since(*last) >= PASS_ON_PAUSE);
         if is_due {
@@ -374,17 +379,17 @@
 
 /// Whose word a datagram is.
 pub fn teller_name(datagram: &LoadDatagram) -> &str {
-    match &datagram.teller {
-        Teller::Box => &datagram.from,
-        Teller::Hall { hall, .. } => hall.as_str(),
+    match &datagram.source {
+        LoadSource::Box => &datagram.from,
+        LoadSource::Hall { hall, .. } => hall.as_str(),
     }
 }
 
 const fn is_passed_on(datagram: &LoadDatagram) -> bool {
     matches!(
-        datagram.teller,
-        Teller::Hall {
-            passed_on: true,
+        datagram.source,
+        LoadSource::Hall {
+            is_forwarded: true,
             ..
         }
     )
@@ -393,32 +398,33 @@
 /// Gives a datagram of another hall to the boxes of this one.
 async fn pass_on(relay: &Relay, socket: &UdpSocket, datagram: &LoadDatagram) {
     let mut datagram = datagram.clone();
-    if let Teller::Hall { passed_on, .. } = &mut datagram.teller {
-        *passed_on = true;
+    if let LoadSource::Hall { is_forwarded, .. } = &mut datagram.source {
+        *is_forwarded = true;
     }
     send_to_all(socket, &mut datagram, &others(relay)).await;
 }
 
 fn merge_rows(relay: &Relay, now: Time, datagram: &mut LoadDatagram) {
-    let (lifetime, sequence) = (datagram.lifetime, datagram.sequence);
+    let (incarnation, sequence) = (datagram.incarnation, datagram.sequence);
     let from = &datagram.from;
-    match &datagram.teller {
-        Teller::Box => {
+    match &datagram.source {
+        LoadSource::Box => {
             let rows = std::mem::take(&mut datagram.rows);
-            let is_newer = lock(&relay.loads).take_table(now, from, lifetime, sequence, rows);
+            let is_newer =
+                lock(&relay.loads).update_peer_table(now, from, incarnation, sequence, rows);
             if is_newer {
-                lock(&relay.long_prompt_queue).record_box_head(now, from, datagram.waits);
+                lock(&relay.long_prompt_queue).record_box_head(now, from, datagram.queue_head);
             }
             if datagram.is_urgent {
                 relay.hall_changed.notify_one();
             }
         }
         // Its own hall's boxes are known by themselves.
-        Teller::Hall { hall, .. } if *hall == relay.settings.hall => {}
-        Teller::Hall { hall, .. } => {
+        LoadSource::Hall { hall, .. } if *hall == relay.settings.hall => {}
+        LoadSource::Hall { hall, .. } => {
             let rows = datagram.rows.clone();
-            if lock(&relay.loads).take_hall_table(now, hall, lifetime, sequence, rows) {
-                lock(&relay.long_prompt_queue).record_hall_head(now, hall, datagram.waits);
+            if lock(&relay.loads).update_hall_table(now, hall, incarnation, sequence, rows) {
+                lock(&relay.long_prompt_queue).record_hall_head(now, hall, datagram.queue_head);
             }
         }
     }
@@ -431,7 +437,9 @@
         if datagram.follows_store {
             followed.neighbour_at = Some(now);
         }
-        followed.heard.hear(now, &datagram.from, datagram.have);
+        followed
+            .heard
+            .record(now, &datagram.from, datagram.known_state);
         let hall = followed.boxes.get(&datagram.from);
         let hall = hall.map(|of| HallName::new(&of.hall));
         followed.heard_unknown |= hall.is_none();
@@ -442,11 +450,11 @@
     };
     let own = &relay.settings.hall;
     let said_by = if hall == *own {
-        SaidBy::OwnHall
+        ReportOrigin::OwnHall
     } else {
-        SaidBy::OtherHall
+        ReportOrigin::OtherHall
     };
-    lock(&relay.paces).told(now, said_by, &datagram.slow);
+    lock(&relay.paces).record_gossip(now, said_by, &datagram.slow_engines);
     let mut tracker = lock(&relay.tracker);
     tracker.datagram_received(now, own, &hall, &datagram.from);
     tracker.apply_departures(now, &datagram.departures);
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -13,9 +13,9 @@
 use badgerferry_lib::relay::state_pull::FRAME_VERSION;
 use badgerferry_lib::relay::state_pull::KnownState;
 use badgerferry_lib::relay::state_pull::MAX_FRAME_BYTES;
-use badgerferry_lib::relay::state_pull::PullAnswer;
 use badgerferry_lib::relay::state_pull::PullRequest;
-use badgerferry_lib::relay::state_pull::first_sources;
+use badgerferry_lib::relay::state_pull::PullResponse;
+use badgerferry_lib::relay::state_pull::bootstrap_sources;
 use metrics::counter;
 use rand::seq::IndexedRandom;
 use tokio::io::AsyncReadExt;
@@ -60,7 +60,7 @@
 }
 
 /// An answer of two frames: what is newer, and the route table if that is.
-type Answer = (PullAnswer, Option<RouteTable>);
+type Answer = (PullResponse, Option<RouteTable>);
 
 /// Whether this box lacks addresses of others, and has not asked for them just now.
 pub fn wants_boxes(relay: &Relay) -> bool {
@@ -97,14 +97,14 @@
 
 /// A box that has newer state, drawn from those that said so.
 fn any_ahead(relay: &Relay) -> Option<String> {
-    let have = relay.known_state();
+    let known_state = relay.known_state();
     let followed = lock(&relay.followed);
-    let ahead = followed.heard.ahead_of(relay.clock.now(), have);
+    let ahead = followed.heard.ahead_of(relay.clock.now(), known_state);
     ahead.choose(&mut rand::rng()).map(|&name| name.to_owned())
 }
 
 /// Pulls from a box, or from any other one if its address is not known.
-async fn pull_from_named(relay: &Arc<Relay>, name: &str, have: KnownState) -> Pulled {
+async fn pull_from_named(relay: &Arc<Relay>, name: &str, known_state: KnownState) -> Pulled {
     let address = {
         let followed = lock(&relay.followed);
         let named = followed.boxes.get(name).map(|of| of.pull.clone());
@@ -118,7 +118,7 @@
         })
     };
     match address.and_then(|address| address.parse().ok()) {
-        Some(address) => pull(relay, address, have).await,
+        Some(address) => pull(relay, address, known_state).await,
         None => Pulled::Done,
     }
 }
@@ -128,7 +128,7 @@
     while relay.routes.load().is_none() {
         tokio::time::sleep(START_PULL).await;
         let settings = &relay.settings;
-        let all = first_sources(settings.pull, &settings.seeds, &lock(&relay.followed).boxes);
+        let all = bootstrap_sources(settings.pull, &settings.seeds, &lock(&relay.followed).boxes);
         let drawn = all.choose(&mut rand::rng()).copied();
         if let (None, Some(address)) = (relay.routes.load().as_ref(), drawn) {
             pull(relay, address, relay.known_state()).await;
@@ -136,10 +136,10 @@
     }
 }
 
-async fn pull(relay: &Arc<Relay>, address: SocketAddr, have: KnownState) -> Pulled {
+async fn pull(relay: &Arc<Relay>, address: SocketAddr, known_state: KnownState) -> Pulled {
     let request = PullRequest {
         version: FRAME_VERSION,
-        have,
+        known_state,
         wants_boxes: wants_boxes(relay),
     };
     if request.wants_boxes {
@@ -164,8 +164,8 @@
     };
     tracing::info!(
         %address,
-        have_version = have.routes,
-        have_servers = %have.servers,
+        have_version = known_state.routes,
+        have_servers = %known_state.servers,
         version = table.as_ref().map(|table| table.version),
         servers = answer.servers.as_ref().map(news_for_log),
         "state from a neighbour"
@@ -208,7 +208,7 @@
     write_frame(&mut stream, &postcard::to_stdvec(request)?).await?;
     let bytes = read_frame(&mut stream).await?;
     anyhow::ensure!(!bytes.is_empty(), Busy);
-    let answer: PullAnswer = postcard::from_bytes(&bytes)?;
+    let answer: PullResponse = postcard::from_bytes(&bytes)?;
     let table = if answer.table_follows {
         let bytes = read_frame(&mut stream).await?;
         Some(postcard::from_bytes(&bytes)?)
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -11,12 +11,11 @@
 
 use arc_swap::ArcSwapOption;
 use badgerferry_lib::ids::ServerName;
-use badgerferry_lib::relay::cells;
-use badgerferry_lib::relay::cells::Boxes;
-use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::engine_load::EngineKey;
-use badgerferry_lib::relay::engine_load::EngineLoads;
-use badgerferry_lib::relay::engine_pace::EnginePaces;
+use badgerferry_lib::relay::engine_load::EngineLoadTracker;
+use badgerferry_lib::relay::gossip_topology;
+use badgerferry_lib::relay::gossip_topology::Boxes;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::long_prompt_queue::LongPromptQueue;
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::quarantine::Quarantine;
@@ -27,10 +26,11 @@
 use badgerferry_lib::relay::server_list::ServerList;
 use badgerferry_lib::relay::server_notices::NoticeRows;
 use badgerferry_lib::relay::server_tracker::ServerTracker;
+use badgerferry_lib::relay::slow_engine_tracker::SlowEngineTracker;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 use badgerferry_lib::relay::state_pull::KnownState;
-use badgerferry_lib::relay::state_pull::PullAnswer;
 use badgerferry_lib::relay::state_pull::PullRequest;
+use badgerferry_lib::relay::state_pull::PullResponse;
 use badgerferry_lib::relay::work_key::WorkKey;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::settings_file::BoxSettings;
@@ -77,7 +77,7 @@
     /// What the platform told this process.
     pub settings: BoxSettings,
     /// Distinguishes this life of the process from others.
-    pub lifetime: u64,
+    pub incarnation: u64,
     /// The process's clock.
     pub clock: Clock,
     /// The route table in force.
@@ -87,9 +87,9 @@
     /// Servers and how they do.
     pub tracker: Arc<Mutex<ServerTracker>>,
     /// Work at engines, of all boxes.
-    pub loads: Mutex<EngineLoads>,
+    pub loads: Mutex<EngineLoadTracker>,
     /// Engines that are slow.
-    pub paces: Mutex<EnginePaces>,
+    pub paces: Mutex<SlowEngineTracker>,
     /// Long prompts that wait for engines.
     pub long_prompt_queue: Mutex<LongPromptQueue>,
     /// Retry budgets by service.
@@ -150,7 +150,7 @@
         });
         Self {
             settings,
-            lifetime: rand::random(),
+            incarnation: rand::random(),
             clock,
             routes: ArcSwapOption::empty(),
             routes_known: Notify::new(),
@@ -232,7 +232,8 @@
         let now = self.clock.now();
         let followed = lock(&self.followed);
         let own = &self.settings;
-        let before = cells::boxes_before(&followed.boxes, &own.hall, own.processor, &own.name);
+        let before =
+            gossip_topology::rank_in_hall(&followed.boxes, &own.hall, own.processor, &own.name);
         let hears = |at: Time| now.since(at) < NEIGHBOUR_SILENCE;
         before < FOLLOWERS_PER_HALL || !followed.neighbour_at.is_some_and(hears)
     }
@@ -252,11 +253,11 @@
     }
 
     /// Boxes that choose among the engines which this box uses first.
-    pub fn boxes_beside(&self, scope: Scope) -> usize {
+    pub fn boxes_beside(&self, scope: GossipScope) -> usize {
         let followed = lock(&self.followed);
         let own = &self.settings.hall;
         let beside = followed.boxes.values();
-        let beside = beside.filter(|of| scope.holds(own, &of.hall)).count();
+        let beside = beside.filter(|of| scope.includes(own, &of.hall)).count();
         beside.max(1)
     }
 
@@ -274,10 +275,10 @@
     }
 
     /// What another box lacks; see [`Self::table_for`].
-    pub fn newer_than(&self, request: &PullRequest) -> PullAnswer {
-        let have = request.have;
+    pub fn newer_than(&self, request: &PullRequest) -> PullResponse {
+        let known_state = request.known_state;
         // Boxes that are up hear of them with the datagrams.
-        let has_just_started = have.routes.is_none();
+        let has_just_started = known_state.routes.is_none();
         let notices = if has_just_started {
             lock(&self.gate.notices).all_rows(self.clock.now())
         } else {
@@ -289,9 +290,9 @@
         } else {
             Vec::new()
         };
-        PullAnswer {
-            table_follows: self.version_in_force() > have.routes,
-            servers: followed.servers.update_since(have.servers),
+        PullResponse {
+            table_follows: self.version_in_force() > known_state.routes,
+            servers: followed.servers.update_since(known_state.servers),
             hold_remaining: followed.servers.hold_remaining(self.clock.now()),
             notices,
             boxes,
@@ -299,7 +300,7 @@
     }
 
     /// The route table in force as it follows an answer.
-    pub fn table_for(&self, answer: &PullAnswer) -> Option<Bytes> {
+    pub fn table_for(&self, answer: &PullResponse) -> Option<Bytes> {
         answer.table_follows.then(|| self.encoded_table()).flatten()
     }
 
@@ -382,7 +383,7 @@
         let listed: HashSet<EngineKey> = (servers.iter())
             .map(|server| EngineKey::of(&server.name))
             .collect();
-        lock(&self.paces).keep(|engine| listed.contains(&engine));
+        lock(&self.paces).retain(|engine| listed.contains(&engine));
         lock(&self.tracker).set_servers(servers);
         self.load_changed.notify_one();
     }
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -16,8 +16,8 @@
 
 use crate::relay::availability::Availability;
 use crate::relay::call::PromptSize;
-use crate::relay::engine_load::EngineUse;
-use crate::relay::engine_load::Work;
+use crate::relay::engine_load::EngineLoad;
+use crate::relay::engine_load::EngineWork;
 use crate::relay::prefill_selector::Bearable;
 use crate::relay::prefill_selector::LONG_PAUSE;
 use crate::relay::prefill_selector::LONGEST_PART_ALONE;
@@ -109,7 +109,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineState {
     /// Work there, of all boxes.
-    pub load: EngineUse,
+    pub load: EngineLoad,
     /// Whether it stands in this box's data hall.
     pub is_local: bool,
     /// Rank in this box's own order, so that boxes which choose at once choose apart.
@@ -171,15 +171,15 @@
 
 impl EnginePlan {
     /// The work at each part's engine, for the load table; `engines` are those of the plan.
-    pub fn works(&self, engines: &[EngineState]) -> Vec<Work> {
+    pub fn works(&self, engines: &[EngineState]) -> Vec<EngineWork> {
         let work = |(at, part): (usize, &Assignment)| {
-            let ahead = Duration::from_millis(engines[part.engine].load.reading_ms.into());
-            Work {
-                read: part.prefill,
+            let ahead = Duration::from_millis(engines[part.engine].load.prefill_ms.into());
+            EngineWork {
+                prefill: part.prefill,
                 delay: ahead + part.delay,
-                memory: part.memory,
-                leads: at == 0,
-                long: self.long,
+                memory_tokens: part.memory,
+                is_lead: at == 0,
+                is_long: self.long,
             }
         };
         self.assignments.iter().enumerate().map(work).collect()
@@ -199,7 +199,7 @@
 pub fn short_call_engines(model: &EngineModel, engines: &[EngineState]) -> usize {
     let short: usize = engines
         .iter()
-        .map(|engine| usize::from(engine.load.short))
+        .map(|engine| usize::from(engine.load.short_calls))
         .sum();
     let per_engine = (f64::from(model.slots) * SHORT_PART_OF_BATCH).max(1.0) as usize;
     let wanted = short.div_ceil(per_engine) + SPARE_SHORT_ENGINES;
@@ -238,8 +238,8 @@
 }
 
 fn reading_ahead(engine: &EngineState) -> Duration {
-    let reading = Duration::from_millis(u64::from(engine.load.reading_ms));
-    let least = match engine.load.long_reads {
+    let reading = Duration::from_millis(u64::from(engine.load.prefill_ms));
+    let least = match engine.load.long_prefills {
         0 => Duration::ZERO,
         _ => LATE_PART,
     };
@@ -262,13 +262,13 @@
 impl EngineState {
     /// Streams that it writes.
     pub(crate) fn writers(&self) -> u32 {
-        u32::from(self.load.short) + u32::from(self.load.long)
+        u32::from(self.load.short_calls) + u32::from(self.load.long_calls)
     }
 
     /// Tokens that it has room for.
     pub(crate) fn free_memory(&self, model: &EngineModel) -> u64 {
         let usable = (model.memory as f64 * USABLE_MEMORY) as u64;
-        usable.saturating_sub(u64::from(self.load.memory_k) * 1_000)
+        usable.saturating_sub(u64::from(self.load.memory_kilotokens) * 1_000)
     }
 }
 
--- a/lib/src/relay/cells.rs
+++ b/lib/src/relay/gossip_topology.rs
@@ -19,45 +19,45 @@
 /// Shortest time between two datagrams, for each box told: bounds what all boxes spend. What
 /// long prompts do is told at once all the same: it is rare, and boxes that don't know of it
 /// send theirs to the same engines.
-pub const PAUSE_PER_BOX: Duration = Duration::from_millis(1);
+pub const GOSSIP_INTERVAL_PER_BOX: Duration = Duration::from_millis(1);
 /// Longest time between two datagrams while a long prompt waits, to which other boxes give way.
-pub const WAITING_HEARTBEAT: Duration = Duration::from_millis(150);
+pub const QUEUED_PROMPT_HEARTBEAT: Duration = Duration::from_millis(150);
 /// Longest time between two datagrams that tell other halls the work of this one.
-pub const FAR_PAUSE: Duration = Duration::from_millis(200);
+pub const MAX_HALL_GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 /// Shortest time between two of them. Two halls that don't see each other's long prompts send them
 /// to the same engines.
-pub const LEAST_FAR_PAUSE: Duration = Duration::from_millis(20);
+pub const MIN_HALL_GOSSIP_INTERVAL: Duration = Duration::from_millis(20);
 /// Age up to which what all boxes tell each other is fresh: it grows by the pause with each box that
 /// is told. Beyond it, the sums that halls tell each other are newer.
-const MOST_AGE_IN_MESH: Duration = LEAST_FAR_PAUSE;
+const MAX_MESH_STALENESS: Duration = MIN_HALL_GOSSIP_INTERVAL;
 /// Boxes of another hall that are told in turn: each passes on what it hears to its whole hall, so
 /// they share that work, and all but one may be dead before the hall hears nothing.
-const RECEIVERS: usize = 4;
+const RECEIVERS_PER_HALL: usize = 4;
 
 /// How long a box is silent before its entry is removed: a machine that is only frozen, cut off or
 /// away for repair comes back before, and until then costs its neighbours a datagram now and then.
-const ABANDONED: Duration = Duration::from_mins(10);
+const BOX_EXPIRY: Duration = Duration::from_mins(10);
 
 /// Boxes, by name.
 pub type Boxes = BTreeMap<String, BoxAddresses>;
 
 /// Whom a box tells of its work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum GossipScope {
     /// All boxes.
     Fleet,
     /// Those of its own hall.
     Hall,
 }
 
-impl Scope {
+impl GossipScope {
     /// Follows from the boxes that are known, this one included.
     pub fn of(boxes: &Boxes) -> Self {
         let mut halls = boxes.values().map(|of| &of.hall);
         let first = halls.next();
         let has_more_halls = halls.any(|hall| Some(hall) != first);
-        let age_in_mesh = PAUSE_PER_BOX * boxes.len().saturating_sub(1) as u32;
-        if age_in_mesh > MOST_AGE_IN_MESH && has_more_halls {
+        let age_in_mesh = GOSSIP_INTERVAL_PER_BOX * boxes.len().saturating_sub(1) as u32;
+        if age_in_mesh > MAX_MESH_STALENESS && has_more_halls {
             Self::Hall
         } else {
             Self::Fleet
@@ -65,84 +65,84 @@
     }
 
     /// Whether a box that keeps to this scope tells one of that hall.
-    pub fn holds(self, own: &HallName, hall: &str) -> bool {
+    pub fn includes(self, own: &HallName, hall: &str) -> bool {
         self == Self::Fleet || own.as_str() == hall
     }
 }
 
 /// Boxes of a hall; those with most processor time come first, and do what one must do for all.
-pub fn ranked<'a>(boxes: &'a Boxes, hall: &str) -> Vec<&'a BoxAddresses> {
+pub fn ranked_boxes<'a>(boxes: &'a Boxes, hall: &str) -> Vec<&'a BoxAddresses> {
     let mut ranked: Vec<&BoxAddresses> = boxes.values().filter(|of| of.hall == hall).collect();
     ranked.sort_by_key(|of| (Reverse(of.processor), &of.name));
     ranked
 }
 
 /// How many boxes of its hall rank before a box, whether it is known itself or not yet.
-pub fn boxes_before(boxes: &Boxes, hall: &HallName, processor: u16, name: &str) -> usize {
+pub fn rank_in_hall(boxes: &Boxes, hall: &HallName, processor: u16, name: &str) -> usize {
     let own = (Reverse(processor), name);
-    let ranked = ranked(boxes, hall.as_str());
+    let ranked = ranked_boxes(boxes, hall.as_str());
     let before = |of: &&&BoxAddresses| (Reverse(of.processor), of.name.as_str()) < own;
     ranked.iter().filter(before).count()
 }
 
 /// How a box speaks for its hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Speaker {
+pub enum DelegateRole {
     /// It tells the other halls what changes, at once.
-    First,
+    Primary,
     /// It tells them now and then, in case the first one has died unseen.
-    Second,
+    Backup,
 }
 
 /// Whether and how a box speaks for its hall, as far as it knows who else lives there.
-pub fn speaker(
+pub fn delegate_role(
     boxes: &Boxes,
     own: &str,
     hall: &HallName,
-    lives: impl Fn(&str) -> bool,
-) -> Option<Speaker> {
-    let ranked = ranked(boxes, hall.as_str());
+    is_live: impl Fn(&str) -> bool,
+) -> Option<DelegateRole> {
+    let ranked = ranked_boxes(boxes, hall.as_str());
     let mut living = ranked
         .into_iter()
-        .filter(|of| of.name == own || lives(&of.name));
+        .filter(|of| of.name == own || is_live(&of.name));
     match living.position(|of| of.name == own)? {
-        0 => Some(Speaker::First),
-        1 => Some(Speaker::Second),
+        0 => Some(DelegateRole::Primary),
+        1 => Some(DelegateRole::Backup),
         _ => None,
     }
 }
 
 /// The first living box of a hall, or of the next one in which any lives, in an order of its own for each.
-pub fn first_living<'a>(
+pub fn first_live_box<'a>(
     boxes: &'a Boxes,
     own: &str,
     hall: &HallName,
-    lives: impl Fn(&str) -> bool,
+    is_live: impl Fn(&str) -> bool,
 ) -> Option<&'a BoxAddresses> {
     let halls: BTreeSet<&str> = boxes.values().map(|of| of.hall.as_str()).collect();
     let from = halls.range(hall.as_str()..);
     let mut halls = from.chain(halls.range(..hall.as_str()));
     halls.find_map(|hall| {
-        let mut ranked = ranked(boxes, hall).into_iter();
-        ranked.find(|of| of.name == own || lives(&of.name))
+        let mut ranked = ranked_boxes(boxes, hall).into_iter();
+        ranked.find(|of| of.name == own || is_live(&of.name))
     })
 }
 
 /// Halls in which boxes are known.
-pub fn halls(boxes: &Boxes) -> usize {
+pub fn hall_count(boxes: &Boxes) -> usize {
     let halls: BTreeSet<&str> = boxes.values().map(|of| of.hall.as_str()).collect();
     halls.len()
 }
 
 /// Boxes of a hall that were silent so long that they are gone for good. Its first box that lives
 /// sees to it, and none that hears nobody: then it is itself that is cut off.
-pub fn abandoned(
+pub fn expired_boxes(
     boxes: &Boxes,
     own: &BoxAddresses,
     silent_for: impl Fn(&str) -> Duration,
 ) -> Vec<String> {
-    let is_silent = |of: &&BoxAddresses| silent_for(&of.name) >= ABANDONED;
-    let others = ranked(boxes, &own.hall).into_iter();
+    let is_silent = |of: &&BoxAddresses| silent_for(&of.name) >= BOX_EXPIRY;
+    let others = ranked_boxes(boxes, &own.hall).into_iter();
     let others = others.filter(|of| of.name != own.name);
     let (silent, living): (Vec<_>, Vec<_>) = others.partition(is_silent);
     let goes_before = |of: &&BoxAddresses| {
@@ -155,15 +155,15 @@
 }
 
 /// One box of each other hall, another one each turn.
-pub fn receivers<'a>(boxes: &'a Boxes, own: &HallName, turn: usize) -> Vec<&'a BoxAddresses> {
+pub fn gossip_targets<'a>(boxes: &'a Boxes, own: &HallName, turn: usize) -> Vec<&'a BoxAddresses> {
     let mut halls: Vec<&str> = boxes.values().map(|of| of.hall.as_str()).collect();
     halls.sort_unstable();
     halls.dedup();
     let others = halls.into_iter().filter(|hall| *hall != own.as_str());
     others
         .filter_map(|hall| {
-            let mut ranked = ranked(boxes, hall);
-            ranked.truncate(RECEIVERS);
+            let mut ranked = ranked_boxes(boxes, hall);
+            ranked.truncate(RECEIVERS_PER_HALL);
             ranked.get(turn % ranked.len().max(1)).copied()
         })
         .collect()
--- a/lib/src/relay/hall_planner.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -9,12 +9,12 @@
 use rand::Rng;
 
 use crate::relay::call::PromptSize;
-use crate::relay::cells::Scope;
 use crate::relay::engine_plan;
 use crate::relay::engine_plan::EnginePlan;
 use crate::relay::engine_plan::EnginePool;
 use crate::relay::engine_plan::EngineState;
 use crate::relay::engine_plan::LatencyTargets;
+use crate::relay::gossip_topology::GossipScope;
 
 /// Fraction of the time until its first event is due that a short call may be expected to take in
 /// its own hall. The rest is a margin: about half of all calls exceed their estimate.
@@ -30,7 +30,7 @@
     /// Hall number of each engine; 0 is the hall of this box.
     pub halls: &'a [usize],
     /// Whether halls are cells, or all boxes share data about all engines.
-    pub scope: Scope,
+    pub scope: GossipScope,
 }
 
 impl HallPlanner<'_> {
@@ -43,7 +43,7 @@
         targets: LatencyTargets,
         rng: &mut impl Rng,
     ) -> Option<EnginePlan> {
-        if self.scope == Scope::Fleet {
+        if self.scope == GossipScope::Fleet {
             return engine_plan::plan(&self.pool, prompt, targets, rng);
         }
         if engine_plan::is_long(self.pool.model, prompt, targets.pause) {
--- a/lib/src/relay/prefill_selector.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -72,8 +72,8 @@
     /// longer part gains.
     fn bears(&self, at: usize) -> Duration {
         let load = &self.engines[at].load;
-        match (load.short, load.long) {
-            _ if load.long_reads > 0 => Duration::ZERO,
+        match (load.short_calls, load.long_calls) {
+            _ if load.long_prefills > 0 => Duration::ZERO,
             _ if at < self.short_engines => self.bearable.beside_short,
             (0, 0) if self.is_huge => Duration::MAX,
             (0, 0) => self.longest_alone,
@@ -94,7 +94,7 @@
     fn leads(&self, at: usize) -> bool {
         let engine = &self.engines[at];
         engine.free_memory(self.model) >= self.prompt.memory()
-            && engine.load.long < MOST_LONG_STREAMS
+            && engine.load.long_calls < MOST_LONG_STREAMS
             && engine.writers() < self.model.slots
     }
 
@@ -134,7 +134,7 @@
             (
                 is_ordered,
                 writes_short,
-                engine.load.long,
+                engine.load.long_calls,
                 engine.preference,
             )
         });
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -14,9 +14,9 @@
 
 use crate::relay::availability::Availability;
 use crate::relay::call_rate::CallRate;
-use crate::relay::moment::Moment;
 use crate::relay::parsed_header::ParsedHeader;
-use crate::relay::turns;
+use crate::relay::round_robin;
+use crate::relay::signed_time::SignedTime;
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Word {
     rate: Option<CallRate>,
-    at: Moment,
+    at: SignedTime,
     /// When this box learned that it changed.
     changed: Time,
 }
@@ -93,13 +93,19 @@
             ParsedHeader::Absent if self.words.contains_key(&life) => None,
             ParsedHeader::Absent | ParsedHeader::Unreadable => return None,
         };
-        self.take(now, life, rate, Moment::of(now))
+        self.take(now, life, rate, SignedTime::from_time(now))
     }
 
     /// Takes what another box tells.
     pub fn merge_rows(&mut self, now: Time, rows: &[LimitRow]) -> Vec<LimitChange> {
-        let take =
-            |row: &LimitRow| self.take(now, row.life, row.rate, Moment::ago(now, row.age_ms));
+        let take = |row: &LimitRow| {
+            self.take(
+                now,
+                row.life,
+                row.rate,
+                SignedTime::before_now(now, row.age_ms),
+            )
+        };
         rows.iter().filter_map(take).collect()
     }
 
@@ -108,11 +114,11 @@
         now: Time,
         life: ServerLife,
         rate: Option<CallRate>,
-        at: Moment,
+        at: SignedTime,
     ) -> Option<LimitChange> {
         let known = self.words.get(&life).copied();
         let is_newer = known.is_none_or(|known| at > known.at);
-        if !is_newer || at.since(now) >= REMEMBERED {
+        if !is_newer || at.age(now) >= REMEMBERED {
             return None;
         }
         if known.is_none() {
@@ -140,7 +146,7 @@
         if self.words.len() < MOST_SERVERS {
             return;
         }
-        self.words.retain(|_, word| word.at.since(now) < REMEMBERED);
+        self.words.retain(|_, word| word.at.age(now) < REMEMBERED);
         let oldest = self.words.iter().min_by_key(|(_, word)| word.at);
         if let (true, Some((&life, _))) = (self.words.len() >= MOST_SERVERS, oldest) {
             self.words.remove(&life);
@@ -181,7 +187,7 @@
         if self.words.is_empty() {
             return Vec::new();
         }
-        self.words.retain(|_, word| word.at.since(now) < REMEMBERED);
+        self.words.retain(|_, word| word.at.age(now) < REMEMBERED);
         let is_fresh = |word: &Word| now.since(word.changed) < FRESH;
         let mut fresh: Vec<_> = (self.words.iter())
             .filter(|(_, word)| is_fresh(word))
@@ -191,7 +197,7 @@
         let rest = self.words.iter().filter(|(_, word)| !is_fresh(word));
         let mut rest: Vec<_> = rest.collect();
         rest.sort_by_key(|(life, _)| **life);
-        let in_turn = turns::in_turn(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
+        let in_turn = round_robin::next_in_rotation(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
         let told_to = in_turn.last().map(|(life, _)| **life);
         let told = fresh.iter().chain(&in_turn);
         let rows = told.map(|(life, word)| row(now, **life, word)).collect();
@@ -226,6 +232,6 @@
     LimitRow {
         life,
         rate: word.rate,
-        age_ms: word.at.millis_ago(now) + WAY.as_millis() as u32,
+        age_ms: word.at.age_ms(now) + WAY.as_millis() as u32,
     }
 }
--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -15,8 +15,8 @@
 use crate::ids::ServerName;
 use crate::relay::availability::Availability;
 use crate::relay::engine_load::EngineKey;
-use crate::relay::hall_reach::HallReach;
-use crate::relay::hall_reach::ReachChange;
+use crate::relay::hall_reachability::HallReachability;
+use crate::relay::hall_reachability::HallReachabilityChange;
 use crate::relay::route_table::ServiceName;
 use crate::relay::server_list::ServerEntry;
 use crate::relay::work_key::ServerLife;
@@ -171,7 +171,7 @@
     records: HashMap<ServerName, ServerRecord>,
     by_service: HashMap<ServiceName, Vec<ServerName>>,
     halls: HashMap<HallName, Breaker>,
-    reach: HallReach,
+    reach: HallReachability,
     /// Servers that this box knows to leave or to be gone, and since when.
     departed: Vec<(EngineKey, Time)>,
 }
@@ -312,27 +312,27 @@
 
     fn hall_works(&self, now: Time, hall: &HallName) -> bool {
         let breaker = self.halls.get(hall);
-        breaker.is_none_or(|breaker| breaker.admits(now)) && self.reach.admits(now, hall)
+        breaker.is_none_or(|breaker| breaker.admits(now)) && self.reach.allows_calls(now, hall)
     }
 
     /// Halls that fell silent or are heard again since this was last asked for.
-    pub fn take_reach_changes(&mut self, now: Time) -> Vec<ReachChange> {
+    pub fn take_reach_changes(&mut self, now: Time) -> Vec<HallReachabilityChange> {
         self.reach.take_changes(now)
     }
 
     /// Records that a box was heard; `own` is this box's hall.
     pub fn datagram_received(&mut self, now: Time, own: &HallName, hall: &HallName, from: &str) {
         if hall == own {
-            self.reach.heard_near(now);
+            self.reach.record_own_hall_heartbeat(now);
         } else {
-            self.reach.heard(now, hall, from);
+            self.reach.record_heartbeat(now, hall, from);
         }
     }
 
     /// Records a call sent there.
     pub fn call_sent(&mut self, now: Time, name: &ServerName) {
         if let Some(record) = self.records.get_mut(name) {
-            self.reach.sent(now, &record.info.hall);
+            self.reach.record_call(now, &record.info.hall);
             record.in_flight += 1;
             record.breaker.on_dispatch();
             self.halls
@@ -345,7 +345,7 @@
     /// Records that it answers, though its call may take long: a trial has succeeded.
     pub fn call_answered(&mut self, now: Time, name: &ServerName) {
         if let Some(record) = self.records.get_mut(name) {
-            self.reach.answered(now, &record.info.hall);
+            self.reach.record_answer(now, &record.info.hall);
             record.breaker.on_success();
             self.halls
                 .entry(record.info.hall.clone())
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -4,7 +4,7 @@
 
 use badgerferry_lib::relay::availability::Availability;
 use badgerferry_lib::relay::call::PromptSize;
-use badgerferry_lib::relay::engine_load::EngineUse;
+use badgerferry_lib::relay::engine_load::EngineLoad;
 use badgerferry_lib::relay::engine_plan;
 use badgerferry_lib::relay::engine_plan::EngineModel;
 use badgerferry_lib::relay::engine_plan::EnginePlan;
@@ -34,7 +34,7 @@
 fn idle(count: usize) -> Vec<EngineState> {
     (0..count)
         .map(|at| EngineState {
-            load: EngineUse::default(),
+            load: EngineLoad::default(),
             is_local: true,
             preference: at as u32,
             availability: Availability::Open,
@@ -92,7 +92,7 @@
 #[test]
 fn short_calls_stay_on_the_first_engines() {
     let mut engines = idle(18);
-    engines[0].load.short = 12;
+    engines[0].load.short_calls = 12;
 
     let plan = plan(&engines, 5_000, SHORT).expect("there is room");
 
@@ -109,7 +109,7 @@
     let mut engines = idle(18);
     assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 1);
 
-    engines[3].load.short = 100;
+    engines[3].load.short_calls = 100;
 
     assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 10);
 }
@@ -118,7 +118,7 @@
 #[test]
 fn smaller_batches_make_a_wider_lane() {
     let mut engines = idle(18);
-    engines[3].load.short = 72;
+    engines[3].load.short_calls = 72;
     let small = EngineModel { slots: 12, ..MODEL };
 
     assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 7);
@@ -147,7 +147,7 @@
 #[test]
 fn an_engine_reads_for_one_long_prompt_at_a_time() {
     let mut engines = idle(18);
-    engines[5].load.long_reads = 1;
+    engines[5].load.long_prefills = 1;
 
     let plan = plan(&engines, 154_000, PATIENT).expect("others are free");
 
@@ -159,7 +159,7 @@
 fn a_single_short_stream_is_not_made_to_pause_by_a_long_part() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.short = 1;
+        engine.load.short_calls = 1;
     }
 
     assert_eq!(plan(&engines, 310_000, PATIENT), None);
@@ -173,7 +173,7 @@
 fn a_prompt_waits_where_too_few_engines_are_free() {
     let mut engines = idle(18);
     for engine in &mut engines[3..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     assert_eq!(plan(&engines, 154_000, PATIENT), None);
@@ -187,10 +187,10 @@
 fn large_parts_stay_away_from_long_streams() {
     let mut engines = idle(18);
     for engine in &mut engines[4..] {
-        engine.load.long = 1;
+        engine.load.long_calls = 1;
     }
     for engine in &mut engines[10..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     let small = plan(&engines, 100_000, PATIENT).expect("parts of 200 ms");
@@ -207,7 +207,7 @@
 fn a_large_prompt_takes_all_engines_that_are_free() {
     let mut engines = idle(18);
     for engine in &mut engines[11..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("ten are free");
@@ -219,7 +219,7 @@
 fn a_large_prompt_leaves_some_free_engines_where_boxes_are_many() {
     let mut engines = idle(18);
     for engine in &mut engines[11..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
     let targets = targets(Duration::from_secs(3), PATIENT);
 
@@ -242,7 +242,7 @@
 fn a_prompt_is_read_beside_short_streams_in_parts_that_they_bear() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.short = 8;
+        engine.load.short_calls = 8;
     }
 
     let small = plan_due(&engines, 100_000, Duration::from_secs(3));
@@ -262,7 +262,7 @@
 fn streams_that_pause_longer_bear_larger_parts_beside_them() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.short = 8;
+        engine.load.short_calls = 8;
     }
     let targets = LatencyTargets {
         strictest_pause: MIDDLE,
@@ -279,7 +279,7 @@
 fn a_prompt_led_among_short_streams_is_read_in_the_lane_where_parts_would_pause_them() {
     let mut engines = idle(18);
     for engine in &mut engines[..15] {
-        engine.load.short = 11;
+        engine.load.short_calls = 11;
     }
 
     let plan = plan(&engines, 100_000, MIDDLE).expect("there is room");
@@ -324,7 +324,7 @@
 fn a_prompt_that_no_group_can_hold_is_not_planned() {
     let mut engines = idle(18);
     for engine in &mut engines {
-        engine.load.memory_k = 299;
+        engine.load.memory_kilotokens = 299;
     }
 
     assert_eq!(plan(&engines, 700_000, PATIENT), None);
@@ -337,12 +337,12 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut engines = idle(rng.random_range(1..70));
         for engine in &mut engines {
-            engine.load = EngineUse {
-                reading_ms: rng.random_range(0..800),
-                long_reads: rng.random_range(0..2),
-                short: rng.random_range(0..20),
-                long: rng.random_range(0..4),
-                memory_k: rng.random_range(0..320),
+            engine.load = EngineLoad {
+                prefill_ms: rng.random_range(0..800),
+                long_prefills: rng.random_range(0..2),
+                short_calls: rng.random_range(0..20),
+                long_calls: rng.random_range(0..4),
+                memory_kilotokens: rng.random_range(0..320),
             };
         }
         let tokens = rng.random_range(1..1_000_000);
@@ -370,7 +370,7 @@
         );
         let memory: u64 = plan.assignments.iter().map(|part| part.memory).sum();
         assert!(memory >= prompt.memory(), "seed {seed}: {memory}");
-        let alone = used.iter().all(|&at| engines[at].load.long_reads == 0);
+        let alone = used.iter().all(|&at| engines[at].load.long_prefills == 0);
         assert!(
             !plan.long || alone,
             "seed {seed}: a long prompt beside another"
@@ -382,7 +382,7 @@
 fn a_large_prompt_starts_on_few_free_engines_unless_it_needs_more_to_be_on_time() {
     let mut engines = idle(18);
     for engine in &mut engines[8..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
 
     let early = plan_due(&engines, 250_000, Duration::from_secs(3));
@@ -400,10 +400,10 @@
 fn a_part_that_would_pause_streams_for_long_goes_where_nothing_is_written() {
     let mut engines = idle(18);
     for engine in &mut engines[8..] {
-        engine.load.long_reads = 1;
+        engine.load.long_prefills = 1;
     }
-    engines[3].load.short = 1;
-    engines[4].load.long = 1;
+    engines[3].load.short_calls = 1;
+    engines[4].load.long_calls = 1;
 
     let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("five are left");
 
@@ -460,7 +460,7 @@
     engines[1].availability = Availability::Limited;
     let with_room = plan(&engines, 5_000, SHORT).expect("there is room");
     for at in [2, 3] {
-        engines[at].load.short = 16;
+        engines[at].load.short_calls = 16;
     }
 
     let without = plan(&engines, 5_000, SHORT).expect("there is room");
