--- a/cli/src/commands/lost.rs
+++ b/cli/src/commands/lost.rs
@@ -3,11 +3,11 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use badgerferry_lib::relay::lost_calls::CallLine;
-use badgerferry_lib::relay::lost_calls::Estimate;
+use badgerferry_lib::relay::lost_calls::CALL_END_MESSAGE;
+use badgerferry_lib::relay::lost_calls::CallRecord;
 use badgerferry_lib::relay::lost_calls::LostCalls;
 use badgerferry_lib::relay::lost_calls::LostRow;
-use badgerferry_lib::relay::lost_calls::MESSAGE;
+use badgerferry_lib::relay::lost_calls::ReadTimeRatios;
 use badgerferry_lib::relay::served_shares::ServedShares;
 use serde::Serialize;
 
@@ -48,7 +48,7 @@
 struct SizeRow {
     size: String,
     calls: u64,
-    read_over_expected: Option<Estimate>,
+    read_over_expected: Option<ReadTimeRatios>,
 }
 
 #[derive(Serialize)]
@@ -76,7 +76,7 @@
     for path in &args.files {
         log_files::read(path, |line| {
             if let Some((second, line)) = line.as_ref().and_then(call_line) {
-                all.take(&second, &line);
+                all.add(&second, &line);
             }
         })?;
     }
@@ -86,9 +86,9 @@
 }
 
 /// The last line of a call, and the second in which it was written.
-fn call_line(line: &LogLine) -> Option<(String, CallLine)> {
+fn call_line(line: &LogLine) -> Option<(String, CallRecord)> {
     let value = &line.value;
-    if value.get("message")?.as_str()? != MESSAGE {
+    if value.get("message")?.as_str()? != CALL_END_MESSAGE {
         return None;
     }
     let second = value.get("timestamp")?.as_str()?.get(..SECOND_LEN)?;
@@ -116,7 +116,7 @@
         .collect();
     worst_seconds.sort_by_key(|&(_, calls)| std::cmp::Reverse(calls));
     worst_seconds.truncate(WORST_SECONDS);
-    let served = all.served().into_iter();
+    let served = all.served_shares().into_iter();
     Report {
         sizes: sizes.collect(),
         served: served
--- a/cli/src/commands/suspects.rs
+++ b/cli/src/commands/suspects.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use argh::FromArgs;
-use badgerferry_lib::relay::quarantine::Fact;
-use badgerferry_lib::relay::work_key::WorkKey;
+use badgerferry_lib::relay::quarantine::StoredFact;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
 use badgerferry_platform::store::Store;
 use badgerferry_platform::store::StoreError;
 use badgerferry_platform::store_change::Change;
@@ -25,7 +25,7 @@
 pub struct SuspectsArgs {
     /// let one run of this work decide: its key, as boxes log it
     #[argh(option)]
-    release: Option<WorkKey>,
+    release: Option<RequestFingerprint>,
     /// print JSON
     #[argh(switch)]
     json: bool,
@@ -52,7 +52,7 @@
 ) -> CommandResult {
     let mut store = Store::new(store, patience);
     if let Some(work) = args.release {
-        let released = store.put_suspects(&[(work, Fact::Released)]).await;
+        let released = store.put_suspects(&[(work, StoredFact::Released)]).await;
         released.map_err(|cause| failed("release the work", &cause))?;
         println!("{work} released: one run of it decides");
         return Ok(());
@@ -76,7 +76,7 @@
 }
 
 fn rows(items: &[Change]) -> Vec<SuspectRow> {
-    let mut rows: BTreeMap<WorkKey, SuspectRow> = BTreeMap::new();
+    let mut rows: BTreeMap<RequestFingerprint, SuspectRow> = BTreeMap::new();
     for item in items {
         let Change::Suspect { work, fact } = item else {
             continue;
@@ -84,9 +84,9 @@
         let row = rows.entry(*work).or_default();
         row.work = work.to_string();
         match fact {
-            Fact::Ended(_) => row.lives_ended += 1,
-            Fact::Held => row.held = true,
-            Fact::Released => row.released = true,
+            StoredFact::Crashed(_) => row.lives_ended += 1,
+            StoredFact::Quarantined => row.held = true,
+            StoredFact::Released => row.released = true,
         }
     }
     rows.into_values().collect()
--- a/cli/tests/test_suspects.rs
+++ b/cli/tests/test_suspects.rs
@@ -4,18 +4,18 @@
 use std::process::Command;
 use std::time::Duration;
 
-use badgerferry_lib::relay::quarantine::Fact;
-use badgerferry_lib::relay::work_key::ServerLife;
-use badgerferry_lib::relay::work_key::WorkKey;
+use badgerferry_lib::relay::quarantine::StoredFact;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_platform::store::Store as Client;
 use badgerferry_standin::store::Store;
 use serde_json::json;
 
-const HELD: WorkKey = WorkKey {
+const HELD: RequestFingerprint = RequestFingerprint {
     owner: 1,
     digest: 2,
 };
-const SUSPECT: WorkKey = WorkKey {
+const SUSPECT: RequestFingerprint = RequestFingerprint {
     owner: 0xFFFF_FFFF,
     digest: u64::MAX,
 };
@@ -36,10 +36,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn works_are_listed_and_one_is_released() -> anyhow::Result<()> {
     let store = Store::start().await?;
-    let ends = (0..3).map(|life| (HELD, Fact::Ended(ServerLife(life))));
-    let mut facts: Vec<(WorkKey, Fact)> = ends.collect();
-    facts.push((HELD, Fact::Held));
-    facts.push((SUSPECT, Fact::Ended(ServerLife(9))));
+    let ends = (0..3).map(|life| (HELD, StoredFact::Crashed(ServerIncarnation(life))));
+    let mut facts: Vec<(RequestFingerprint, StoredFact)> = ends.collect();
+    facts.push((HELD, StoredFact::Quarantined));
+    facts.push((SUSPECT, StoredFact::Crashed(ServerIncarnation(9))));
     let mut client = Client::new(store.address, Duration::from_secs(2));
     client.put_suspects(&facts).await?;
     // Another writer's key hides none of the others.
--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -13,16 +13,16 @@
 use badgerferry_lib::ids::WorkspaceName;
 use badgerferry_lib::outcome::FailureReason;
 use badgerferry_lib::outcome::RefusalReason;
+use badgerferry_lib::relay::attempts::AttemptEnd;
 use badgerferry_lib::relay::attempts::Attempts;
-use badgerferry_lib::relay::attempts::Next;
-use badgerferry_lib::relay::attempts::TryEnd;
-use badgerferry_lib::relay::retry_window::RetryRule;
+use badgerferry_lib::relay::attempts::NextStep;
+use badgerferry_lib::relay::request_fingerprint::FingerprintInput;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
+use badgerferry_lib::relay::retry_window::RetryBudgetRule;
 use badgerferry_lib::relay::retry_window::RetryWindow;
 use badgerferry_lib::relay::route_table::Route;
 use badgerferry_lib::relay::route_table::RouteIndex;
 use badgerferry_lib::relay::route_table::ServiceName;
-use badgerferry_lib::relay::work_key::WorkKey;
-use badgerferry_lib::relay::work_key::WorkParts;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::headers;
 use badgerferry_platform::headers::CallHead;
@@ -74,9 +74,9 @@
     /// What its head says.
     pub head: CallHead,
     /// What it asks for, once that was worked out.
-    work: OnceLock<WorkKey>,
+    work: OnceLock<RequestFingerprint>,
     /// Whether a server ended under its last run.
-    pub saw_end: AtomicBool,
+    pub saw_crash: AtomicBool,
     /// Whether its caller has the head of an answer: from then on it can only go on or be cut.
     pub has_begun: AtomicBool,
     /// Host.
@@ -102,9 +102,9 @@
     }
 
     /// What it asks for and for whom, the same for each caller's try at any box.
-    pub fn work(&self) -> WorkKey {
+    pub fn work(&self) -> RequestFingerprint {
         *self.work.get_or_init(|| {
-            WorkKey::of(&WorkParts {
+            RequestFingerprint::of(&FingerprintInput {
                 method: self.method.as_str(),
                 host: &self.host,
                 target: self
@@ -153,20 +153,20 @@
     /// Whether the box's share of the retry budget has a repeat left.
     pub fn has_retry_budget(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
-        self.with_retries(|window, rule| window.has_left(now, rule, boxes))
+        self.with_retries(|window, rule| window.has_retry_left(now, rule, boxes))
     }
 
     /// Takes one repeat from the box's share of the retry budget, if there is one.
     pub fn may_repeat(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
-        let allowed = self.with_retries(|window, rule| window.spend(now, rule, boxes));
+        let allowed = self.with_retries(|window, rule| window.try_spend(now, rule, boxes));
         if !allowed {
             tracing::info!(call = self.id(), service = %self.service, boxes, "no retry budget left");
         }
         allowed
     }
 
-    fn with_retries<T>(&self, f: impl FnOnce(&mut RetryWindow, &RetryRule) -> T) -> T {
+    fn with_retries<T>(&self, f: impl FnOnce(&mut RetryWindow, &RetryBudgetRule) -> T) -> T {
         let mut retries = lock(&self.relay.retries);
         let window = retries.entry(self.service.clone()).or_default();
         f(window, &self.relay.settings.retries)
@@ -233,7 +233,7 @@
         route: route.clone(),
         head,
         work: OnceLock::new(),
-        saw_end: AtomicBool::new(false),
+        saw_crash: AtomicBool::new(false),
         has_begun: AtomicBool::new(false),
         host,
         method: parts.method,
@@ -277,7 +277,7 @@
 async fn run(call: Call) -> Response<AnswerBody> {
     let call = Arc::new(call);
     let mut attempts = Attempts::new(call.route.kind.is_repeatable(), call.route.max_attempts);
-    call.with_retries(|window, rule| window.first(call.arrived, rule));
+    call.with_retries(|window, rule| window.record_first_send(call.arrived, rule));
     let mut tried = Vec::new();
     loop {
         let result = match timeout(
@@ -302,14 +302,14 @@
                 let next = attempts.give_up(reason, retry_after);
                 return finish(&call, &attempts, next);
             }
-            TryResult::ServerError(answer) => (TryEnd::ServerError, Some(answer)),
+            TryResult::ServerError(answer) => (AttemptEnd::ServerError, Some(answer)),
             TryResult::Ended(end) => (end, None),
         };
-        match attempts.on_end(end, NO_SERVER_RETRY, || call.may_repeat()) {
-            Next::TryElsewhere => {}
-            Next::PassOn => {
+        match attempts.on_attempt_end(end, NO_SERVER_RETRY, || call.may_repeat()) {
+            NextStep::TryElsewhere => {}
+            NextStep::PassOn => {
                 let Some(answer) = own_failure else {
-                    let next = Next::Fail(FailureReason::ServerError);
+                    let next = NextStep::Fail(FailureReason::ServerError);
                     return finish(&call, &attempts, next);
                 };
                 log_lines::ended(&call, &attempts, "server_error", answer.status());
@@ -320,11 +320,11 @@
     }
 }
 
-fn finish(call: &Call, attempts: &Attempts, next: Next) -> Response<AnswerBody> {
+fn finish(call: &Call, attempts: &Attempts, next: NextStep) -> Response<AnswerBody> {
     let (code, answer) = match next {
-        Next::Refuse(refused) => (refused.reason().code(), caller_answer::refused(&refused)),
-        Next::Fail(reason) => (reason.code(), caller_answer::failed(reason)),
-        Next::TryElsewhere | Next::PassOn => {
+        NextStep::Refuse(refused) => (refused.reason().code(), caller_answer::refused(&refused)),
+        NextStep::Fail(reason) => (reason.code(), caller_answer::failed(reason)),
+        NextStep::TryElsewhere | NextStep::PassOn => {
             let reason = FailureReason::AttemptsUsed;
             (reason.code(), caller_answer::failed(reason))
         }
--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -362,7 +362,7 @@
             load.map_or(0, |load| u32::from(load.short) + u32::from(load.long))
         };
         candidates.retain(|(_, standing)| standing.takes_calls());
-        candidates = quarantine::apart(candidates, busy, &mut rand::rng());
+        candidates = quarantine::pick_isolated(candidates, busy, &mut rand::rng());
     }
     // Engines kept for short calls are the first ones, which must take them.
     candidates.sort_by_key(|(_, standing)| *standing != Standing::Open);
--- a/daemon/src/relay/live_stream.rs
+++ b/daemon/src/relay/live_stream.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::attempts::AttemptEnd;
 use badgerferry_lib::relay::attempts::Attempts;
-use badgerferry_lib::relay::attempts::Next;
-use badgerferry_lib::relay::attempts::TryEnd;
+use badgerferry_lib::relay::attempts::NextStep;
 use badgerferry_lib::relay::event_join::EventJoin;
 use http::Response;
 use http_body_util::BodyExt;
@@ -120,15 +120,15 @@
             RunEnd::CallerGone => return "caller_gone",
             RunEnd::Broken { join, repeat_paid } => (join, repeat_paid),
         };
-        let mut end = TryEnd::Lost;
+        let mut end = AttemptEnd::Lost;
         live = loop {
             let paid = std::mem::take(&mut repeat_paid);
-            match attempts.on_end(end, NO_SERVER_RETRY, || paid || call.may_repeat()) {
-                Next::TryElsewhere => {}
-                Next::Fail(reason) => return reason.code(),
-                Next::PassOn | Next::Refuse(_) => return "server_lost",
+            match attempts.on_attempt_end(end, NO_SERVER_RETRY, || paid || call.may_repeat()) {
+                NextStep::TryElsewhere => {}
+                NextStep::Fail(reason) => return reason.code(),
+                NextStep::PassOn | NextStep::Refuse(_) => return "server_lost",
             }
-            join.next_run();
+            join.discard_partial();
             let next = tokio::select! {
                 next = tries::try_once(call, attempts, tried, Some(&join)) => next,
                 () = tx.closed() => return "caller_gone",
@@ -136,8 +136,8 @@
             end = match next {
                 TryResult::Live(live) => break live,
                 TryResult::Ended(end) => end,
-                TryResult::ServerError(_) => TryEnd::ServerError,
-                TryResult::Whole(_) => TryEnd::Lost,
+                TryResult::ServerError(_) => AttemptEnd::ServerError,
+                TryResult::Whole(_) => AttemptEnd::Lost,
                 TryResult::NoServer(..) => return "no_server",
             };
         };
@@ -197,7 +197,7 @@
             Ok(Some(Err(cause))) => Broken::Off(cause.to_string()),
             Err(_elapsed) => {
                 // Silence alone ends no answer: without another server to go on, it is waited for.
-                repeat_paid = attempts.may_repeat() && call.may_repeat();
+                repeat_paid = attempts.may_retry() && call.may_repeat();
                 if !repeat_paid {
                     patience = Duration::MAX;
                     continue;
--- a/daemon/src/relay/metrics_page.rs
+++ b/daemon/src/relay/metrics_page.rs
@@ -84,9 +84,9 @@
     gauge!("badgerferry_long_prompts_waiting").set(lock(&relay.long_queue).len() as f64);
     {
         let quarantine = lock(&relay.quarantine);
-        let held = quarantine.held(relay.clock.now());
+        let held = quarantine.quarantined_count(relay.clock.now());
         gauge!("badgerferry_works_held").set(held as f64);
-        gauge!("badgerferry_works_pushed_out").set(quarantine.pushed_out() as f64);
+        gauge!("badgerferry_works_pushed_out").set(quarantine.evicted() as f64);
     }
     {
         let notices = lock(&relay.gate.notices);
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -22,7 +22,7 @@
 use badgerferry_lib::relay::load_datagram::MAX_DATAGRAM_BYTES;
 use badgerferry_lib::relay::load_datagram::Teller;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
-use badgerferry_lib::relay::quarantine::RunsOf;
+use badgerferry_lib::relay::quarantine::RunScope;
 use badgerferry_lib::relay::state_pull::FRAME_VERSION;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::settings_file::BoxSettings;
@@ -187,8 +187,8 @@
         (book.faults(now), book.departures(now))
     };
     let (slow, runs_of) = match teller {
-        Teller::Box => (lock(&relay.paces).own(now), RunsOf::Box),
-        Teller::Hall { .. } => (lock(&relay.paces).of_hall(now), RunsOf::Hall),
+        Teller::Box => (lock(&relay.paces).own(now), RunScope::Box),
+        Teller::Hall { .. } => (lock(&relay.paces).of_hall(now), RunScope::Hall),
     };
     let suspects = lock(&relay.quarantine).rows(now, runs_of);
     let notices = lock(&relay.gate.notices).rows(now);
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -21,6 +21,7 @@
 use badgerferry_lib::relay::permit_wire::Verdict;
 use badgerferry_lib::relay::quota_keeper::Keeper;
 use badgerferry_lib::relay::quota_keeper::QuotaKeeper;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_limits::LimitChange;
 use badgerferry_lib::relay::server_limits::LimitRow;
@@ -30,7 +31,6 @@
 use badgerferry_lib::relay::server_notices::ServerNotices;
 use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::relay::stated::Stated;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use metrics::counter;
 use tokio::sync::Notify;
@@ -68,7 +68,7 @@
     /// Its name.
     pub name: ServerName,
     /// The life of it that is meant.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// Its data hall.
     pub hall: HallName,
 }
@@ -292,7 +292,7 @@
     }
 
     /// Decides on a call to a server whose calls this box gives out.
-    fn decide(&self, life: ServerLife, takers: usize, patience: Duration) -> Verdict {
+    fn decide(&self, life: ServerIncarnation, takers: usize, patience: Duration) -> Verdict {
         let now = self.now();
         // Its limit may be over by a newer answer than the asking box knows of.
         let Some(limit) = lock(&self.notices).limits.limit(life) else {
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -20,6 +20,7 @@
 use badgerferry_lib::relay::long_queue::LongQueue;
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::quarantine::Quarantine;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
 use badgerferry_lib::relay::retry_window::RetryWindow;
 use badgerferry_lib::relay::route_table::RouteIndex;
 use badgerferry_lib::relay::route_table::RouteTable;
@@ -31,7 +32,6 @@
 use badgerferry_lib::relay::state_pull::KnownState;
 use badgerferry_lib::relay::state_pull::PullAnswer;
 use badgerferry_lib::relay::state_pull::PullRequest;
-use badgerferry_lib::relay::work_key::WorkKey;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::settings_file::BoxSettings;
 use hyper::body::Bytes;
@@ -261,7 +261,7 @@
     }
 
     /// This box's rank among those that take turns with a suspect work.
-    pub fn rank_for(&self, work: WorkKey) -> usize {
+    pub fn rank_for(&self, work: RequestFingerprint) -> usize {
         let followed = lock(&self.followed);
         let names = followed.boxes.keys().map(String::as_str);
         quarantine::rank(work, &self.settings.name, names)
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -81,14 +81,14 @@
     let mut quiet_since: Option<Instant> = None;
     loop {
         let passed = began.elapsed();
-        if plan.refuses(passed) {
+        if plan.refuses_calls(passed) {
             relay.refusing.store(true, Ordering::SeqCst);
         }
         quiet_since = match in_flight(relay) {
             0 => quiet_since.or_else(|| Some(Instant::now())),
             _ => None,
         };
-        if plan.ends(passed, quiet_since.map(|since| since.elapsed())) {
+        if plan.should_exit(passed, quiet_since.map(|since| since.elapsed())) {
             return;
         }
         tokio::time::sleep(LOOK).await;
--- a/daemon/src/relay/store_follow.rs
+++ b/daemon/src/relay/store_follow.rs
@@ -313,7 +313,7 @@
         }
         self.relay.show_servers_of_store();
         if position.era > before.era {
-            lock(&self.relay.quarantine).store_forgot();
+            lock(&self.relay.quarantine).on_store_restored();
             self.relay.suspects_changed.notify_one();
         }
         // Calls that wait for the first routes go by them at once, and need the servers.
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -12,14 +12,14 @@
 use badgerferry_lib::outcome::RefusalReason;
 use badgerferry_lib::relay::load_datagram::LoadDatagram;
 use badgerferry_lib::relay::load_datagram::Teller;
-use badgerferry_lib::relay::quarantine::APART_FROM;
 use badgerferry_lib::relay::quarantine::Admission;
-use badgerferry_lib::relay::quarantine::Change;
-use badgerferry_lib::relay::quarantine::Fact;
-use badgerferry_lib::relay::quarantine::RunsOf;
-use badgerferry_lib::relay::suspect_work::Verdict;
-use badgerferry_lib::relay::work_key::ServerLife;
-use badgerferry_lib::relay::work_key::WorkKey;
+use badgerferry_lib::relay::quarantine::ISOLATION_MIN_CRASHES;
+use badgerferry_lib::relay::quarantine::QuarantineChange;
+use badgerferry_lib::relay::quarantine::RunScope;
+use badgerferry_lib::relay::quarantine::StoredFact;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
+use badgerferry_lib::relay::suspect_request::RequestStatus;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::store::Store;
 use metrics::counter;
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Run {
     relay: Arc<Relay>,
-    work: Option<WorkKey>,
+    work: Option<RequestFingerprint>,
     /// Whether to place it apart from other calls.
     pub is_apart: bool,
 }
@@ -81,10 +81,10 @@
     }
 
     /// Records that it ended well.
-    pub fn ran_well(&self) {
+    pub fn record_success(&self) {
         let Some(work) = self.work else { return };
         let now = self.relay.clock.now();
-        let change = lock(&self.relay.quarantine).ran_well(now, work);
+        let change = lock(&self.relay.quarantine).record_success(now, work);
         tell(&self.relay, change, "a run here");
     }
 }
@@ -107,10 +107,10 @@
 /// Why it may not run, and when to come back.
 pub async fn admit(call: &Arc<Call>) -> Result<Run, (RefusalReason, Duration)> {
     let relay = &call.relay;
-    let run = |work, lives| Run {
+    let run = |work, crashes| Run {
         relay: Arc::clone(relay),
         work,
-        is_apart: lives >= APART_FROM,
+        is_apart: crashes >= ISOLATION_MIN_CRASHES,
     };
     let is_told_apart = call.body.len() <= SMALL_BODY || !lock(&relay.quarantine).is_empty();
     if !is_told_apart {
@@ -123,21 +123,21 @@
         // Listens before it looks: a verdict that comes between the two is not missed.
         let news = relay.verdicts.notified();
         let now = relay.clock.now();
-        let saw_end = call.saw_end.load(Ordering::Relaxed);
+        let saw_crash = call.saw_crash.load(Ordering::Relaxed);
         let rank = || relay.rank_for(work);
-        let admission = lock(&relay.quarantine).admit(now, work, saw_end, rank);
+        let admission = lock(&relay.quarantine).admit(now, work, saw_crash, rank);
         match admission {
-            Admission::Run { lives } => {
-                if lives > 0 {
-                    tracing::info!(call = call.id(), %work, lives, "suspect call runs");
+            Admission::Run { crashes } => {
+                if crashes > 0 {
+                    tracing::info!(call = call.id(), %work, lives = crashes, "suspect call runs");
                     relay.urgent_changed.notify_one();
                 }
-                return Ok(run(Some(work), lives));
+                return Ok(run(Some(work), crashes));
             }
-            Admission::Held { left, lives } => {
+            Admission::Quarantined { left, crashes } => {
                 counter!("badgerferry_calls_held_total").increment(1);
                 let left_s = left.as_secs();
-                tracing::info!(call = call.id(), %work, lives, left_s, "call held: it ends servers");
+                tracing::info!(call = call.id(), %work, lives = crashes, left_s, "call held: it ends servers");
                 return Err((RefusalReason::EndsServers, left));
             }
             Admission::Wait if now >= until => {
@@ -190,7 +190,7 @@
 /// A life that ended with a run.
 struct ServerEnd {
     server: ServerName,
-    life: ServerLife,
+    life: ServerIncarnation,
     /// When the run was sent.
     began: Time,
 }
@@ -207,8 +207,8 @@
             life = format!("{:016x}", self.life.0),
             "server ended under a call"
         );
-        call.saw_end.store(true, Ordering::Relaxed);
-        let change = lock(&relay.quarantine).server_ended(now, work, self.life, self.began);
+        call.saw_crash.store(true, Ordering::Relaxed);
+        let change = lock(&relay.quarantine).record_crash(now, work, self.life, self.began);
         tell(relay, change, "a run here");
     }
 }
@@ -274,10 +274,10 @@
 pub fn heard(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let (from, rows) = (teller_name(datagram), &datagram.suspects);
     let of = match datagram.teller {
-        Teller::Box => RunsOf::Box,
-        Teller::Hall { .. } => RunsOf::Hall,
+        Teller::Box => RunScope::Box,
+        Teller::Hall { .. } => RunScope::Hall,
     };
-    let changes = lock(&relay.quarantine).take_rows(now, of, from, rows);
+    let changes = lock(&relay.quarantine).merge_rows(now, of, from, rows);
     relay.verdicts.notify_waiters();
     if !changes.is_empty() {
         relay.hall_changed.notify_one();
@@ -289,15 +289,15 @@
 }
 
 /// Takes what the store holds.
-pub fn stored(relay: &Relay, work: WorkKey, fact: Fact) {
+pub fn stored(relay: &Relay, work: RequestFingerprint, fact: StoredFact) {
     let now = relay.clock.now();
-    let change = lock(&relay.quarantine).stored(now, work, fact);
+    let change = lock(&relay.quarantine).apply_fact(now, work, fact);
     tell(relay, change, "the store");
 }
 
 /// Logs a change that became known here first, and lets everybody know: calls that wait here, and the
 /// other boxes.
-fn tell(relay: &Relay, change: Option<Change>, source: &str) {
+fn tell(relay: &Relay, change: Option<QuarantineChange>, source: &str) {
     let Some(change) = change else { return };
     log(&change, source);
     relay.verdicts.notify_waiters();
@@ -306,16 +306,20 @@
     relay.suspects_changed.notify_one();
 }
 
-fn log(change: &Change, source: &str) {
-    let Change {
-        work,
-        verdict,
-        lives,
+fn log(change: &QuarantineChange, source: &str) {
+    let QuarantineChange {
+        fingerprint,
+        status,
+        crashes,
     } = change;
-    match verdict {
-        Verdict::Suspect => tracing::info!(%work, lives, source, "work is suspect"),
-        Verdict::Held => tracing::warn!(%work, lives, source, "work is held: it ends servers"),
-        Verdict::Cleared => tracing::info!(%work, source, "work is cleared"),
+    match status {
+        RequestStatus::Suspect => {
+            tracing::info!(work = %fingerprint, lives = crashes, source, "work is suspect")
+        }
+        RequestStatus::Quarantined => {
+            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers")
+        }
+        RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "work is cleared"),
     }
 }
 
@@ -329,7 +333,7 @@
         loop {
             let now = relay.clock.now();
             let is_alone = !lock(&relay.followed).heard.hears_any(now);
-            let facts = lock(&relay.quarantine).to_store(now, is_alone);
+            let facts = lock(&relay.quarantine).unstored_facts(now, is_alone);
             if facts.is_empty() {
                 break;
             }
--- a/daemon/src/relay/tries.rs
+++ b/daemon/src/relay/tries.rs
@@ -5,8 +5,8 @@
 
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::outcome::RefusalReason;
+use badgerferry_lib::relay::attempts::AttemptEnd;
 use badgerferry_lib::relay::attempts::Attempts;
-use badgerferry_lib::relay::attempts::TryEnd;
 use badgerferry_lib::relay::event_join::EventJoin;
 use badgerferry_lib::relay::server_book::Evidence;
 use badgerferry_lib::relay::server_book::ToldLoad;
@@ -55,7 +55,7 @@
     /// The server ran the call and answered with a failure of its own, here whole.
     ServerError(Response<AnswerBody>),
     /// It ended without an answer that can be passed on.
-    Ended(TryEnd),
+    Ended(AttemptEnd),
 }
 
 /// A stream that a server is sending.
@@ -160,7 +160,7 @@
 
     /// Notes that its server serves it well, so that it does not end servers.
     pub fn runs_well(&self) {
-        self.run.ran_well();
+        self.run.record_success();
     }
 
     /// Closes the books with what the try says of the server.
@@ -205,7 +205,7 @@
             Self::Off(_) => flight.broke_off().await,
             Self::Spoiled(_) | Self::Silent(_) => flight.end(Evidence::Bad),
         }
-        TryResult::Ended(TryEnd::Lost)
+        TryResult::Ended(AttemptEnd::Lost)
     }
 }
 
@@ -334,15 +334,15 @@
     match cause {
         SendError::NotSent(_) => {
             flight.end(Evidence::Unreachable);
-            TryResult::Ended(TryEnd::NoConnection)
+            TryResult::Ended(AttemptEnd::NoConnection)
         }
         SendError::NoAnswer => {
             flight.end(Evidence::Silent);
-            TryResult::Ended(TryEnd::NoConnection)
+            TryResult::Ended(AttemptEnd::NoConnection)
         }
         SendError::Lost(_) => {
             flight.broke_off().await;
-            TryResult::Ended(TryEnd::Lost)
+            TryResult::Ended(AttemptEnd::Lost)
         }
     }
 }
@@ -376,7 +376,7 @@
 fn unusable(call: &Call, flight: Flight, status: StatusCode, why: &str) -> TryResult {
     log_lines::unusable(call, &flight.chosen, status, why);
     flight.end(Evidence::Bad);
-    TryResult::Ended(TryEnd::Lost)
+    TryResult::Ended(AttemptEnd::Lost)
 }
 
 async fn declined(call: &Call, received: Received) -> TryResult {
@@ -403,9 +403,9 @@
     });
     let pause = head.notice.retry_after.value().unwrap_or_default();
     TryResult::Ended(if pause.is_zero() {
-        TryEnd::Declined
+        AttemptEnd::Declined
     } else {
-        TryEnd::Shed
+        AttemptEnd::Shed
     })
 }
 
@@ -421,7 +421,7 @@
     let Some(bytes) = read_whole(body).await else {
         log_lines::unusable(call, &flight.chosen, parts.status, "it ended early");
         flight.broke_off().await;
-        return TryResult::Ended(TryEnd::Lost);
+        return TryResult::Ended(AttemptEnd::Lost);
     };
     put_back(call, &flight.chosen.server, connection, after);
     let answer = pass_on(&parts, AnswerBody::whole(bytes));
@@ -497,7 +497,7 @@
             Ok(None) if !join.is_inside_event() => break (Bytes::new(), true),
             Ok(None) => Broken::Off("it ended inside an event".to_owned()),
             Ok(Some(Err(cause))) => Broken::Off(cause.to_string()),
-            Err(_elapsed) if attempts.may_repeat() && call.has_retry_budget() => {
+            Err(_elapsed) if attempts.may_retry() && call.has_retry_budget() => {
                 Broken::Silent("no first event in time")
             }
             Err(_elapsed) => {
--- a/daemon/tests/test_relay_calls.rs
+++ b/daemon/tests/test_relay_calls.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use badgerferry_lib::relay::lost_calls::CallLine;
-use badgerferry_lib::relay::lost_calls::MESSAGE;
+use badgerferry_lib::relay::lost_calls::CALL_END_MESSAGE;
+use badgerferry_lib::relay::lost_calls::CallRecord;
 use badgerferry_standin::caller::Caller;
 use badgerferry_standin::caller::call;
 use badgerferry_standin::relay_box::World;
@@ -402,12 +402,12 @@
     let world = World::start(1).await?;
     Caller::once(world.relay.front(), &stream("id-1")).await?;
     Caller::once(world.relay.front(), &again("id-2")).await?;
-    world.relay.wait_line(&[MESSAGE, "id-1"]).await?;
-    world.relay.wait_line(&[MESSAGE, "id-2"]).await?;
+    world.relay.wait_line(&[CALL_END_MESSAGE, "id-1"]).await?;
+    world.relay.wait_line(&[CALL_END_MESSAGE, "id-2"]).await?;
 
     let log = world.relay.log();
-    let line = |id: &str| -> anyhow::Result<CallLine> {
-        let is_last = |line: &&str| line.contains(MESSAGE) && line.contains(id);
+    let line = |id: &str| -> anyhow::Result<CallRecord> {
+        let is_last = |line: &&str| line.contains(CALL_END_MESSAGE) && line.contains(id);
         let line = log.lines().find(is_last).unwrap_or_default();
         Ok(serde_json::from_str(line)?)
     };
--- a/daemon/tests/test_relay_reservations.rs
+++ b/daemon/tests/test_relay_reservations.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use badgerferry_lib::ids::WorkspaceName;
-use badgerferry_lib::relay::quarantine::Fact;
-use badgerferry_lib::relay::work_key::WorkKey;
-use badgerferry_lib::relay::work_key::WorkParts;
+use badgerferry_lib::relay::quarantine::StoredFact;
+use badgerferry_lib::relay::request_fingerprint::FingerprintInput;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
 use badgerferry_platform::store::Store;
 use badgerferry_standin::caller::Answer;
 use badgerferry_standin::caller::Caller;
@@ -86,7 +86,7 @@
         engine.refuse_reservations(usize::MAX);
     }
     let workspace = WorkspaceName::new("workspace-1");
-    let work = WorkKey::of(&WorkParts {
+    let work = RequestFingerprint::of(&FingerprintInput {
         method: "POST",
         host: "host.example",
         target: "/long/stream",
@@ -96,7 +96,9 @@
     let held = async {
         world.relay.wait_line(&["memory asked for"]).await?;
         let mut store = Store::new(world.store.address, Duration::from_secs(1));
-        store.put_suspects(&[(work, Fact::Held)]).await?;
+        store
+            .put_suspects(&[(work, StoredFact::Quarantined)])
+            .await?;
         world.relay.wait_line(&["work is held"]).await?;
         for engine in &engines {
             engine.refuse_reservations(0);
--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -11,8 +11,8 @@
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::ids::WorkspaceName;
 use badgerferry_lib::priority::Priority;
-use badgerferry_lib::relay::work_key::WorkKey;
-use badgerferry_lib::relay::work_key::WorkParts;
+use badgerferry_lib::relay::request_fingerprint::FingerprintInput;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
 use badgerferry_lib::request::Request;
 use badgerferry_lib::routing::Policy;
 use badgerferry_lib::server_view::EngineReport;
@@ -103,12 +103,12 @@
 
 /// What it costs to tell one piece of work from another: 0.25 us without a body, 12 us with 16 KB and 2.9 ms
 /// with 4 MB, on a core with instructions for SHA-256; before, calls had no such key.
-fn work_key(c: &mut Criterion) {
+fn request_fingerprint(c: &mut Criterion) {
     let mut group = c.benchmark_group("work_key");
     let workspace = WorkspaceName::new("workspace-1");
     for bytes in [0, 16 << 10, 4 << 20] {
         let body = vec![7; bytes];
-        let parts = WorkParts {
+        let parts = FingerprintInput {
             method: "POST",
             host: "host.example",
             target: "/stream/a",
@@ -116,11 +116,11 @@
             body: &body,
         };
         group.bench_function(BenchmarkId::from_parameter(bytes), |bencher| {
-            bencher.iter(|| WorkKey::of(black_box(&parts)));
+            bencher.iter(|| RequestFingerprint::of(black_box(&parts)));
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, decision, work_key);
+criterion_group!(benches, decision, request_fingerprint);
 criterion_main!(benches);
--- a/lib/src/relay/attempts.rs
+++ b/lib/src/relay/attempts.rs
@@ -22,7 +22,7 @@
 
 /// How one try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptEnd {
     /// No connection was made; nothing was sent.
     NoConnection,
     /// The server answered that it did not run the call.
@@ -37,7 +37,7 @@
 
 /// What to do after a try ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send it to another server.
     TryElsewhere,
     /// Give the caller the server's own failure.
@@ -85,7 +85,7 @@
     }
 
     /// Whether the next send repeats one that a server has received.
-    pub const fn is_repeat(&self) -> bool {
+    pub const fn is_retry(&self) -> bool {
         self.sent > 0
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Whether another server may be tried, as far as the call itself goes.
-    pub const fn may_repeat(&self) -> bool {
+    pub const fn may_retry(&self) -> bool {
         self.repeatable && self.has_attempt_left()
     }
 
@@ -123,53 +123,53 @@
     }
 
     /// Takes the end of a try; `may_repeat` asks the retry budget, once, if it matters.
-    pub fn on_end(
+    pub fn on_attempt_end(
         &mut self,
-        end: TryEnd,
+        end: AttemptEnd,
         retry_after: Duration,
         may_repeat: impl FnOnce() -> bool,
-    ) -> Next {
+    ) -> NextStep {
         match end {
-            TryEnd::NoConnection => {
+            AttemptEnd::NoConnection => {
                 // The try never reached the server, so it is not counted as sent.
                 self.sent = self.sent.saturating_sub(1);
                 self.connects += 1;
                 self.take_back(NotStarted::NoConnection);
             }
-            TryEnd::Declined => self.take_back(NotStarted::ServerSaidSo),
-            TryEnd::Shed => {
+            AttemptEnd::Declined => self.take_back(NotStarted::ServerSaidSo),
+            AttemptEnd::Shed => {
                 self.shed += 1;
                 self.take_back(NotStarted::ServerSaidSo);
             }
-            TryEnd::Lost | TryEnd::ServerError => self.claim = Some(Claim::MayHaveRun),
+            AttemptEnd::Lost | AttemptEnd::ServerError => self.claim = Some(Claim::MayHaveRun),
         }
         let allowed = self.repeatable || self.is_unsent();
         let left = self.has_attempt_left() && self.connects < MAX_CONNECT_TRIES;
-        if allowed && left && (!self.is_repeat() || may_repeat()) {
-            return Next::TryElsewhere;
+        if allowed && left && (!self.is_retry() || may_repeat()) {
+            return NextStep::TryElsewhere;
         }
         match (end, self.claim.take()) {
-            (TryEnd::ServerError, _) => Next::PassOn,
-            (_, Some(Claim::Unsent(proof))) => Next::Refuse(Refused::new(
+            (AttemptEnd::ServerError, _) => NextStep::PassOn,
+            (_, Some(Claim::Unsent(proof))) => NextStep::Refuse(Refused::new(
                 proof,
                 RefusalReason::NoServer,
                 Some(retry_after),
             )),
-            _ if allowed => Next::Fail(FailureReason::AttemptsUsed),
-            _ => Next::Fail(FailureReason::ServerLost),
+            _ if allowed => NextStep::Fail(FailureReason::AttemptsUsed),
+            _ => NextStep::Fail(FailureReason::ServerLost),
         }
     }
 
     /// Ends a call that no server can take now.
-    pub fn give_up(&mut self, reason: RefusalReason, retry_after: Duration) -> Next {
+    pub fn give_up(&mut self, reason: RefusalReason, retry_after: Duration) -> NextStep {
         match self.claim.take() {
             Some(Claim::Unsent(proof)) => {
-                Next::Refuse(Refused::new(proof, reason, Some(retry_after)))
+                NextStep::Refuse(Refused::new(proof, reason, Some(retry_after)))
             }
             _ if reason == RefusalReason::DeadlineWhileWaiting => {
-                Next::Fail(FailureReason::DeadlineWhileRunning)
+                NextStep::Fail(FailureReason::DeadlineWhileRunning)
             }
-            _ => Next::Fail(FailureReason::NoOtherServer),
+            _ => NextStep::Fail(FailureReason::NoOtherServer),
         }
     }
 
--- a/lib/src/relay/event_join.rs
+++ b/lib/src/relay/event_join.rs
@@ -12,7 +12,7 @@
 
 /// Why a run can't be continued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum JoinError {
+pub enum EventJoinError {
     /// An event skips others or comes a second time.
     #[error("event {found} follows event {last}")]
     OutOfOrder {
@@ -23,10 +23,10 @@
     },
     /// An event has no id that is a number.
     #[error("an event has no id")]
-    NoId,
+    MissingId,
     /// An event is larger than any that is sent.
     #[error("an event has over {MAX_EVENT_BYTES} bytes")]
-    TooLong,
+    EventTooLarge,
 }
 
 /// The joined answer of one call.
@@ -57,7 +57,7 @@
     }
 
     /// Forgets the unfinished event of a run that broke.
-    pub fn next_run(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
@@ -71,12 +71,12 @@
     /// # Errors
     ///
     /// The run can't be used any more; what it gave before stands.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, JoinError> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventJoinError> {
         let from = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.partial, from) else {
             return if self.partial.len() > MAX_EVENT_BYTES {
-                Err(JoinError::TooLong)
+                Err(EventJoinError::EventTooLarge)
             } else {
                 Ok(Bytes::new())
             };
@@ -91,16 +91,16 @@
         Ok(whole)
     }
 
-    fn check(&mut self, event: &[u8]) -> Result<(), JoinError> {
+    fn check(&mut self, event: &[u8]) -> Result<(), EventJoinError> {
         let Some(found) = event_id(event) else {
             return if is_comment(event) {
                 Ok(())
             } else {
-                Err(JoinError::NoId)
+                Err(EventJoinError::MissingId)
             };
         };
         if let Some(last) = self.last.filter(|last| found != last + 1) {
-            return Err(JoinError::OutOfOrder { last, found });
+            return Err(EventJoinError::OutOfOrder { last, found });
         }
         self.last = Some(found);
         self.passed += 1;
--- a/lib/src/relay/leaving_servers.rs
+++ b/lib/src/relay/leaving_servers.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::turns;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// Servers remembered, at some 40 bytes each; the one learned of first goes first.
@@ -24,18 +24,18 @@
 #[derive(Debug, Default)]
 pub struct LeavingServers {
     /// When this box learned of each.
-    learned: BTreeMap<ServerLife, Time>,
+    learned: BTreeMap<ServerIncarnation, Time>,
     /// Where the next datagram goes on, of the new ones.
-    fresh_to: Option<ServerLife>,
+    fresh_to: Option<ServerIncarnation>,
     /// Where it goes on, of the others.
-    told_to: Option<ServerLife>,
+    told_to: Option<ServerIncarnation>,
     /// Servers that went for want of room.
     pushed_out: u64,
 }
 
 impl LeavingServers {
     /// Notes that a server leaves; true if that is new here.
-    pub fn note(&mut self, now: Time, life: ServerLife) -> bool {
+    pub fn note(&mut self, now: Time, life: ServerIncarnation) -> bool {
         if self.learned.contains_key(&life) {
             return false;
         }
@@ -51,7 +51,7 @@
     }
 
     /// Whether a server leaves.
-    pub fn holds(&self, life: ServerLife) -> bool {
+    pub fn holds(&self, life: ServerIncarnation) -> bool {
         self.learned.contains_key(&life)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Those to tell other boxes of now: new ones, and a few of the others in turn.
-    pub fn rows(&mut self, now: Time) -> Vec<ServerLife> {
+    pub fn rows(&mut self, now: Time) -> Vec<ServerIncarnation> {
         let all = self.learned.iter().map(|(life, at)| (*life, *at));
         let (fresh, others): (Vec<_>, Vec<_>) = all.partition(|(_, at)| now.since(*at) < FRESH);
         let mut rows = turns::in_turn(&fresh, self.fresh_to, MOST_FRESH_ROWS);
@@ -78,7 +78,7 @@
     }
 
     /// Everything, for a box that has just started.
-    pub fn all_rows(&self) -> Vec<ServerLife> {
+    pub fn all_rows(&self) -> Vec<ServerIncarnation> {
         self.learned.keys().copied().collect()
     }
 
--- a/lib/src/relay/load_datagram.rs
+++ b/lib/src/relay/load_datagram.rs
@@ -7,7 +7,7 @@
 use crate::relay::engine_load::EngineKey;
 use crate::relay::engine_load::EngineUse;
 use crate::relay::long_queue::QueueHead;
-use crate::relay::quarantine::WorkRow;
+use crate::relay::quarantine::QuarantineRow;
 use crate::relay::server_notices::NoticeRows;
 use crate::relay::state_pull::FRAME_VERSION;
 use crate::relay::state_pull::KnownState;
@@ -57,7 +57,7 @@
     /// Engines that told it, or a box of the hall that it tells of, of being slow lately.
     pub slow: Vec<EngineKey>,
     /// Pieces of work under which servers ended.
-    pub suspects: Vec<WorkRow>,
+    pub suspects: Vec<QuarantineRow>,
     /// What servers say of the calls they take.
     pub notices: NoticeRows,
     /// The work.
--- a/lib/src/relay/lost_calls.rs
+++ b/lib/src/relay/lost_calls.rs
@@ -13,7 +13,7 @@
 use crate::relay::served_shares::ServedShares;
 
 /// Message of the lines that are read.
-pub const MESSAGE: &str = "call ended";
+pub const CALL_END_MESSAGE: &str = "call ended";
 /// Outcome of a call that was served.
 const ANSWERED: &str = "answered";
 /// Part of the objective that waiting must take to be named as the cause; what is left is not
@@ -29,7 +29,7 @@
 
 /// A call's last line.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct CallLine {
+pub struct CallRecord {
     /// The call's id.
     pub call: String,
     /// Its route, in lines that name it.
@@ -59,7 +59,7 @@
 /// Why a call is lost.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum LossCause {
     /// It was not served.
     NotServed {
         /// Its outcome.
@@ -79,7 +79,7 @@
     Paused,
 }
 
-impl fmt::Display for Cause {
+impl fmt::Display for LossCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotServed { outcome } => write!(f, "not served: {outcome}"),
@@ -93,7 +93,7 @@
     }
 }
 
-impl CallLine {
+impl CallRecord {
     /// When its first event or its answer came.
     fn came_ms(&self) -> u64 {
         self.first_event_ms.unwrap_or(self.took_ms)
@@ -107,10 +107,10 @@
     }
 
     /// Why it is lost; none if it was served on time.
-    pub fn cause(&self) -> Option<Cause> {
+    pub fn cause(&self) -> Option<LossCause> {
         if self.outcome != ANSWERED {
             let outcome = self.outcome.clone();
-            return Some(Cause::NotServed { outcome });
+            return Some(LossCause::NotServed { outcome });
         }
         let due = self.objective_ms as f64;
         let expected = self.expected_ms.unwrap_or_default() as f64;
@@ -118,14 +118,14 @@
         let read = self.read_ms().unwrap_or_default() as f64;
         if self.came_ms() <= self.objective_ms {
             let paused = self.longest_pause_ms > self.pause_limit_ms;
-            return (paused && self.pause_limit_ms.is_some()).then_some(Cause::Paused);
+            return (paused && self.pause_limit_ms.is_some()).then_some(LossCause::Paused);
         }
         Some(match self.sent {
-            2.. => Cause::TriedAgain,
-            _ if waited > due * WAITED_PART => Cause::WaitedForEngines,
-            _ if expected > due * EXPECTED_PART => Cause::ExpectedLate,
-            _ if expected > 0.0 && read > expected * SLOWER => Cause::ReadSlower,
-            _ => Cause::Late,
+            2.. => LossCause::TriedAgain,
+            _ if waited > due * WAITED_PART => LossCause::WaitedForEngines,
+            _ if expected > due * EXPECTED_PART => LossCause::ExpectedLate,
+            _ if expected > 0.0 && read > expected * SLOWER => LossCause::ReadSlower,
+            _ => LossCause::Late,
         })
     }
 }
@@ -133,7 +133,7 @@
 /// What kind of call it is, as far as its size tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Size {
+pub enum PromptSize {
     /// A call of a plain service.
     Plain,
     /// Up to 25,000 tokens: read by one engine beside streams.
@@ -144,7 +144,7 @@
     Long,
 }
 
-impl Size {
+impl PromptSize {
     /// The size of a prompt.
     pub const fn of(tokens: Option<u64>) -> Self {
         match tokens {
@@ -156,7 +156,7 @@
     }
 }
 
-impl fmt::Display for Size {
+impl fmt::Display for PromptSize {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Plain => "plain",
@@ -180,7 +180,7 @@
 
 /// What reading took against its estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Estimate {
+pub struct ReadTimeRatios {
     /// Prompts whose reading was seen.
     pub prompts: usize,
     /// The ratio in the middle.
@@ -195,20 +195,20 @@
 #[derive(Debug, Default)]
 pub struct LostCalls {
     /// All calls, by size.
-    pub calls: BTreeMap<Size, u64>,
+    pub calls: BTreeMap<PromptSize, u64>,
     /// Lost ones by size and cause.
-    pub lost: BTreeMap<(Size, Cause), LostRow>,
+    pub lost: BTreeMap<(PromptSize, LossCause), LostRow>,
     /// Lost ones by second, as the lines' times tell it.
     pub seconds: BTreeMap<String, u64>,
-    ratios: BTreeMap<Size, Vec<f64>>,
+    ratios: BTreeMap<PromptSize, Vec<f64>>,
     /// Tokens of each prompt and whether it was served, by route.
     prompts: BTreeMap<String, Vec<(u64, bool)>>,
 }
 
 impl LostCalls {
     /// Takes a line, written in `second`.
-    pub fn take(&mut self, second: &str, line: &CallLine) {
-        let size = Size::of(line.tokens);
+    pub fn add(&mut self, second: &str, line: &CallRecord) {
+        let size = PromptSize::of(line.tokens);
         *self.calls.entry(size).or_default() += 1;
         if let (Some(route), Some(tokens)) = (&line.route, line.tokens) {
             let prompts = self.prompts.entry(route.clone()).or_default();
@@ -229,19 +229,19 @@
     }
 
     /// What share of the prompts of each route was served, by how large they are.
-    pub fn served(&self) -> BTreeMap<&str, ServedShares> {
+    pub fn served_shares(&self) -> BTreeMap<&str, ServedShares> {
         let rows = self.prompts.iter();
         rows.map(|(route, prompts)| (route.as_str(), ServedShares::of(prompts)))
             .collect()
     }
 
     /// Reading against its estimate, by size.
-    pub fn estimates(&self) -> BTreeMap<Size, Estimate> {
+    pub fn estimates(&self) -> BTreeMap<PromptSize, ReadTimeRatios> {
         let estimate = |ratios: &Vec<f64>| {
             let mut sorted = ratios.clone();
             sorted.sort_by(f64::total_cmp);
             let at = |part: f64| sorted[((sorted.len() - 1) as f64 * part).round() as usize];
-            Estimate {
+            ReadTimeRatios {
                 prompts: sorted.len(),
                 median: at(0.5),
                 p90: at(0.9),
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -23,16 +23,16 @@
 use serde::Serialize;
 
 use crate::relay::moment::Moment;
-use crate::relay::suspect_work::End;
-use crate::relay::suspect_work::HELD_FOR;
-use crate::relay::suspect_work::Hold;
-use crate::relay::suspect_work::RUN_BELIEVED;
-use crate::relay::suspect_work::ToldEnd;
-use crate::relay::suspect_work::Verdict;
-use crate::relay::suspect_work::Work;
+use crate::relay::request_fingerprint::RequestFingerprint;
+use crate::relay::request_fingerprint::ServerIncarnation;
+use crate::relay::suspect_request::CrashRow;
+use crate::relay::suspect_request::End;
+use crate::relay::suspect_request::Hold;
+use crate::relay::suspect_request::QUARANTINE_PERIOD;
+use crate::relay::suspect_request::RUN_REPORT_TTL;
+use crate::relay::suspect_request::RequestStatus;
+use crate::relay::suspect_request::Work;
 use crate::relay::turns;
-use crate::relay::work_key::ServerLife;
-use crate::relay::work_key::WorkKey;
 use crate::time::Time;
 
 /// Between the turns of boxes that wait for the same verdict; news takes a few milliseconds between
@@ -59,62 +59,62 @@
     /// It runs; the run counts as begun.
     Run {
         /// Lives of servers that ended under its work.
-        lives: usize,
+        crashes: usize,
     },
     /// Another run of the work is under way: it will tell.
     Wait,
     /// It is held.
-    Held {
+    Quarantined {
         /// For how long.
         left: Duration,
         /// Lives of servers that ended under it.
-        lives: usize,
+        crashes: usize,
     },
 }
 
 /// A change of what is known of a work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Change {
+pub struct QuarantineChange {
     /// The work.
-    pub work: WorkKey,
+    pub fingerprint: RequestFingerprint,
     /// What is known now.
-    pub verdict: Verdict,
+    pub status: RequestStatus,
     /// Lives that ended under it.
-    pub lives: usize,
+    pub crashes: usize,
 }
 
 /// What the store holds of a work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fact {
+pub enum StoredFact {
     /// A life of a server ended under it.
-    Ended(ServerLife),
+    Crashed(ServerIncarnation),
     /// Enough had to hold it, on the time line of the box that says so. Told by itself: whoever
     /// reads it later knows no more whether they ended in one moment.
-    Held,
+    Quarantined,
     /// An operator released it: one run decides.
     Released,
 }
 
 /// What one box tells another of a work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkRow {
+pub struct QuarantineRow {
     /// The work.
-    pub work: WorkKey,
+    pub fingerprint: RequestFingerprint,
     /// Lives that ended under it.
-    pub lives: Vec<ToldEnd>,
+    pub crashes: Vec<CrashRow>,
     /// How many milliseconds ago the first and the last of the lives ended that hold it, if it is.
-    pub held: Option<(u32, u32)>,
+    pub quarantined: Option<(u32, u32)>,
     /// How many milliseconds ago an operator released it, if one did.
     pub released: Option<u32>,
     /// How many milliseconds ago it last ran well, if it did.
-    pub good: Option<u32>,
+    pub succeeded: Option<u32>,
     /// Whether a run of it is under way there.
-    pub runs: bool,
+    pub running: bool,
 }
 
 /// Whose runs are told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunsOf {
+pub enum RunScope {
     /// Those of one box.
     Box,
     /// Those of all boxes of a hall, to another one.
@@ -124,13 +124,13 @@
 /// What a box knows of such works.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
-    works: BTreeMap<WorkKey, Work>,
+    works: BTreeMap<RequestFingerprint, Work>,
     /// Own runs under way, of all works that are told apart.
-    runs: HashMap<WorkKey, u32>,
+    runs: HashMap<RequestFingerprint, u32>,
     /// Where the next datagram goes on, of the works that are not new.
-    told_to: Option<WorkKey>,
+    told_to: Option<RequestFingerprint>,
     /// Works that went for want of room.
-    pushed_out: u64,
+    evicted: u64,
 }
 
 impl Quarantine {
@@ -139,86 +139,88 @@
         self.works.is_empty()
     }
 
-    /// Decides on a call that is about to be sent; `saw_end` if its own last run ended a server: it
+    /// Decides on a call that is about to be sent; `saw_crash` if its own last run ended a server: it
     /// goes before the boxes that wait for a verdict, unless another run was lost as well. `rank` is
     /// this box's in the order of [`rank`].
     pub fn admit(
         &mut self,
         now: Time,
-        work: WorkKey,
-        saw_end: bool,
+        fingerprint: RequestFingerprint,
+        saw_crash: bool,
         rank: impl FnOnce() -> usize,
     ) -> Admission {
-        let runs_here = self.runs.get(&work).is_some_and(|runs| *runs > 0);
-        let Some(known) = self.works.get(&work) else {
-            return self.begin(work, 0);
+        let runs_here = self.runs.get(&fingerprint).is_some_and(|runs| *runs > 0);
+        let Some(known) = self.works.get(&fingerprint) else {
+            return self.begin(fingerprint, 0);
         };
         let verdict = known.verdict(now);
         let runs = runs_here || known.runs_elsewhere(now);
-        let lives = known.lives(now);
+        let crashes = known.crashes(now);
         let is_only_end = known.counting(now).count() == 1;
-        let goes_first = saw_end && is_only_end && known.last_end(now) >= OTHERS_HEARD;
+        let goes_first = saw_crash && is_only_end && known.last_end(now) >= OTHERS_HEARD;
         match verdict {
-            Verdict::Cleared => self.begin(work, 0),
-            Verdict::Held if !runs => Admission::Held {
-                left: HELD_FOR.saturating_sub(known.last_end(now)),
-                lives,
+            RequestStatus::Cleared => self.begin(fingerprint, 0),
+            RequestStatus::Quarantined if !runs => Admission::Quarantined {
+                left: QUARANTINE_PERIOD.saturating_sub(known.last_end(now)),
+                crashes,
             },
-            Verdict::Suspect if !runs && (goes_first || known.last_end(now) >= turn(rank())) => {
-                self.begin(work, lives)
+            RequestStatus::Suspect
+                if !runs && (goes_first || known.last_end(now) >= turn(rank())) =>
+            {
+                self.begin(fingerprint, crashes)
             }
-            Verdict::Held | Verdict::Suspect => Admission::Wait,
+            RequestStatus::Quarantined | RequestStatus::Suspect => Admission::Wait,
         }
     }
 
-    fn begin(&mut self, work: WorkKey, lives: usize) -> Admission {
-        *self.runs.entry(work).or_default() += 1;
-        Admission::Run { lives }
+    fn begin(&mut self, fingerprint: RequestFingerprint, crashes: usize) -> Admission {
+        *self.runs.entry(fingerprint).or_default() += 1;
+        Admission::Run { crashes }
     }
 
     /// Whether a run that [`Self::admit`] let begin may still be sent, after what it has waited for: its
     /// work may be held by now, or run elsewhere.
-    pub fn may_send(&self, now: Time, work: WorkKey) -> bool {
-        let Some(known) = self.works.get(&work) else {
+    pub fn may_send(&self, now: Time, fingerprint: RequestFingerprint) -> bool {
+        let Some(known) = self.works.get(&fingerprint) else {
             return true;
         };
-        let is_only_run = self.runs.get(&work) == Some(&1) && !known.runs_elsewhere(now);
+        let is_only_run = self.runs.get(&fingerprint) == Some(&1) && !known.runs_elsewhere(now);
         match known.verdict(now) {
-            Verdict::Cleared => true,
-            Verdict::Suspect => is_only_run,
-            Verdict::Held => false,
+            RequestStatus::Cleared => true,
+            RequestStatus::Suspect => is_only_run,
+            RequestStatus::Quarantined => false,
         }
     }
 
     /// Ends a run that [`Self::admit`] let begin; true if others wait for that news.
-    pub fn end_run(&mut self, now: Time, work: WorkKey) -> bool {
-        if let Some(runs) = self.runs.get_mut(&work) {
+    pub fn end_run(&mut self, now: Time, fingerprint: RequestFingerprint) -> bool {
+        if let Some(runs) = self.runs.get_mut(&fingerprint) {
             *runs -= 1;
             if *runs == 0 {
-                self.runs.remove(&work);
+                self.runs.remove(&fingerprint);
             }
         }
-        let known = self.works.get_mut(&work);
+        let known = self.works.get_mut(&fingerprint);
         // That it is over is told as long as that it ran would be believed.
         known.map(|known| known.changed = now).is_some()
     }
 
     /// Records that a server's life ended under a run of this box that began then.
-    pub fn server_ended(
+    pub fn record_crash(
         &mut self,
         now: Time,
-        work: WorkKey,
-        life: ServerLife,
+        fingerprint: RequestFingerprint,
+        life: ServerIncarnation,
         began: Time,
-    ) -> Option<Change> {
+    ) -> Option<QuarantineChange> {
         let at = Moment::of(now);
         let end = End {
             life,
             at,
             began: Moment::of(began),
-            to_store: true,
+            needs_store: true,
         };
-        self.change(now, work, |known| {
+        self.change(now, fingerprint, |known| {
             known.is_own = true;
             // It was held until lately: this run has decided.
             if known.held_at(now).is_some() {
@@ -232,31 +234,40 @@
     }
 
     /// Records that a run ended well.
-    pub fn ran_well(&mut self, now: Time, work: WorkKey) -> Option<Change> {
-        if !self.works.contains_key(&work) {
+    pub fn record_success(
+        &mut self,
+        now: Time,
+        fingerprint: RequestFingerprint,
+    ) -> Option<QuarantineChange> {
+        if !self.works.contains_key(&fingerprint) {
             return None;
         }
-        self.change(now, work, |known| known.good = Some(Moment::of(now)))
+        self.change(now, fingerprint, |known| known.good = Some(Moment::of(now)))
     }
 
     /// Takes what the store holds.
-    pub fn stored(&mut self, now: Time, work: WorkKey, fact: Fact) -> Option<Change> {
+    pub fn apply_fact(
+        &mut self,
+        now: Time,
+        fingerprint: RequestFingerprint,
+        fact: StoredFact,
+    ) -> Option<QuarantineChange> {
         let at = Moment::of(now);
         match fact {
-            Fact::Ended(life) => self.change(now, work, |known| {
+            StoredFact::Crashed(life) => self.change(now, fingerprint, |known| {
                 known.add(End {
                     life,
                     at,
                     // Nothing is known of the run.
                     began: at,
-                    to_store: false,
+                    needs_store: false,
                 });
                 let mut ends = known.ends.iter_mut();
                 if let Some(end) = ends.find(|end| end.life == life) {
-                    end.to_store = false;
+                    end.needs_store = false;
                 }
             }),
-            Fact::Held => self.change(now, work, |known| {
+            StoredFact::Quarantined => self.change(now, fingerprint, |known| {
                 known.is_held_in_store = true;
                 if known.held_at(now).is_none() {
                     known.held = Some(Hold {
@@ -265,7 +276,7 @@
                     });
                 }
             }),
-            Fact::Released => self.change(now, work, |known| {
+            StoredFact::Released => self.change(now, fingerprint, |known| {
                 known.released = known.released.max(Some(at));
                 known.is_held_in_store = false;
                 known.is_release_lost = false;
@@ -274,43 +285,43 @@
     }
 
     /// Takes what another box, or a hall, tells.
-    pub fn take_rows(
+    pub fn merge_rows(
         &mut self,
         now: Time,
-        of: RunsOf,
+        of: RunScope,
         from: &str,
-        rows: &[WorkRow],
-    ) -> Vec<Change> {
+        rows: &[QuarantineRow],
+    ) -> Vec<QuarantineChange> {
         let ago = |millis: u32| Moment::ago(now, millis);
-        let take = |row: &WorkRow| {
-            self.change(now, row.work, |known| {
+        let take = |row: &QuarantineRow| {
+            self.change(now, row.fingerprint, |known| {
                 // The other box missed the good run that this one knows of.
-                let blames = !row.lives.is_empty() || row.held.is_some();
-                let is_behind = blames && known.good > row.good.map(ago);
-                if is_behind && known.verdict(now) == Verdict::Cleared {
+                let blames = !row.crashes.is_empty() || row.quarantined.is_some();
+                let is_behind = blames && known.good > row.succeeded.map(ago);
+                if is_behind && known.verdict(now) == RequestStatus::Cleared {
                     known.changed = now;
                 }
-                for end in &row.lives {
+                for end in &row.crashes {
                     known.add(End {
-                        life: end.life,
-                        at: ago(end.ago),
-                        began: ago(end.ago.saturating_add(end.ran)),
-                        to_store: false,
+                        life: end.incarnation,
+                        at: ago(end.age_ms),
+                        began: ago(end.age_ms.saturating_add(end.run_ms)),
+                        needs_store: false,
                     });
                 }
-                let held = row.held.map(|(first, last)| Hold {
+                let held = row.quarantined.map(|(first, last)| Hold {
                     first: ago(first),
                     last: ago(last),
                 });
                 known.held = known.held.max(held);
                 known.released = known.released.max(row.released.map(ago));
-                known.good = known.good.max(row.good.map(ago));
+                known.good = known.good.max(row.succeeded.map(ago));
                 // A row that is left out says nothing: a datagram holds few of many.
                 let running = match of {
-                    RunsOf::Box => &mut known.boxes,
-                    RunsOf::Hall => &mut known.halls,
+                    RunScope::Box => &mut known.boxes,
+                    RunScope::Hall => &mut known.halls,
                 };
-                if row.runs {
+                if row.running {
                     running.insert(from.to_owned(), now);
                 } else {
                     running.remove(from);
@@ -320,24 +331,29 @@
         rows.iter().filter_map(take).collect()
     }
 
-    fn change(&mut self, now: Time, work: WorkKey, f: impl FnOnce(&mut Work)) -> Option<Change> {
-        if !self.works.contains_key(&work) {
-            self.make_room(now, work.owner);
+    fn change(
+        &mut self,
+        now: Time,
+        fingerprint: RequestFingerprint,
+        f: impl FnOnce(&mut Work),
+    ) -> Option<QuarantineChange> {
+        if !self.works.contains_key(&fingerprint) {
+            self.make_room(now, fingerprint.owner);
         }
-        let known = self.works.entry(work).or_default();
-        let before = (known.verdict(now), known.lives(now));
+        let known = self.works.entry(fingerprint).or_default();
+        let before = (known.verdict(now), known.crashes(now));
         f(known);
         known.judge(now);
-        let after = (known.verdict(now), known.lives(now));
+        let after = (known.verdict(now), known.crashes(now));
         if before == after {
             return None;
         }
         known.changed = now;
-        let (verdict, lives) = after;
-        Some(Change {
-            work,
-            verdict,
-            lives,
+        let (status, crashes) = after;
+        Some(QuarantineChange {
+            fingerprint,
+            status,
+            crashes,
         })
     }
 
@@ -346,8 +362,8 @@
     fn make_room(&mut self, now: Time, owner: u32) {
         self.works.retain(|_, known| !known.is_forgotten(now));
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
-        for work in self.works.keys() {
-            *counts.entry(work.owner).or_default() += 1;
+        for fingerprint in self.works.keys() {
+            *counts.entry(fingerprint.owner).or_default() += 1;
         }
         let of_owner = counts.get(&owner).copied().unwrap_or_default();
         let pays = match () {
@@ -359,111 +375,144 @@
             () => None,
         };
         let Some(pays) = pays else { return };
-        let of = self.works.iter().filter(|(work, _)| work.owner == pays);
+        let of = self
+            .works
+            .iter()
+            .filter(|(fingerprint, _)| fingerprint.owner == pays);
         let worth = |known: &Work| {
             let is_held = known.held_at(now).is_some();
-            (is_held, known.lives(now), Reverse(known.last_end(now)))
+            (is_held, known.crashes(now), Reverse(known.last_end(now)))
         };
         let first = of.min_by_key(|(_, known)| worth(known));
-        if let Some((&work, _)) = first {
-            self.works.remove(&work);
-            self.pushed_out += 1;
+        if let Some((&fingerprint, _)) = first {
+            self.works.remove(&fingerprint);
+            self.evicted += 1;
         }
     }
 
     /// What to tell other boxes now: works that run here or changed lately, those that changed last
     /// first, and of the others that are not cleared one in turn.
-    pub fn rows(&mut self, now: Time, of: RunsOf) -> Vec<WorkRow> {
+    pub fn rows(&mut self, now: Time, of: RunScope) -> Vec<QuarantineRow> {
         if self.works.is_empty() {
             return Vec::new();
         }
         self.works.retain(|_, known| !known.is_forgotten(now));
-        let runs = |work: &WorkKey, known: &Work| self.runs_of(now, of, *work, known);
-        let is_fresh = |work: &WorkKey, known: &Work| {
-            runs(work, known) || now.since(known.changed) < RUN_BELIEVED
+        let runs = |fingerprint: &RequestFingerprint, known: &Work| {
+            self.runs_of(now, of, *fingerprint, known)
         };
-        let (mut fresh, mut rest): (Vec<_>, Vec<_>) =
-            (self.works.iter()).partition::<Vec<_>, _>(|(work, known)| is_fresh(work, known));
-        rest.retain(|(_, known)| known.verdict(now) != Verdict::Cleared);
-        fresh.sort_by_key(|(work, known)| (!runs(work, known), now.since(known.changed)));
+        let is_fresh = |fingerprint: &RequestFingerprint, known: &Work| {
+            runs(fingerprint, known) || now.since(known.changed) < RUN_REPORT_TTL
+        };
+        let (mut fresh, mut rest): (Vec<_>, Vec<_>) = (self.works.iter())
+            .partition::<Vec<_>, _>(|(fingerprint, known)| is_fresh(fingerprint, known));
+        rest.retain(|(_, known)| known.verdict(now) != RequestStatus::Cleared);
+        fresh.sort_by_key(|(fingerprint, known)| {
+            (!runs(fingerprint, known), now.since(known.changed))
+        });
         fresh.truncate(MOST_ROWS);
         let in_turn = turns::in_turn(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
         let told = fresh.iter().chain(&in_turn);
-        let rows = told.map(|(work, known)| self.row(now, of, **work, known));
+        let rows = told.map(|(fingerprint, known)| self.row(now, of, **fingerprint, known));
         let rows = rows.collect();
-        self.told_to = in_turn.last().map(|(work, _)| **work);
+        self.told_to = in_turn.last().map(|(fingerprint, _)| **fingerprint);
         rows
     }
 
-    fn runs_of(&self, now: Time, of: RunsOf, work: WorkKey, known: &Work) -> bool {
-        let runs_near = of == RunsOf::Hall && known.runs_at_boxes(now);
-        runs_near || self.runs.contains_key(&work)
+    fn runs_of(
+        &self,
+        now: Time,
+        of: RunScope,
+        fingerprint: RequestFingerprint,
+        known: &Work,
+    ) -> bool {
+        let runs_near = of == RunScope::Hall && known.runs_at_boxes(now);
+        runs_near || self.runs.contains_key(&fingerprint)
     }
 
-    fn row(&self, now: Time, of: RunsOf, work: WorkKey, known: &Work) -> WorkRow {
+    fn row(
+        &self,
+        now: Time,
+        of: RunScope,
+        fingerprint: RequestFingerprint,
+        known: &Work,
+    ) -> QuarantineRow {
         let counting = known.counting(now).collect::<Vec<_>>();
         let newest = counting.iter().rev().take(MOST_LIVES_TOLD);
-        WorkRow {
-            work,
-            lives: newest.map(|end| end.told(now)).collect(),
-            held: (known.held.filter(|_| known.held_at(now).is_some()))
+        QuarantineRow {
+            fingerprint,
+            crashes: newest.map(|end| end.told(now)).collect(),
+            quarantined: (known.held.filter(|_| known.held_at(now).is_some()))
                 .map(|held| (held.first.millis_ago(now), held.last.millis_ago(now))),
             released: known.released.map(|at| at.millis_ago(now)),
-            good: known.good.map(|at| at.millis_ago(now)),
-            runs: self.runs_of(now, of, work, known),
+            succeeded: known.good.map(|at| at.millis_ago(now)),
+            running: self.runs_of(now, of, fingerprint, known),
         }
     }
 
     /// What this box saw and the store is to hold: that a work is held, and each life that ended where
     /// more than one did, or where this box hears no other one (`is_alone`). The others are told by
     /// datagrams, and most are cleared within a second.
-    pub fn to_store(&self, now: Time, is_alone: bool) -> Vec<(WorkKey, Fact)> {
+    pub fn unstored_facts(
+        &self,
+        now: Time,
+        is_alone: bool,
+    ) -> Vec<(RequestFingerprint, StoredFact)> {
         let own = self.works.iter().filter(|(_, known)| known.is_own);
-        let facts = own.flat_map(|(work, known)| {
+        let facts = own.flat_map(|(fingerprint, known)| {
             let verdict = known.verdict(now);
-            let is_due = verdict != Verdict::Cleared && (is_alone || known.lives(now) > 1);
-            let ends = known.ends.iter().filter(move |end| is_due && end.to_store);
-            let ends = ends.map(|end| Fact::Ended(end.life));
-            let is_held = verdict == Verdict::Held && !known.is_held_in_store;
-            let held = is_held.then_some(Fact::Held);
+            let is_due = verdict != RequestStatus::Cleared && (is_alone || known.crashes(now) > 1);
+            let ends = known
+                .ends
+                .iter()
+                .filter(move |end| is_due && end.needs_store);
+            let ends = ends.map(|end| StoredFact::Crashed(end.life));
+            let is_held = verdict == RequestStatus::Quarantined && !known.is_held_in_store;
+            let held = is_held.then_some(StoredFact::Quarantined);
             // A work that came to be held after its release is not released again.
-            let is_released = known.is_release_lost && verdict != Verdict::Held;
-            let released = is_released.then_some(Fact::Released);
+            let is_released = known.is_release_lost && verdict != RequestStatus::Quarantined;
+            let released = is_released.then_some(StoredFact::Released);
             let facts = ends.chain(held).chain(released);
-            facts.map(|fact| (*work, fact))
+            facts.map(|fact| (*fingerprint, fact))
         });
         facts.collect()
     }
 
     /// The store came back from a copy: what it held of works that this box saw is to be written again.
-    pub fn store_forgot(&mut self) {
+    pub fn on_store_restored(&mut self) {
         for known in self.works.values_mut().filter(|known| known.is_own) {
-            known.ends.iter_mut().for_each(|end| end.to_store = true);
+            known.ends.iter_mut().for_each(|end| end.needs_store = true);
             known.is_held_in_store = false;
             known.is_release_lost = known.released.is_some();
         }
     }
 
     /// Works that are held now.
-    pub fn held(&self, now: Time) -> usize {
+    pub fn quarantined_count(&self, now: Time) -> usize {
         let mut verdicts = self.works.values().map(|known| known.verdict(now));
-        verdicts.by_ref().filter(|it| *it == Verdict::Held).count()
+        verdicts
+            .by_ref()
+            .filter(|it| *it == RequestStatus::Quarantined)
+            .count()
     }
 
     /// Works that went for want of room so far.
-    pub const fn pushed_out(&self) -> u64 {
-        self.pushed_out
+    pub const fn evicted(&self) -> u64 {
+        self.evicted
     }
 }
 
 /// From how many lives on a call goes apart from others. Each server that ends makes all its calls
 /// suspect for a moment, and those are best placed as any.
-pub const APART_FROM: usize = 2;
+pub const ISOLATION_MIN_CRASHES: usize = 2;
 
 /// Where such a call goes: to one of the quieter half of the servers, drawn. The calls that were
 /// lost with a server are all suspect for a moment; together on the quietest server they would meet
 /// the one among them that ends it.
-pub fn apart<T>(mut servers: Vec<T>, calls: impl Fn(&T) -> u32, rng: &mut impl Rng) -> Vec<T> {
+pub fn pick_isolated<T>(
+    mut servers: Vec<T>,
+    calls: impl Fn(&T) -> u32,
+    rng: &mut impl Rng,
+) -> Vec<T> {
     servers.sort_by_key(calls);
     servers.truncate(servers.len().div_ceil(2));
     let drawn = rng.random_range(0..servers.len().max(1));
@@ -477,10 +526,14 @@
 
 /// A box's rank among all that are known, in an order that each work has for itself: up to as many
 /// boxes as there are turns, no two take the same one.
-pub fn rank<'a>(work: WorkKey, own: &str, boxes: impl Iterator<Item = &'a str>) -> usize {
+pub fn rank<'a>(
+    fingerprint: RequestFingerprint,
+    own: &str,
+    boxes: impl Iterator<Item = &'a str>,
+) -> usize {
     let order = |name: &str| {
         let mut hasher = DefaultHasher::new();
-        (work, name).hash(&mut hasher);
+        (fingerprint, name).hash(&mut hasher);
         hasher.finish()
     };
     let own = order(own);
--- a/lib/src/relay/quota_keeper.rs
+++ b/lib/src/relay/quota_keeper.rs
@@ -18,7 +18,7 @@
 use crate::relay::cells::Boxes;
 use crate::relay::heard_boxes::LIVES;
 use crate::relay::permit_wire::Verdict;
-use crate::relay::work_key::ServerLife;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::time::Time;
 
 /// Servers whose count is kept, at some 50 bytes each.
@@ -99,7 +99,7 @@
 /// Counts of the servers whose calls this box gives out.
 #[derive(Debug, Default)]
 pub struct QuotaKeeper {
-    quotas: HashMap<ServerLife, Kept>,
+    quotas: HashMap<ServerIncarnation, Kept>,
     /// Latest answers by the id of the question, oldest first.
     answers: VecDeque<(u64, Verdict)>,
 }
@@ -119,7 +119,7 @@
     pub fn take(
         &mut self,
         now: Time,
-        life: ServerLife,
+        life: ServerIncarnation,
         rate: CallRate,
         patience: Duration,
     ) -> Result<Duration, NoRoom> {
@@ -127,7 +127,7 @@
     }
 
     /// Counts a call that goes in any case.
-    pub fn charge(&mut self, now: Time, life: ServerLife, rate: CallRate) {
+    pub fn charge(&mut self, now: Time, life: ServerIncarnation, rate: CallRate) {
         self.quota(now, life, rate).charge(now);
     }
 
@@ -147,7 +147,7 @@
         self.answers.push_back((id, verdict));
     }
 
-    fn quota(&mut self, now: Time, life: ServerLife, rate: CallRate) -> &mut CallQuota {
+    fn quota(&mut self, now: Time, life: ServerIncarnation, rate: CallRate) -> &mut CallQuota {
         if !self.quotas.contains_key(&life) && self.quotas.len() >= MOST_QUOTAS {
             self.make_room(now);
         }
--- a/lib/src/relay/work_key.rs
+++ b/lib/src/relay/request_fingerprint.rs
@@ -19,7 +19,7 @@
 
 /// What a call asks for, as far as it tells one piece of work from another.
 #[derive(Debug, Clone, Copy)]
-pub struct WorkParts<'a> {
+pub struct FingerprintInput<'a> {
     /// Method.
     pub method: &'a str,
     /// Host, in any case.
@@ -34,16 +34,16 @@
 
 /// Identifies a piece of work, the same at every box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WorkKey {
+pub struct RequestFingerprint {
     /// Digest of the workspace: bounds what one of them may take of a table.
     pub owner: u32,
     /// Digest of everything.
     pub digest: u64,
 }
 
-impl WorkKey {
+impl RequestFingerprint {
     /// The key of a piece of work; takes time by the length of the body.
-    pub fn of(parts: &WorkParts<'_>) -> Self {
+    pub fn of(parts: &FingerprintInput<'_>) -> Self {
         let workspace = parts.workspace.map_or("", WorkspaceName::as_str);
         let host = parts.host.to_ascii_lowercase();
         let mut hasher = Sha256::new();
@@ -65,7 +65,7 @@
     u64::from_le_bytes(*first)
 }
 
-impl fmt::Display for WorkKey {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:08x}{:016x}", self.owner, self.digest)
     }
@@ -74,18 +74,18 @@
 /// The text is no key of a piece of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("expected 24 hexadecimal digits")]
-pub struct BadWorkKey;
+pub struct ParseFingerprintError;
 
-impl FromStr for WorkKey {
-    type Err = BadWorkKey;
+impl FromStr for RequestFingerprint {
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, BadWorkKey> {
-        let (owner, digest) = text.split_at_checked(8).ok_or(BadWorkKey)?;
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
+        let (owner, digest) = text.split_at_checked(8).ok_or(ParseFingerprintError)?;
         let is_key = digest.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !is_key {
-            return Err(BadWorkKey);
+            return Err(ParseFingerprintError);
         }
-        let bad = |_no_number| BadWorkKey;
+        let bad = |_no_number| ParseFingerprintError;
         Ok(Self {
             owner: u32::from_str_radix(owner, 16).map_err(bad)?,
             digest: u64::from_str_radix(digest, 16).map_err(bad)?,
@@ -94,7 +94,7 @@
 }
 
 /// Text where people read it, numbers between boxes.
-impl Serialize for WorkKey {
+impl Serialize for RequestFingerprint {
     fn serialize<S: Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
         if out.is_human_readable() {
             return out.collect_str(self);
@@ -103,7 +103,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for WorkKey {
+impl<'de> Deserialize<'de> for RequestFingerprint {
     fn deserialize<D: Deserializer<'de>>(input: D) -> Result<Self, D::Error> {
         if input.is_human_readable() {
             let text = String::deserialize(input)?;
@@ -117,9 +117,9 @@
 /// Identifies one life of a server, the same at every box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ServerLife(pub u64);
+pub struct ServerIncarnation(pub u64);
 
-impl ServerLife {
+impl ServerIncarnation {
     /// The life that began at this Unix millisecond, if the server tells it.
     pub fn of(name: &ServerName, born: Option<u64>) -> Self {
         let mut hasher = Sha256::new();
--- a/lib/src/relay/retry_window.rs
+++ b/lib/src/relay/retry_window.rs
@@ -19,7 +19,7 @@
 
 /// What the budget is, over all boxes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryRule {
+pub struct RetryBudgetRule {
     /// Length of the sliding window.
     pub window: Duration,
     /// Repeats allowed for each first send.
@@ -43,12 +43,12 @@
 
 impl RetryWindow {
     /// Counts a first send.
-    pub fn first(&mut self, now: Time, rule: &RetryRule) {
+    pub fn record_first_send(&mut self, now: Time, rule: &RetryBudgetRule) {
         self.slice(now, rule).firsts += 1;
     }
 
     /// Whether the box's share has a repeat left.
-    pub fn has_left(&mut self, now: Time, rule: &RetryRule, boxes: usize) -> bool {
+    pub fn has_retry_left(&mut self, now: Time, rule: &RetryBudgetRule, boxes: usize) -> bool {
         let current = self.slice(now, rule).number;
         let firsts: u32 = (self.slices.iter())
             .filter(|slice| slice.number + u64::from(SLICES) > current)
@@ -61,15 +61,15 @@
     }
 
     /// Takes one repeat if the box's share has one left.
-    pub fn spend(&mut self, now: Time, rule: &RetryRule, boxes: usize) -> bool {
-        let allows = self.has_left(now, rule, boxes);
+    pub fn try_spend(&mut self, now: Time, rule: &RetryBudgetRule, boxes: usize) -> bool {
+        let allows = self.has_retry_left(now, rule, boxes);
         if allows {
             self.slice(now, rule).repeats += 1;
         }
         allows
     }
 
-    fn slice(&mut self, now: Time, rule: &RetryRule) -> &mut Slice {
+    fn slice(&mut self, now: Time, rule: &RetryBudgetRule) -> &mut Slice {
         let length = (rule.window / SLICES).as_micros().max(1) as u64;
         let number = now.as_micros() / length;
         self.slices
--- a/lib/src/relay/server_book.rs
+++ b/lib/src/relay/server_book.rs
@@ -16,10 +16,10 @@
 use crate::relay::engine_load::EngineKey;
 use crate::relay::hall_reach::HallReach;
 use crate::relay::hall_reach::ReachChange;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::route_table::ServiceName;
 use crate::relay::server_list::ListedServer;
 use crate::relay::standing::Standing;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// How long other boxes are told of servers that leave; datagrams go several times in that time.
@@ -92,7 +92,7 @@
     /// Its short key.
     pub key: EngineKey,
     /// The life that its entry tells of.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// Own calls there.
     pub in_flight: u32,
     /// Share of recent own calls that failed, from 0 to 1.
@@ -237,7 +237,7 @@
     }
 
     /// The server that has this life, if it is listed.
-    pub fn name_of(&self, life: ServerLife) -> Option<ServerName> {
+    pub fn name_of(&self, life: ServerIncarnation) -> Option<ServerName> {
         let mut records = self.records.values();
         let found = records.find(|record| record.life == life);
         found.map(|record| record.info.name.clone())
@@ -259,7 +259,7 @@
         now: Time,
         service: &ServiceName,
         tried: &[ServerName],
-        standing: impl Fn(ServerLife) -> Standing,
+        standing: impl Fn(ServerIncarnation) -> Standing,
     ) -> Vec<(&ServerRecord, Standing)> {
         let listed = self
             .of_service(service)
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -14,10 +14,10 @@
 
 use crate::relay::call_rate::CallRate;
 use crate::relay::moment::Moment;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::standing::Standing;
 use crate::relay::stated::Stated;
 use crate::relay::turns;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// How long a word is remembered: servers that nobody asks any more are gone by then.
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitChange {
     /// The server's life.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// What held before.
     pub before: Option<CallRate>,
     /// What holds now.
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRow {
     /// The server's life.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// What it takes; none if its limit is over.
     pub rate: Option<CallRate>,
     /// How many milliseconds ago it said so.
@@ -71,11 +71,11 @@
 /// Limits of servers by their lives.
 #[derive(Debug, Default)]
 pub struct ServerLimits {
-    words: HashMap<ServerLife, Word>,
+    words: HashMap<ServerIncarnation, Word>,
     /// Until when servers are closed to this box.
-    closed: HashMap<ServerLife, Time>,
+    closed: HashMap<ServerIncarnation, Time>,
     /// Where the next datagram goes on, of the words that are not new.
-    told_to: Option<ServerLife>,
+    told_to: Option<ServerIncarnation>,
     /// Servers that went for want of room.
     pushed_out: u64,
 }
@@ -85,7 +85,7 @@
     pub fn answered(
         &mut self,
         now: Time,
-        life: ServerLife,
+        life: ServerIncarnation,
         word: Stated<CallRate>,
     ) -> Option<LimitChange> {
         let rate = match word {
@@ -105,7 +105,7 @@
     fn take(
         &mut self,
         now: Time,
-        life: ServerLife,
+        life: ServerIncarnation,
         rate: Option<CallRate>,
         at: Moment,
     ) -> Option<LimitChange> {
@@ -149,12 +149,12 @@
     }
 
     /// What a server takes, if it names a limit.
-    pub fn limit(&self, life: ServerLife) -> Option<CallRate> {
+    pub fn limit(&self, life: ServerIncarnation) -> Option<CallRate> {
         self.words.get(&life).and_then(|word| word.rate)
     }
 
     /// Whether a server takes a call of this box now.
-    pub fn standing(&self, now: Time, life: ServerLife) -> Standing {
+    pub fn standing(&self, now: Time, life: ServerIncarnation) -> Standing {
         match self.limit(life) {
             None => Standing::Open,
             Some(_) if self.closed_for(now, life).is_zero() => Standing::Limited,
@@ -163,13 +163,13 @@
     }
 
     /// How long a server stays closed to this box.
-    pub fn closed_for(&self, now: Time, life: ServerLife) -> Duration {
+    pub fn closed_for(&self, now: Time, life: ServerIncarnation) -> Duration {
         let until = self.closed.get(&life);
         until.map_or(Duration::ZERO, |until| now.until(*until))
     }
 
     /// Closes a server to this box until there is room.
-    pub fn close(&mut self, now: Time, life: ServerLife, room_in: Duration) {
+    pub fn close(&mut self, now: Time, life: ServerIncarnation, room_in: Duration) {
         self.closed.retain(|_, until| *until > now);
         self.closed.insert(life, now + room_in);
     }
@@ -205,12 +205,12 @@
     }
 
     /// The word on one server, for whoever gives out its calls.
-    pub fn row_of(&self, now: Time, life: ServerLife) -> Option<LimitRow> {
+    pub fn row_of(&self, now: Time, life: ServerIncarnation) -> Option<LimitRow> {
         self.words.get(&life).map(|word| row(now, life, word))
     }
 
     /// Servers that name a limit, and what it is.
-    pub fn limited(&self) -> impl Iterator<Item = (ServerLife, CallRate)> {
+    pub fn limited(&self) -> impl Iterator<Item = (ServerIncarnation, CallRate)> {
         let words = self.words.iter();
         words.filter_map(|(life, word)| word.rate.map(|rate| (*life, rate)))
     }
@@ -221,7 +221,7 @@
     }
 }
 
-fn row(now: Time, life: ServerLife, word: &Word) -> LimitRow {
+fn row(now: Time, life: ServerIncarnation, word: &Word) -> LimitRow {
     LimitRow {
         life,
         rate: word.rate,
--- a/lib/src/relay/server_list.rs
+++ b/lib/src/relay/server_list.rs
@@ -19,9 +19,9 @@
 
 use crate::ids::HallName;
 use crate::ids::ServerName;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::route_table::ServiceName;
 use crate::relay::store_position::StorePosition;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// How long after the store's return missing entries are held; the users state two seconds.
@@ -48,8 +48,8 @@
 
 impl ListedServer {
     /// The life that its entry tells of.
-    pub fn life(&self) -> ServerLife {
-        ServerLife::of(&self.name, self.born)
+    pub fn life(&self) -> ServerIncarnation {
+        ServerIncarnation::of(&self.name, self.born)
     }
 }
 
@@ -98,7 +98,7 @@
     complete_since: StorePosition,
     /// Lives that leave or whose entries went while the store worked, oldest first, and the era that told
     /// so.
-    over: VecDeque<(ServerLife, u64)>,
+    over: VecDeque<(ServerIncarnation, u64)>,
     held: BTreeMap<ServerName, ListedServer>,
     away: bool,
     hold_until: Time,
@@ -171,7 +171,7 @@
     }
 
     /// Notes that a life is over; the first era that told so counts.
-    fn note_over(&mut self, life: ServerLife, era: u64) {
+    fn note_over(&mut self, life: ServerIncarnation, era: u64) {
         if self.over.iter().any(|(over, _)| *over == life) {
             return;
         }
--- a/lib/src/relay/server_notices.rs
+++ b/lib/src/relay/server_notices.rs
@@ -7,6 +7,7 @@
 
 use crate::relay::call_rate::CallRate;
 use crate::relay::leaving_servers::LeavingServers;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::server_limits::LimitChange;
 use crate::relay::server_limits::LimitRow;
 use crate::relay::server_limits::ServerLimits;
@@ -14,7 +15,6 @@
 use crate::relay::shedding_servers::SheddingServers;
 use crate::relay::standing::Standing;
 use crate::relay::stated::Stated;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// What one answer says of its server.
@@ -34,7 +34,7 @@
     /// Those that name a limit, or did.
     pub limits: Vec<LimitRow>,
     /// Those that leave.
-    pub leaving: Vec<ServerLife>,
+    pub leaving: Vec<ServerIncarnation>,
     /// Those that turned the box away.
     pub shedding: Vec<ShedRow>,
 }
@@ -45,11 +45,11 @@
     /// Limits that began, changed or ended.
     pub limits: Vec<LimitChange>,
     /// Servers that leave.
-    pub leaving: Vec<ServerLife>,
+    pub leaving: Vec<ServerIncarnation>,
     /// Servers that shed load.
-    pub shedding: Vec<ServerLife>,
+    pub shedding: Vec<ServerIncarnation>,
     /// Servers that shed load and take calls again.
-    pub recovered: Vec<ServerLife>,
+    pub recovered: Vec<ServerIncarnation>,
 }
 
 /// What servers said, by their lives.
@@ -69,7 +69,7 @@
     pub fn answered(
         &mut self,
         now: Time,
-        life: ServerLife,
+        life: ServerIncarnation,
         notice: &Notice,
         has_proof: bool,
     ) -> NoticeChanges {
@@ -105,7 +105,7 @@
     }
 
     /// Whether a server takes a call of this box now.
-    pub fn standing(&self, now: Time, life: ServerLife) -> Standing {
+    pub fn standing(&self, now: Time, life: ServerIncarnation) -> Standing {
         if self.leaving.holds(life) {
             return Standing::Leaving;
         }
@@ -115,7 +115,7 @@
 
     /// The same for a call that another server has turned away or lost: it is not the one to try a server
     /// after its pause.
-    pub fn standing_for_repeat(&self, now: Time, life: ServerLife) -> Standing {
+    pub fn standing_for_repeat(&self, now: Time, life: ServerIncarnation) -> Standing {
         match self.standing(now, life) {
             Standing::Open if self.shedding.awaits_trial(now, life) => Standing::Shedding,
             standing => standing,
@@ -123,7 +123,7 @@
     }
 
     /// How long until a server takes a call of this box; `None` if it never does in this life.
-    pub fn opens_in(&self, now: Time, life: ServerLife) -> Option<Duration> {
+    pub fn opens_in(&self, now: Time, life: ServerIncarnation) -> Option<Duration> {
         match self.standing(now, life) {
             Standing::Open | Standing::Limited | Standing::Shedding => Some(Duration::ZERO),
             Standing::Closed | Standing::BackOff => {
--- a/lib/src/relay/shedding_servers.rs
+++ b/lib/src/relay/shedding_servers.rs
@@ -11,8 +11,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::standing::Standing;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// Longest pause: a server is asked again once in this time, whatever it names.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShedRow {
     /// The server's life.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// How much longer it wants no call of that box, in milliseconds.
     pub left_ms: u32,
 }
@@ -55,15 +55,15 @@
 #[derive(Debug, Default)]
 pub struct SheddingServers {
     /// Those that turned this box away.
-    own: HashMap<ServerLife, BackOff>,
+    own: HashMap<ServerIncarnation, BackOff>,
     /// Until when others are preferred, by what other boxes told.
-    told: HashMap<ServerLife, Time>,
+    told: HashMap<ServerIncarnation, Time>,
 }
 
 impl SheddingServers {
     /// Notes that a server turned this box away; true where no pause was under way. Of two pauses the
     /// one that ends last holds.
-    pub fn shed(&mut self, now: Time, life: ServerLife, retry_after: Duration) -> bool {
+    pub fn shed(&mut self, now: Time, life: ServerIncarnation, retry_after: Duration) -> bool {
         if retry_after.is_zero() {
             return false;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Notes an answer of a server that does not turn this box away; true if that ends its trial.
-    pub fn took(&mut self, now: Time, life: ServerLife) -> bool {
+    pub fn took(&mut self, now: Time, life: ServerIncarnation) -> bool {
         let ends = self.own.get(&life).is_some_and(|known| known.until <= now);
         if ends {
             self.own.remove(&life);
@@ -100,7 +100,7 @@
     }
 
     /// Notes that a call goes there.
-    pub fn sent(&mut self, now: Time, life: ServerLife) {
+    pub fn sent(&mut self, now: Time, life: ServerIncarnation) {
         if let Some(known) = self.own.get_mut(&life) {
             let tries = known.until <= now && !is_on_trial(now, known);
             known.tried = if tries { Some(now) } else { known.tried };
@@ -108,7 +108,7 @@
     }
 
     /// Takes what another box tells.
-    pub fn take_rows(&mut self, now: Time, rows: &[ShedRow]) -> Vec<ServerLife> {
+    pub fn take_rows(&mut self, now: Time, rows: &[ShedRow]) -> Vec<ServerIncarnation> {
         self.told.retain(|_, until| *until > now);
         let mut news = Vec::new();
         for row in rows {
@@ -127,7 +127,7 @@
     }
 
     /// Whether a server takes calls, by its pauses.
-    pub fn standing(&self, now: Time, life: ServerLife) -> Standing {
+    pub fn standing(&self, now: Time, life: ServerIncarnation) -> Standing {
         let own = match self.own.get(&life) {
             Some(known) if known.until > now => return Standing::BackOff,
             Some(known) => is_on_trial(now, known),
@@ -143,13 +143,13 @@
 
     /// Whether a server's pause is over and no call has tried it since: a call that was turned away
     /// already is not the one to do so.
-    pub fn awaits_trial(&self, now: Time, life: ServerLife) -> bool {
+    pub fn awaits_trial(&self, now: Time, life: ServerIncarnation) -> bool {
         let known = self.own.get(&life);
         known.is_some_and(|known| known.until <= now && !is_on_trial(now, known))
     }
 
     /// How much longer a server wants no call of this box.
-    pub fn left(&self, now: Time, life: ServerLife) -> Duration {
+    pub fn left(&self, now: Time, life: ServerIncarnation) -> Duration {
         let known = self.own.get(&life);
         known.map_or(Duration::ZERO, |known| now.until(known.until))
     }
@@ -166,7 +166,7 @@
         let mut fresh: Vec<_> = fresh.collect();
         fresh.sort_by_key(|(life, known)| (std::cmp::Reverse(known.began), **life));
         fresh.truncate(MOST_ROWS);
-        let row = |(life, known): &(&ServerLife, &BackOff)| ShedRow {
+        let row = |(life, known): &(&ServerIncarnation, &BackOff)| ShedRow {
             life: **life,
             left_ms: now.until(known.until).as_millis() as u32,
         };
--- a/lib/src/relay/stop_plan.rs
+++ b/lib/src/relay/stop_plan.rs
@@ -23,12 +23,12 @@
     }
 
     /// Whether a call that comes this long after the signal is refused.
-    pub fn refuses(&self, passed: Duration) -> bool {
+    pub fn refuses_calls(&self, passed: Duration) -> bool {
         passed >= REFUSE_AFTER
     }
 
     /// Whether the process ends now; `quiet` is how long nothing has been in flight.
-    pub fn ends(&self, passed: Duration, quiet: Option<Duration>) -> bool {
+    pub fn should_exit(&self, passed: Duration, quiet: Option<Duration>) -> bool {
         let is_quiet = passed >= NOTICE && quiet.is_some_and(|quiet| quiet >= LAST_BYTES);
         is_quiet || passed >= self.stop_time.saturating_sub(LAST_BYTES)
     }
--- a/lib/src/relay/suspect_work.rs
+++ b/lib/src/relay/suspect_request.rs
@@ -7,19 +7,19 @@
 use serde::Serialize;
 
 use crate::relay::moment::Moment;
-use crate::relay::work_key::ServerLife;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::time::Time;
 
 /// Lives of servers that one piece of work may end: with two, a call that did nothing and lost its
 /// run twice where many servers end would be held; with four, each such work costs a server more.
-pub const MOST_LIVES: usize = 3;
+pub const QUARANTINE_MIN_CRASHES: usize = 3;
 /// Lives that end within so long of each other count as one, unless the later run began when the
 /// earlier life had ended: what ends many servers in one moment is something else, and equal calls of
 /// one caller run on many of them.
 const SAME_MOMENT: Duration = Duration::from_millis(70);
 /// How long a work is held after the last life that ended under it: the longest lease of the store,
 /// where it is kept for boxes that start later.
-pub const HELD_FOR: Duration = Duration::from_mins(10);
+pub const QUARANTINE_PERIOD: Duration = Duration::from_mins(10);
 /// How long it is remembered: after it was held, it is suspect for as long again, so that a single
 /// run decides.
 const REMEMBERED: Duration = Duration::from_mins(20);
@@ -27,50 +27,50 @@
 /// seconds, while equal calls end well elsewhere.
 const GOOD_FOR: Duration = Duration::from_secs(10);
 /// How long another box's run counts after it was last told: two heartbeats and a lost datagram.
-pub(super) const RUN_BELIEVED: Duration = Duration::from_millis(1_200);
+pub(super) const RUN_REPORT_TTL: Duration = Duration::from_millis(1_200);
 /// Lives remembered for one work.
 const MOST_REMEMBERED: usize = 8;
 
 /// What became known of a work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// Servers ended under it, fewer than [`MOST_LIVES`].
+pub enum RequestStatus {
+    /// Servers ended under it, fewer than [`QUARANTINE_MIN_CRASHES`].
     Suspect,
-    /// [`MOST_LIVES`] or more did.
-    Held,
+    /// [`QUARANTINE_MIN_CRASHES`] or more did.
+    Quarantined,
     /// It ran well.
     Cleared,
 }
 
 /// A life that ended under a work, as one box tells another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ToldEnd {
+pub struct CrashRow {
     /// The life.
-    pub life: ServerLife,
+    pub incarnation: ServerIncarnation,
     /// How many milliseconds ago it ended.
-    pub ago: u32,
+    pub age_ms: u32,
     /// How many milliseconds the run had taken.
-    pub ran: u32,
+    pub run_ms: u32,
 }
 
 /// A life that ended.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct End {
-    pub(super) life: ServerLife,
+    pub(super) life: ServerIncarnation,
     pub(super) at: Moment,
     /// When the run began that it ended under.
     pub(super) began: Moment,
     /// Whether this box saw it and the store does not hold it yet.
-    pub(super) to_store: bool,
+    pub(super) needs_store: bool,
 }
 
 impl End {
-    pub(super) const fn told(&self, now: Time) -> ToldEnd {
-        let ago = self.at.millis_ago(now);
-        ToldEnd {
-            life: self.life,
-            ago,
-            ran: self.began.millis_ago(now).saturating_sub(ago),
+    pub(super) const fn told(&self, now: Time) -> CrashRow {
+        let age_ms = self.at.millis_ago(now);
+        CrashRow {
+            incarnation: self.life,
+            age_ms,
+            run_ms: self.began.millis_ago(now).saturating_sub(age_ms),
         }
     }
 }
@@ -124,25 +124,27 @@
     }
 
     /// Lives that ended at moments of their own.
-    pub(super) fn lives(&self, now: Time) -> usize {
+    pub(super) fn crashes(&self, now: Time) -> usize {
         let mut last: Option<Moment> = None;
-        let mut lives = 0;
+        let mut crashes = 0;
         for end in self.counting(now) {
             let is_apart = |last: Moment| end.began > last || end.at > last.plus(SAME_MOMENT);
             if last.is_none_or(is_apart) {
-                lives += 1;
+                crashes += 1;
                 last = Some(end.at);
             }
         }
-        lives
+        crashes
     }
 
-    pub(super) fn verdict(&self, now: Time) -> Verdict {
+    pub(super) fn verdict(&self, now: Time) -> RequestStatus {
         match self.held_at(now) {
-            Some(at) if at.since(now) < HELD_FOR && self.released < Some(at) => Verdict::Held,
-            Some(_) => Verdict::Suspect,
-            None if self.lives(now) > 0 => Verdict::Suspect,
-            None => Verdict::Cleared,
+            Some(at) if at.since(now) < QUARANTINE_PERIOD && self.released < Some(at) => {
+                RequestStatus::Quarantined
+            }
+            Some(_) => RequestStatus::Suspect,
+            None if self.crashes(now) > 0 => RequestStatus::Suspect,
+            None => RequestStatus::Cleared,
         }
     }
 
@@ -155,7 +157,7 @@
 
     /// Holds it if enough lives ended.
     pub(super) fn judge(&mut self, now: Time) {
-        if self.lives(now) >= MOST_LIVES {
+        if self.crashes(now) >= QUARANTINE_MIN_CRASHES {
             let ends = self.counting(now).map(|end| end.at);
             let hold = ends.clone().min().zip(ends.max());
             let hold = hold.map(|(first, last)| Hold { first, last });
@@ -197,5 +199,5 @@
 
 fn is_believed(now: Time, told: &BTreeMap<String, Time>) -> bool {
     let mut told = told.values();
-    told.any(|at| now.since(*at) < RUN_BELIEVED)
+    told.any(|at| now.since(*at) < RUN_REPORT_TTL)
 }
--- a/lib/tests/test_relay_era_model.rs
+++ b/lib/tests/test_relay_era_model.rs
@@ -6,6 +6,7 @@
 use std::time::Duration;
 
 use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_list::HOLD_AFTER_RETURN;
 use badgerferry_lib::relay::server_list::ListedServer;
 use badgerferry_lib::relay::server_list::ServerEntries;
@@ -14,7 +15,6 @@
 use badgerferry_lib::relay::store_cursor::Ask;
 use badgerferry_lib::relay::store_cursor::StoreCursor;
 use badgerferry_lib::relay::store_position::StorePosition;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::SeedableRng;
@@ -78,7 +78,7 @@
     reaches_store: bool,
     reaches_others: bool,
     /// Lives that it knew to leave or to have ended while the store worked.
-    over: BTreeSet<ServerLife>,
+    over: BTreeSet<ServerIncarnation>,
 }
 
 impl ModelBox {
@@ -148,7 +148,7 @@
         }
     }
 
-    fn usable(&self) -> BTreeSet<ServerLife> {
+    fn usable(&self) -> BTreeSet<ServerIncarnation> {
         let servers = self.servers.servers().into_iter();
         let usable = servers.filter(|server| !server.leaving);
         usable.map(|server| server.life()).collect()
@@ -341,7 +341,7 @@
             Value::Server(server) if !server.leaving => Some(server.life()),
             _ => None,
         });
-        let lives: BTreeSet<ServerLife> = listed.collect();
+        let lives: BTreeSet<ServerIncarnation> = listed.collect();
         for (at, of) in self.boxes.iter().enumerate() {
             assert_eq!(of.version, Some(self.version), "box {at}");
             assert_eq!(of.usable(), lives, "box {at}");
--- a/lib/tests/test_relay_event_join.rs
+++ b/lib/tests/test_relay_event_join.rs
@@ -1,7 +1,7 @@
 //! Joining the events of one or more runs into one answer.
 
 use badgerferry_lib::relay::event_join::EventJoin;
-use badgerferry_lib::relay::event_join::JoinError;
+use badgerferry_lib::relay::event_join::EventJoinError;
 use quickcheck::TestResult;
 
 use crate::seeded::seeded;
@@ -36,7 +36,7 @@
         .push(b"id: 1\ndata: a\n\nid: 2\ndata: half")
         .expect("one whole event");
 
-    join.next_run();
+    join.discard_partial();
     let resumed = join
         .push(event(2).as_bytes())
         .expect("the next run continues");
@@ -52,7 +52,10 @@
 
     let repeated = join.push(event(3).as_bytes());
 
-    assert_eq!(repeated, Err(JoinError::OutOfOrder { last: 3, found: 3 }));
+    assert_eq!(
+        repeated,
+        Err(EventJoinError::OutOfOrder { last: 3, found: 3 })
+    );
 }
 
 #[test]
@@ -61,7 +64,10 @@
 
     let skipped = join.push(event(9).as_bytes());
 
-    assert_eq!(skipped, Err(JoinError::OutOfOrder { last: 7, found: 9 }));
+    assert_eq!(
+        skipped,
+        Err(EventJoinError::OutOfOrder { last: 7, found: 9 })
+    );
 }
 
 #[test]
@@ -70,7 +76,7 @@
 
     let mixed = join.push(format!("{}{}", event(1), event(3)).as_bytes());
 
-    assert_eq!(mixed, Err(JoinError::OutOfOrder { last: 1, found: 3 }));
+    assert_eq!(mixed, Err(EventJoinError::OutOfOrder { last: 1, found: 3 }));
 }
 
 #[test]
@@ -89,7 +95,7 @@
     let mut join = EventJoin::default();
     let endless = vec![b'x'; (1 << 20) + 1];
 
-    assert_eq!(join.push(&endless), Err(JoinError::TooLong));
+    assert_eq!(join.push(&endless), Err(EventJoinError::EventTooLarge));
 }
 
 /// However the bytes are cut into chunks, the answer is the same.
@@ -123,7 +129,7 @@
             let run = events(join.last().unwrap_or(0) + 1..end);
             let cut = usize::from(at).min(run.len());
             joined.extend_from_slice(&join.push(&run.as_bytes()[..cut]).expect("well-formed"));
-            join.next_run();
+            join.discard_partial();
         }
         let last = events(join.last().unwrap_or(0) + 1..end);
         joined.extend_from_slice(&join.push(last.as_bytes()).expect("well-formed"));
--- a/lib/tests/test_relay_lost_calls.rs
+++ b/lib/tests/test_relay_lost_calls.rs
@@ -1,13 +1,13 @@
 //! Why calls are lost, by their last lines.
 
-use badgerferry_lib::relay::lost_calls::CallLine;
-use badgerferry_lib::relay::lost_calls::Cause;
+use badgerferry_lib::relay::lost_calls::CallRecord;
+use badgerferry_lib::relay::lost_calls::LossCause;
 use badgerferry_lib::relay::lost_calls::LostCalls;
-use badgerferry_lib::relay::lost_calls::Size;
+use badgerferry_lib::relay::lost_calls::PromptSize;
 
 /// A long prompt that was answered on time.
-fn good() -> CallLine {
-    CallLine {
+fn good() -> CallRecord {
+    CallRecord {
         call: "c1".to_owned(),
         route: Some("r1".to_owned()),
         outcome: "answered".to_owned(),
@@ -30,52 +30,52 @@
 
 #[test]
 fn the_cause_is_the_first_thing_that_made_it_late() {
-    let late = CallLine {
+    let late = CallRecord {
         first_event_ms: Some(3_500),
         ..good()
     };
-    let again = CallLine {
+    let again = CallRecord {
         sent: 2,
         ..late.clone()
     };
-    let waited = CallLine {
+    let waited = CallRecord {
         waited_ms: Some(1_300),
         ..late.clone()
     };
-    let expected = CallLine {
+    let expected = CallRecord {
         expected_ms: Some(2_500),
         ..late.clone()
     };
-    let other = CallLine {
+    let other = CallRecord {
         waited_ms: Some(1_100),
         expected_ms: Some(2_300),
         ..late.clone()
     };
 
-    assert_eq!(late.cause(), Some(Cause::ReadSlower));
-    assert_eq!(again.cause(), Some(Cause::TriedAgain));
-    assert_eq!(waited.cause(), Some(Cause::WaitedForEngines));
-    assert_eq!(expected.cause(), Some(Cause::ExpectedLate));
-    assert_eq!(other.cause(), Some(Cause::Late));
+    assert_eq!(late.cause(), Some(LossCause::ReadSlower));
+    assert_eq!(again.cause(), Some(LossCause::TriedAgain));
+    assert_eq!(waited.cause(), Some(LossCause::WaitedForEngines));
+    assert_eq!(expected.cause(), Some(LossCause::ExpectedLate));
+    assert_eq!(other.cause(), Some(LossCause::Late));
 }
 
 #[test]
 fn pauses_and_outcomes_lose_a_call_that_began_on_time() {
-    let paused = CallLine {
+    let paused = CallRecord {
         longest_pause_ms: Some(1_001),
         ..good()
     };
-    let unlimited = CallLine {
+    let unlimited = CallRecord {
         pause_limit_ms: None,
         ..paused.clone()
     };
-    let refused = CallLine {
+    let refused = CallRecord {
         outcome: "would_miss_deadline".to_owned(),
         first_event_ms: None,
         ..good()
     };
 
-    assert_eq!(paused.cause(), Some(Cause::Paused));
+    assert_eq!(paused.cause(), Some(LossCause::Paused));
     assert_eq!(unlimited.cause(), None);
     assert_eq!(
         refused.cause().map(|cause| cause.to_string()).as_deref(),
@@ -85,7 +85,7 @@
 
 #[test]
 fn an_answer_that_is_no_stream_is_late_by_its_whole_time() {
-    let plain = CallLine {
+    let plain = CallRecord {
         tokens: None,
         objective_ms: 150,
         took_ms: 151,
@@ -95,29 +95,29 @@
         ..good()
     };
 
-    assert_eq!(plain.cause(), Some(Cause::Late));
-    assert_eq!(Size::of(plain.tokens), Size::Plain);
+    assert_eq!(plain.cause(), Some(LossCause::Late));
+    assert_eq!(PromptSize::of(plain.tokens), PromptSize::Plain);
 }
 
 #[test]
 fn lines_add_up_by_size_cause_and_second() {
     let mut all = LostCalls::default();
-    let paused = CallLine {
+    let paused = CallRecord {
         longest_pause_ms: Some(1_001),
         ..good()
     };
 
     for _ in 0..5 {
-        all.take("10:00:01", &paused);
+        all.add("10:00:01", &paused);
     }
-    all.take("10:00:02", &good());
+    all.add("10:00:02", &good());
 
-    assert_eq!(all.calls[&Size::Long], 6);
-    let row = &all.lost[&(Size::Long, Cause::Paused)];
+    assert_eq!(all.calls[&PromptSize::Long], 6);
+    let row = &all.lost[&(PromptSize::Long, LossCause::Paused)];
     assert_eq!((row.calls, row.examples.len()), (5, 3));
     assert_eq!(all.seconds["10:00:01"], 5);
     assert!(!all.seconds.contains_key("10:00:02"));
-    let estimate = all.estimates()[&Size::Long];
+    let estimate = all.estimates()[&PromptSize::Long];
     assert_eq!(estimate.prompts, 6);
     assert!((estimate.median - 800.0 / 700.0).abs() < 1e-9);
 }
@@ -130,15 +130,15 @@
     for tens in 1..=10 {
         let is_served = tens != 10 && tens != 8;
         let outcome = if is_served { "answered" } else { "no_server" };
-        let line = CallLine {
+        let line = CallRecord {
             tokens: Some(tens * 10_000),
             outcome: outcome.to_owned(),
             ..good()
         };
-        all.take("2026-03-07T04:57:50", &line);
+        all.add("2026-03-07T04:57:50", &line);
     }
 
-    let shares = all.served()["r1"];
+    let shares = all.served_shares()["r1"];
 
     assert_eq!(shares.prompts, 10);
     assert!((shares.all - 0.8).abs() < 1e-9, "{shares:?}");
--- a/lib/tests/test_relay_quarantine.rs
+++ b/lib/tests/test_relay_quarantine.rs
@@ -5,28 +5,28 @@
 
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::quarantine::Admission;
-use badgerferry_lib::relay::quarantine::Change;
-use badgerferry_lib::relay::quarantine::Fact;
 use badgerferry_lib::relay::quarantine::Quarantine;
-use badgerferry_lib::relay::quarantine::RunsOf;
-use badgerferry_lib::relay::quarantine::WorkRow;
-use badgerferry_lib::relay::suspect_work::HELD_FOR;
-use badgerferry_lib::relay::suspect_work::ToldEnd;
-use badgerferry_lib::relay::suspect_work::Verdict;
-use badgerferry_lib::relay::work_key::ServerLife;
-use badgerferry_lib::relay::work_key::WorkKey;
+use badgerferry_lib::relay::quarantine::QuarantineChange;
+use badgerferry_lib::relay::quarantine::QuarantineRow;
+use badgerferry_lib::relay::quarantine::RunScope;
+use badgerferry_lib::relay::quarantine::StoredFact;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
+use badgerferry_lib::relay::suspect_request::CrashRow;
+use badgerferry_lib::relay::suspect_request::QUARANTINE_PERIOD;
+use badgerferry_lib::relay::suspect_request::RequestStatus;
 use badgerferry_lib::time::Time;
 use quickcheck::quickcheck;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-const WORK: WorkKey = key(7, 1);
-const RUNS: Admission = Admission::Run { lives: 0 };
-const RUNS_ALONE: Admission = Admission::Run { lives: 1 };
+const WORK: RequestFingerprint = key(7, 1);
+const RUNS: Admission = Admission::Run { crashes: 0 };
+const RUNS_ALONE: Admission = Admission::Run { crashes: 1 };
 
-const fn key(owner: u32, digest: u64) -> WorkKey {
-    WorkKey { owner, digest }
+const fn key(owner: u32, digest: u64) -> RequestFingerprint {
+    RequestFingerprint { owner, digest }
 }
 
 const fn at(millis: u64) -> Time {
@@ -34,9 +34,14 @@
 }
 
 /// A life ends under a run of 20 ms.
-fn end(it: &mut Quarantine, now: Time, work: WorkKey, life: u64) -> Option<Change> {
+fn end(
+    it: &mut Quarantine,
+    now: Time,
+    work: RequestFingerprint,
+    life: u64,
+) -> Option<QuarantineChange> {
     let began = Time::from_micros(now.as_micros().saturating_sub(20_000));
-    it.server_ended(now, work, ServerLife(life), began)
+    it.record_crash(now, work, ServerIncarnation(life), began)
 }
 
 /// A box that saw so many lives end under the work, 200 ms apart, the last after a second.
@@ -59,10 +64,10 @@
 }
 
 /// What becomes of a call; how many lives ended, if any, is left out of a run.
-fn admit_as(it: &mut Quarantine, now: Time, own: &str, saw_end: bool) -> Admission {
-    match it.admit(now, WORK, saw_end, || rank_of(own)) {
-        Admission::Run { lives } => Admission::Run {
-            lives: lives.min(1),
+fn admit_as(it: &mut Quarantine, now: Time, own: &str, saw_crash: bool) -> Admission {
+    match it.admit(now, WORK, saw_crash, || rank_of(own)) {
+        Admission::Run { crashes } => Admission::Run {
+            crashes: crashes.min(1),
         },
         other => other,
     }
@@ -79,8 +84,8 @@
 fn two_lives_make_it_suspect_and_three_hold_it() {
     let verdicts = [1, 2, 3].map(|lives| admit(&mut after(lives), at(2_000)));
 
-    let left = HELD_FOR.saturating_sub(Duration::from_secs(1));
-    let held = Admission::Held { left, lives: 3 };
+    let left = QUARANTINE_PERIOD.saturating_sub(Duration::from_secs(1));
+    let held = Admission::Quarantined { left, crashes: 3 };
     assert_eq!(verdicts, [RUNS_ALONE, RUNS_ALONE, held]);
 }
 
@@ -98,7 +103,10 @@
     assert_eq!(admit(&mut it, at(3_000)), RUNS_ALONE);
     end(&mut it, at(3_200), WORK, 10);
     it.end_run(at(3_200), WORK);
-    assert!(matches!(admit(&mut it, at(4_000)), Admission::Held { .. }));
+    assert!(matches!(
+        admit(&mut it, at(4_000)),
+        Admission::Quarantined { .. }
+    ));
 }
 
 /// A request that ends its server within a few milliseconds, sent to one after the other.
@@ -107,21 +115,27 @@
     let mut it = Quarantine::default();
     for life in 0..3 {
         let (began, ended) = (at(1_001 + 10 * life), at(1_009 + 10 * life));
-        it.server_ended(ended, WORK, ServerLife(life), began);
+        it.record_crash(ended, WORK, ServerIncarnation(life), began);
     }
 
-    assert!(matches!(admit(&mut it, at(2_000)), Admission::Held { .. }));
+    assert!(matches!(
+        admit(&mut it, at(2_000)),
+        Admission::Quarantined { .. }
+    ));
 }
 
 #[test]
 fn the_same_life_told_again_counts_once() {
     let mut it = after(2);
-    let rows = after(2).rows(at(1_000), RunsOf::Box);
+    let rows = after(2).rows(at(1_000), RunScope::Box);
 
     for from in ["box-2", "box-3"] {
-        assert_eq!(it.take_rows(at(1_500), RunsOf::Box, from, &rows), []);
+        assert_eq!(it.merge_rows(at(1_500), RunScope::Box, from, &rows), []);
     }
-    assert_eq!(it.stored(at(1_600), WORK, Fact::Ended(ServerLife(0))), None);
+    assert_eq!(
+        it.apply_fact(at(1_600), WORK, StoredFact::Crashed(ServerIncarnation(0))),
+        None
+    );
 
     assert_eq!(admit(&mut it, at(2_000)), RUNS_ALONE);
 }
@@ -130,10 +144,10 @@
 fn a_good_run_clears_it_and_what_ends_a_little_later_says_nothing() {
     let mut it = after(3);
 
-    let change = it.ran_well(at(3_000), WORK).expect("it was held");
+    let change = it.record_success(at(3_000), WORK).expect("it was held");
     let later = end(&mut it, at(12_000), WORK, 9);
 
-    assert_eq!((change.verdict, later), (Verdict::Cleared, None));
+    assert_eq!((change.status, later), (RequestStatus::Cleared, None));
     assert_eq!(admit(&mut it, at(12_500)), RUNS);
     end(&mut it, at(13_500), WORK, 10);
     it.end_run(at(13_500), WORK);
@@ -143,7 +157,7 @@
 #[test]
 fn after_it_was_held_one_run_decides() {
     let mut it = after(3);
-    let over = at(1_000) + HELD_FOR;
+    let over = at(1_000) + QUARANTINE_PERIOD;
 
     assert_eq!(admit(&mut it, over), RUNS_ALONE);
     assert_eq!(admit(&mut it, over), Admission::Wait);
@@ -152,7 +166,7 @@
 
     assert!(matches!(
         admit(&mut it, over),
-        Admission::Held { lives: 4, .. }
+        Admission::Quarantined { crashes: 4, .. }
     ));
 }
 
@@ -160,20 +174,20 @@
 fn one_run_of_suspect_work_goes_at_a_time_here_and_elsewhere() {
     let (mut here, mut there) = (after(1), Quarantine::default());
     assert_eq!(admit(&mut here, at(2_000)), RUNS_ALONE);
-    there.take_rows(
+    there.merge_rows(
         at(2_002),
-        RunsOf::Box,
+        RunScope::Box,
         "box-1",
-        &here.rows(at(2_001), RunsOf::Box),
+        &here.rows(at(2_001), RunScope::Box),
     );
 
     let beside = [admit(&mut here, at(2_003)), admit(&mut there, at(2_500))];
     here.end_run(at(2_550), WORK);
-    there.take_rows(
+    there.merge_rows(
         at(2_600),
-        RunsOf::Box,
+        RunScope::Box,
         "box-1",
-        &here.rows(at(2_600), RunsOf::Box),
+        &here.rows(at(2_600), RunScope::Box),
     );
 
     assert_eq!(beside, [Admission::Wait; 2]);
@@ -188,20 +202,20 @@
     let mut here = after(1);
     admit_as(&mut here, at(1_020), "box-1", true);
     let mut there = Quarantine::default();
-    there.take_rows(
+    there.merge_rows(
         at(1_021),
-        RunsOf::Box,
+        RunScope::Box,
         "box-1",
-        &here.rows(at(1_021), RunsOf::Box),
+        &here.rows(at(1_021), RunScope::Box),
     );
     let mut full = Quarantine::default();
     end(&mut full, at(1_100), key(7, 2), 9);
 
-    there.take_rows(
+    there.merge_rows(
         at(1_500),
-        RunsOf::Box,
+        RunScope::Box,
         "box-1",
-        &full.rows(at(1_500), RunsOf::Box),
+        &full.rows(at(1_500), RunScope::Box),
     );
 
     assert_eq!(admit(&mut there, at(1_501)), Admission::Wait);
@@ -214,25 +228,25 @@
     let mut runner = after(1);
     admit_as(&mut runner, at(1_020), "box-2", true);
     let mut speaker = Quarantine::default();
-    speaker.take_rows(
+    speaker.merge_rows(
         at(1_021),
-        RunsOf::Box,
+        RunScope::Box,
         "box-2",
-        &runner.rows(at(1_021), RunsOf::Box),
+        &runner.rows(at(1_021), RunScope::Box),
     );
     let mut far = Quarantine::default();
 
-    far.take_rows(
+    far.merge_rows(
         at(1_040),
-        RunsOf::Hall,
+        RunScope::Hall,
         "hall-a",
-        &speaker.rows(at(1_022), RunsOf::Hall),
+        &speaker.rows(at(1_022), RunScope::Hall),
     );
 
     assert_eq!(admit(&mut far, at(1_900)), Admission::Wait);
-    let told_near = speaker.rows(at(1_041), RunsOf::Box);
+    let told_near = speaker.rows(at(1_041), RunScope::Box);
     assert!(
-        !told_near[0].runs,
+        !told_near[0].running,
         "boxes of its hall hear that of the other one"
     );
 }
@@ -243,15 +257,15 @@
     let mut here = Quarantine::default();
     admit(&mut here, at(900));
 
-    here.take_rows(
+    here.merge_rows(
         at(1_000),
-        RunsOf::Box,
+        RunScope::Box,
         "box-2",
-        &after(1).rows(at(1_000), RunsOf::Box),
+        &after(1).rows(at(1_000), RunScope::Box),
     );
 
     assert_eq!(admit(&mut here, at(2_000)), Admission::Wait);
-    assert!(here.rows(at(2_000), RunsOf::Box)[0].runs);
+    assert!(here.rows(at(2_000), RunScope::Box)[0].running);
 }
 
 #[test]
@@ -259,11 +273,11 @@
     let mut here = after(1);
     admit_as(&mut here, at(1_020), "box-1", true);
     let mut there = Quarantine::default();
-    there.take_rows(
+    there.merge_rows(
         at(1_021),
-        RunsOf::Box,
+        RunScope::Box,
         "box-1",
-        &here.rows(at(1_021), RunsOf::Box),
+        &here.rows(at(1_021), RunScope::Box),
     );
 
     assert_eq!(admit(&mut there, at(2_100)), Admission::Wait);
@@ -290,10 +304,12 @@
         end(&mut it, at(1_000 + life), WORK, life);
         it
     });
-    let told = boxes.clone().map(|mut it| it.rows(at(1_004), RunsOf::Box));
+    let told = boxes
+        .clone()
+        .map(|mut it| it.rows(at(1_004), RunScope::Box));
     for it in &mut boxes {
         for (from, rows) in told.iter().enumerate() {
-            it.take_rows(at(1_010), RunsOf::Box, &format!("box-{from}"), rows);
+            it.merge_rows(at(1_010), RunScope::Box, &format!("box-{from}"), rows);
         }
     }
 
@@ -325,22 +341,22 @@
 #[test]
 fn what_was_cleared_is_not_blamed_by_a_box_that_missed_it() {
     let mut cleared = after(3);
-    cleared.ran_well(at(1_200), WORK);
+    cleared.record_success(at(1_200), WORK);
     let mut behind = after(3);
     let later = at(60_000);
-    cleared.rows(later, RunsOf::Box);
+    cleared.rows(later, RunScope::Box);
 
-    cleared.take_rows(
+    cleared.merge_rows(
         later,
-        RunsOf::Box,
+        RunScope::Box,
         "behind",
-        &behind.rows(later, RunsOf::Box),
+        &behind.rows(later, RunScope::Box),
     );
-    behind.take_rows(
+    behind.merge_rows(
         later,
-        RunsOf::Box,
+        RunScope::Box,
         "cleared",
-        &cleared.rows(later, RunsOf::Box),
+        &cleared.rows(later, RunScope::Box),
     );
 
     assert_eq!(
@@ -353,66 +369,80 @@
 #[test]
 fn a_box_that_has_just_started_takes_what_happened_before() {
     let mut old = after(1);
-    old.ran_well(at(2_000), WORK);
+    old.record_success(at(2_000), WORK);
     for life in 5..8 {
         end(&mut old, at(19_000 + 200 * (life - 5)), WORK, life);
     }
     let mut new = Quarantine::default();
 
-    new.take_rows(
+    new.merge_rows(
         at(10),
-        RunsOf::Box,
+        RunScope::Box,
         "box-1",
-        &old.rows(at(50_000), RunsOf::Box),
+        &old.rows(at(50_000), RunScope::Box),
     );
 
     let held = admit(&mut new, at(20));
-    let Admission::Held { left, .. } = held else {
+    let Admission::Quarantined { left, .. } = held else {
         panic!("it is held elsewhere: {held:?}");
     };
-    assert_eq!(left, HELD_FOR.saturating_sub(Duration::from_millis(30_610)));
+    assert_eq!(
+        left,
+        QUARANTINE_PERIOD.saturating_sub(Duration::from_millis(30_610))
+    );
 }
 
 #[test]
 fn only_ends_that_others_may_miss_go_to_the_store() {
-    let ended = |lives: u64| (0..lives).map(|life| (WORK, Fact::Ended(ServerLife(life))));
+    let ended =
+        |lives: u64| (0..lives).map(|life| (WORK, StoredFact::Crashed(ServerIncarnation(life))));
     let now = at(1_500);
 
-    assert_eq!(after(1).to_store(now, false), []);
-    assert!(after(1).to_store(now, true).into_iter().eq(ended(1)));
-    assert!(after(2).to_store(now, false).into_iter().eq(ended(2)));
-    let held = ended(3).chain([(WORK, Fact::Held)]);
-    assert!(after(3).to_store(now, false).into_iter().eq(held.clone()));
+    assert_eq!(after(1).unstored_facts(now, false), []);
+    assert!(after(1).unstored_facts(now, true).into_iter().eq(ended(1)));
+    assert!(after(2).unstored_facts(now, false).into_iter().eq(ended(2)));
+    let held = ended(3).chain([(WORK, StoredFact::Quarantined)]);
+    assert!(
+        after(3)
+            .unstored_facts(now, false)
+            .into_iter()
+            .eq(held.clone())
+    );
     let mut kept = after(3);
     for (work, fact) in held {
-        kept.stored(now, work, fact);
+        kept.apply_fact(now, work, fact);
     }
-    assert_eq!(kept.to_store(now, false), []);
+    assert_eq!(kept.unstored_facts(now, false), []);
     let mut told = Quarantine::default();
-    told.take_rows(now, RunsOf::Box, "box-2", &after(2).rows(now, RunsOf::Box));
-    assert_eq!(told.to_store(now, true), []);
+    told.merge_rows(
+        now,
+        RunScope::Box,
+        "box-2",
+        &after(2).rows(now, RunScope::Box),
+    );
+    assert_eq!(told.unstored_facts(now, true), []);
 }
 
 /// All that it reads at its start comes in one moment.
 #[test]
 fn a_box_that_reads_of_a_held_work_at_its_start_holds_it_and_tells_so() {
     let mut new = Quarantine::default();
-    for (work, fact) in after(3).to_store(at(1_500), false) {
-        new.stored(at(50), work, fact);
+    for (work, fact) in after(3).unstored_facts(at(1_500), false) {
+        new.apply_fact(at(50), work, fact);
     }
     let mut other = Quarantine::default();
-    other.take_rows(
+    other.merge_rows(
         at(900_000),
-        RunsOf::Box,
+        RunScope::Box,
         "new",
-        &new.rows(at(60), RunsOf::Box),
+        &new.rows(at(60), RunScope::Box),
     );
 
     let held = [admit(&mut new, at(70)), admit(&mut other, at(900_000))];
 
-    let is_held = |admission: &Admission| matches!(admission, Admission::Held { .. });
+    let is_held = |admission: &Admission| matches!(admission, Admission::Quarantined { .. });
     assert!(held.iter().all(is_held), "{held:?}");
-    assert_eq!(new.to_store(at(70), true), []);
+    assert_eq!(new.unstored_facts(at(70), true), []);
 }
 
 /// An operator may be mistaken.
@@ -421,22 +451,31 @@
     let mut it = after(3);
     let mut other = after(3);
 
-    let change = it.stored(at(2_000), WORK, Fact::Released);
-    other.take_rows(
+    let change = it.apply_fact(at(2_000), WORK, StoredFact::Released);
+    other.merge_rows(
         at(2_001),
-        RunsOf::Box,
+        RunScope::Box,
         "box-1",
-        &it.rows(at(2_001), RunsOf::Box),
+        &it.rows(at(2_001), RunScope::Box),
     );
 
-    assert_eq!(change.map(|change| change.verdict), Some(Verdict::Suspect));
+    assert_eq!(
+        change.map(|change| change.status),
+        Some(RequestStatus::Suspect)
+    );
     assert_eq!(admit(&mut other, at(2_002)), RUNS_ALONE);
     assert_eq!(admit(&mut it, at(2_002)), RUNS_ALONE);
     assert_eq!(admit(&mut it, at(2_003)), Admission::Wait);
     end(&mut it, at(2_100), WORK, 9);
     it.end_run(at(2_100), WORK);
-    assert!(matches!(admit(&mut it, at(2_200)), Admission::Held { .. }));
-    assert!(it.to_store(at(2_200), false).contains(&(WORK, Fact::Held)));
+    assert!(matches!(
+        admit(&mut it, at(2_200)),
+        Admission::Quarantined { .. }
+    ));
+    assert!(
+        it.unstored_facts(at(2_200), false)
+            .contains(&(WORK, StoredFact::Quarantined))
+    );
 }
 
 #[test]
@@ -450,9 +489,9 @@
     }
 
     let now = at(8_000);
-    assert!(matches!(admit(&mut it, now), Admission::Held { .. }));
-    assert_eq!(it.held(now), 65);
-    assert_eq!(it.pushed_out(), 5_000 - 64);
+    assert!(matches!(admit(&mut it, now), Admission::Quarantined { .. }));
+    assert_eq!(it.quarantined_count(now), 65);
+    assert_eq!(it.evicted(), 5_000 - 64);
     assert_eq!(it.admit(now, key(8, 9_999), false, || 0), RUNS);
 }
 
@@ -465,14 +504,14 @@
     let later = at(10_000);
     it.admit(later, key(1, 13), true, || 0);
 
-    let told: Vec<Vec<WorkRow>> = (0..20).map(|_| it.rows(later, RunsOf::Box)).collect();
+    let told: Vec<Vec<QuarantineRow>> = (0..20).map(|_| it.rows(later, RunScope::Box)).collect();
 
     assert!(
         told.iter()
-            .all(|rows| rows[0].work == key(1, 13) && rows[0].runs)
+            .all(|rows| rows[0].fingerprint == key(1, 13) && rows[0].running)
     );
     assert!(told.iter().all(|rows| rows.len() == 2));
-    let mut in_turn: Vec<u64> = told.iter().map(|rows| rows[1].work.digest).collect();
+    let mut in_turn: Vec<u64> = told.iter().map(|rows| rows[1].fingerprint.digest).collect();
     in_turn.sort_unstable();
     in_turn.dedup();
     assert_eq!(in_turn.len(), 19);
@@ -484,13 +523,13 @@
     let calls = [9, 0, 7, 3, 8, 1_u32];
 
     let mut drawn: Vec<u32> = (0..200)
-        .flat_map(|_| quarantine::apart(calls.to_vec(), |calls| *calls, &mut rng))
+        .flat_map(|_| quarantine::pick_isolated(calls.to_vec(), |calls| *calls, &mut rng))
         .collect();
 
     drawn.sort_unstable();
     drawn.dedup();
     assert_eq!(drawn, [0, 1, 3]);
-    assert!(quarantine::apart(Vec::new(), |calls: &u32| *calls, &mut rng).is_empty());
+    assert!(quarantine::pick_isolated(Vec::new(), |calls: &u32| *calls, &mut rng).is_empty());
 }
 
 quickcheck! {
@@ -498,40 +537,40 @@
     /// at one time.
     fn what_is_told_joins_in_any_order(ends: Vec<(u8, u16)>, goods: Vec<u16>, seed: u64) -> bool {
         let now = at(100_000);
-        let mut rows: Vec<WorkRow> = Vec::new();
+        let mut rows: Vec<QuarantineRow> = Vec::new();
         let ends: BTreeMap<u8, u16> = ends.into_iter().collect();
         for (life, ago) in ends.iter().take(8) {
-            rows.push(WorkRow {
-                work: WORK,
-                lives: vec![ToldEnd {
-                    life: ServerLife(u64::from(*life)),
-                    ago: u32::from(*ago),
-                    ran: 20,
+            rows.push(QuarantineRow {
+                fingerprint: WORK,
+                crashes: vec![CrashRow {
+                    incarnation: ServerIncarnation(u64::from(*life)),
+                    age_ms: u32::from(*ago),
+                    run_ms: 20,
                 }],
-                held: None,
+                quarantined: None,
                 released: None,
-                good: None,
-                runs: false,
+                succeeded: None,
+                running: false,
             });
         }
-        let good = |ago: &u16| WorkRow {
-            work: WORK,
-            lives: Vec::new(),
-            held: None,
+        let good = |ago: &u16| QuarantineRow {
+            fingerprint: WORK,
+            crashes: Vec::new(),
+            quarantined: None,
             released: None,
-            good: Some(u32::from(*ago)),
-            runs: false,
+            succeeded: Some(u32::from(*ago)),
+            running: false,
         };
         rows.extend(goods.iter().take(3).map(good));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut known = |rows: &mut Vec<WorkRow>| {
+        let mut known = |rows: &mut Vec<QuarantineRow>| {
             rows.shuffle(&mut rng);
             let mut it = Quarantine::default();
             for row in rows.iter() {
-                it.take_rows(now, RunsOf::Box, "box-2", std::slice::from_ref(row));
+                it.merge_rows(now, RunScope::Box, "box-2", std::slice::from_ref(row));
             }
-            let mut told: Vec<(Vec<ToldEnd>, Option<u32>)> = (it.rows(now, RunsOf::Box).into_iter())
-                .map(|row| (row.lives, row.good))
+            let mut told: Vec<(Vec<CrashRow>, Option<u32>)> = (it.rows(now, RunScope::Box).into_iter())
+                .map(|row| (row.crashes, row.succeeded))
                 .collect();
             for (lives, _) in &mut told {
                 lives.sort_unstable();
@@ -545,10 +584,10 @@
     }
 }
 
-fn keep_all(it: &mut Quarantine, now: Time) -> Vec<(WorkKey, Fact)> {
-    let facts = it.to_store(now, false);
+fn keep_all(it: &mut Quarantine, now: Time) -> Vec<(RequestFingerprint, StoredFact)> {
+    let facts = it.unstored_facts(now, false);
     for &(work, fact) in &facts {
-        it.stored(now, work, fact);
+        it.apply_fact(now, work, fact);
     }
     facts
 }
@@ -558,34 +597,34 @@
     let mut it = after(3);
     let written = keep_all(&mut it, at(1_500));
 
-    it.store_forgot();
+    it.on_store_restored();
     let again = keep_all(&mut it, at(1_600));
 
     assert_eq!(again, written);
-    assert_eq!(it.to_store(at(1_700), false), []);
+    assert_eq!(it.unstored_facts(at(1_700), false), []);
     let mut told = Quarantine::default();
-    told.take_rows(
+    told.merge_rows(
         at(1_500),
-        RunsOf::Box,
+        RunScope::Box,
         "box-2",
-        &after(3).rows(at(1_500), RunsOf::Box),
+        &after(3).rows(at(1_500), RunScope::Box),
     );
-    told.store_forgot();
-    assert_eq!(told.to_store(at(1_600), false), [], "others write it");
+    told.on_store_restored();
+    assert_eq!(told.unstored_facts(at(1_600), false), [], "others write it");
 }
 
 #[test]
 fn a_release_that_a_store_lost_is_written_again_unless_the_work_is_held_since() {
     let mut it = after(3);
     keep_all(&mut it, at(1_500));
-    it.stored(at(2_000), WORK, Fact::Released);
-    let released = (WORK, Fact::Released);
+    it.apply_fact(at(2_000), WORK, StoredFact::Released);
+    let released = (WORK, StoredFact::Released);
 
-    it.store_forgot();
-    let before = it.to_store(at(2_100), false);
+    it.on_store_restored();
+    let before = it.unstored_facts(at(2_100), false);
     end(&mut it, at(2_200), WORK, 9);
-    let after = it.to_store(at(2_300), false);
+    let after = it.unstored_facts(at(2_300), false);
 
     assert!(before.contains(&released));
-    assert!(!after.contains(&released) && after.contains(&(WORK, Fact::Held)));
+    assert!(!after.contains(&released) && after.contains(&(WORK, StoredFact::Quarantined)));
 }
--- a/lib/tests/test_relay_quota_keeper.rs
+++ b/lib/tests/test_relay_quota_keeper.rs
@@ -11,9 +11,9 @@
 use badgerferry_lib::relay::permit_wire::Verdict;
 use badgerferry_lib::relay::quota_keeper::Keeper;
 use badgerferry_lib::relay::quota_keeper::QuotaKeeper;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_limits::LimitRow;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 
 const LONG_UP: Duration = Duration::from_mins(1);
@@ -159,7 +159,7 @@
         id: 1,
         hall: HallName::new("a"),
         word: LimitRow {
-            life: ServerLife(2),
+            life: ServerIncarnation(2),
             rate: Some(rate(1.7)),
             ago: 30,
         },
--- a/lib/tests/test_relay_retry_window.rs
+++ b/lib/tests/test_relay_retry_window.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use badgerferry_lib::relay::retry_window::RetryRule;
+use badgerferry_lib::relay::retry_window::RetryBudgetRule;
 use badgerferry_lib::relay::retry_window::RetryWindow;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const RULE: RetryRule = RetryRule {
+const RULE: RetryBudgetRule = RetryBudgetRule {
     window: Duration::from_secs(10),
     ratio: 0.2,
     slack: 100.0,
@@ -17,7 +17,7 @@
 
 fn repeats_taken(window: &mut RetryWindow, now: Time, wanted: u32, boxes: usize) -> u32 {
     (0..wanted)
-        .filter(|_| window.spend(now, &RULE, boxes))
+        .filter(|_| window.try_spend(now, &RULE, boxes))
         .count() as u32
 }
 
@@ -49,7 +49,7 @@
     let mut window = RetryWindow::default();
     let now = Time::from_millis(500);
     for _ in 0..100 {
-        window.first(now, &RULE);
+        window.record_first_send(now, &RULE);
     }
 
     let taken = repeats_taken(&mut window, now, 1_000, 50);
@@ -72,7 +72,7 @@
             let now = Time::from_millis(millis);
             for window in &mut windows {
                 for _ in 0..rng.random_range(0..3) {
-                    window.first(now, &RULE);
+                    window.record_first_send(now, &RULE);
                     firsts.push(millis);
                 }
                 for _ in 0..repeats_taken(window, now, rng.random_range(0..5), known) {
--- a/lib/tests/test_relay_server_book.rs
+++ b/lib/tests/test_relay_server_book.rs
@@ -4,12 +4,12 @@
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::route_table::ServiceName;
 use badgerferry_lib::relay::server_book::Evidence;
 use badgerferry_lib::relay::server_book::ServerBook;
 use badgerferry_lib::relay::server_list::ListedServer;
 use badgerferry_lib::relay::standing::Standing;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +17,7 @@
 use crate::listed_server::server;
 
 /// Servers that say nothing of the calls they take.
-const fn open(_life: ServerLife) -> Standing {
+const fn open(_life: ServerIncarnation) -> Standing {
     Standing::Open
 }
 
--- a/lib/tests/test_relay_server_limits.rs
+++ b/lib/tests/test_relay_server_limits.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use badgerferry_lib::relay::call_rate::CallRate;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_limits::LimitRow;
 use badgerferry_lib::relay::server_limits::ServerLimits;
 use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::relay::stated::Stated;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 
-const SERVER: ServerLife = ServerLife(7);
+const SERVER: ServerIncarnation = ServerIncarnation(7);
 
 fn rate(calls: f64) -> CallRate {
     CallRate::per_second(calls).expect("a rate")
@@ -75,7 +75,10 @@
 fn a_new_life_has_no_limit_of_the_one_before() {
     let limits = limits(Time::ZERO, 1.0);
 
-    assert_eq!(limits.standing(Time::ZERO, ServerLife(8)), Standing::Open);
+    assert_eq!(
+        limits.standing(Time::ZERO, ServerIncarnation(8)),
+        Standing::Open
+    );
 }
 
 #[test]
@@ -107,7 +110,7 @@
     for life in 0..5_000 {
         limits.answered(
             Time::from_millis(life),
-            ServerLife(life),
+            ServerIncarnation(life),
             Stated::Value(rate(1.0)),
         );
     }
@@ -129,7 +132,7 @@
 fn a_datagram_that_leaves_a_server_out_says_nothing_of_it() {
     let mut limits = limits(Time::ZERO, 1.0);
     let other = LimitRow {
-        life: ServerLife(9),
+        life: ServerIncarnation(9),
         rate: Some(rate(4.0)),
         ago: 0,
     };
--- a/lib/tests/test_relay_server_notices.rs
+++ b/lib/tests/test_relay_server_notices.rs
@@ -5,14 +5,14 @@
 
 use badgerferry_lib::relay::call_rate::CallRate;
 use badgerferry_lib::relay::leaving_servers::LeavingServers;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_notices::Notice;
 use badgerferry_lib::relay::server_notices::ServerNotices;
 use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::relay::stated::Stated;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 
-const SERVER: ServerLife = ServerLife(7);
+const SERVER: ServerIncarnation = ServerIncarnation(7);
 
 fn leaves() -> Notice {
     Notice {
@@ -37,7 +37,10 @@
 
     assert_eq!(notices.standing(days_later, SERVER), Standing::Leaving);
     assert_eq!(notices.opens_in(days_later, SERVER), None);
-    assert_eq!(notices.standing(days_later, ServerLife(8)), Standing::Open);
+    assert_eq!(
+        notices.standing(days_later, ServerIncarnation(8)),
+        Standing::Open
+    );
 }
 
 #[test]
@@ -86,7 +89,7 @@
 fn many_that_leave_at_once_are_all_told_within_a_few_datagrams() {
     let mut leaving = LeavingServers::default();
     for life in 0..150 {
-        leaving.note(Time::ZERO, ServerLife(life));
+        leaving.note(Time::ZERO, ServerIncarnation(life));
     }
     let mut told = BTreeSet::new();
     for at in 0..5 {
@@ -102,7 +105,7 @@
 fn boxes_that_were_cut_off_hear_of_old_ones_in_turn() {
     let mut leaving = LeavingServers::default();
     for life in 0..40 {
-        leaving.note(Time::ZERO, ServerLife(life));
+        leaving.note(Time::ZERO, ServerIncarnation(life));
     }
     let mut told = BTreeSet::new();
     for at in 0..10 {
@@ -118,12 +121,12 @@
 fn thousands_that_leave_stay_within_bounds_and_the_newest_are_kept() {
     let mut leaving = LeavingServers::default();
     for life in 0..10_000 {
-        leaving.note(Time::from_millis(life), ServerLife(life));
+        leaving.note(Time::from_millis(life), ServerIncarnation(life));
     }
 
     assert_eq!(leaving.len(), 4_096);
     assert_eq!(leaving.pushed_out(), 10_000 - 4_096);
-    assert!(leaving.holds(ServerLife(9_999)));
+    assert!(leaving.holds(ServerIncarnation(9_999)));
 }
 
 const PAUSE: Duration = Duration::from_secs(3);
@@ -156,7 +159,10 @@
         notices.standing(Time::from_millis(3_000), SERVER),
         Standing::Open
     );
-    assert_eq!(notices.standing(before, ServerLife(8)), Standing::Open);
+    assert_eq!(
+        notices.standing(before, ServerIncarnation(8)),
+        Standing::Open
+    );
 }
 
 #[test]
@@ -305,7 +311,7 @@
     let mut notices = ServerNotices::default();
     for life in 0..5_000 {
         let now = Time::from_millis(life);
-        notices.answered(now, ServerLife(life), &sheds(PAUSE), false);
+        notices.answered(now, ServerIncarnation(life), &sheds(PAUSE), false);
         assert!(notices.rows(now).shedding.len() <= 16);
     }
 
--- a/testutils/src/crash_model.rs
+++ b/testutils/src/crash_model.rs
@@ -12,13 +12,13 @@
 
 use badgerferry_lib::relay::cells::LEAST_FAR_PAUSE;
 use badgerferry_lib::relay::hall_reach::HEARTBEAT;
-use badgerferry_lib::relay::quarantine::APART_FROM;
 use badgerferry_lib::relay::quarantine::Admission;
-use badgerferry_lib::relay::quarantine::Fact;
-use badgerferry_lib::relay::quarantine::RunsOf;
-use badgerferry_lib::relay::quarantine::WorkRow;
-use badgerferry_lib::relay::work_key::ServerLife;
-use badgerferry_lib::relay::work_key::WorkKey;
+use badgerferry_lib::relay::quarantine::ISOLATION_MIN_CRASHES;
+use badgerferry_lib::relay::quarantine::QuarantineRow;
+use badgerferry_lib::relay::quarantine::RunScope;
+use badgerferry_lib::relay::quarantine::StoredFact;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::SeedableRng;
@@ -33,12 +33,12 @@
 use fleet::Server;
 
 /// The work that ends servers.
-const DEADLY: WorkKey = WorkKey {
+const DEADLY: RequestFingerprint = RequestFingerprint {
     owner: 1,
     digest: 0,
 };
 /// The work of the equal calls.
-const EQUAL: WorkKey = WorkKey {
+const EQUAL: RequestFingerprint = RequestFingerprint {
     owner: 1,
     digest: 1,
 };
@@ -140,10 +140,10 @@
 #[derive(Debug)]
 struct Call {
     kind: Kind,
-    work: WorkKey,
+    work: RequestFingerprint,
     box_at: usize,
     sent: u32,
-    saw_end: bool,
+    saw_crash: bool,
     waits_since: Option<Time>,
     /// Where it runs, and in which life of the server.
     runs: Option<(usize, u64)>,
@@ -158,13 +158,13 @@
     Crashes(usize, u64),
     Wave,
     Ends(usize, u64),
-    BreaksOff(usize, ServerLife),
+    BreaksOff(usize, ServerIncarnation),
     Starts(usize),
     Tells(usize),
     TellsFar(usize),
     Heartbeat(usize),
-    Hears(usize, RunsOf, String, Rc<Vec<WorkRow>>),
-    Stored(WorkKey, Fact),
+    Hears(usize, RunScope, String, Rc<Vec<QuarantineRow>>),
+    Stored(RequestFingerprint, StoredFact),
     Restarts,
 }
 
@@ -176,7 +176,7 @@
     ranks: Ranks,
     servers: Vec<Server>,
     calls: Vec<Call>,
-    stored: Vec<(WorkKey, Fact)>,
+    stored: Vec<(RequestFingerprint, StoredFact)>,
     third_end: Option<Time>,
     next_work: u64,
     rng: ChaCha8Rng,
@@ -269,7 +269,7 @@
                 }
             }
             Event::Hears(at, of, from, rows) => {
-                let changes = self.boxes[at].known.take_rows(now, of, &from, &rows);
+                let changes = self.boxes[at].known.merge_rows(now, of, &from, &rows);
                 if !changes.is_empty() {
                     self.keep_in_store(now, at);
                 }
@@ -283,7 +283,7 @@
                 let at = self.rng.random_range(0..self.boxes.len());
                 self.boxes[at].restart();
                 for (work, fact) in self.stored.clone() {
-                    self.boxes[at].known.stored(now, work, fact);
+                    self.boxes[at].known.apply_fact(now, work, fact);
                 }
                 self.put_next(now, self.plan.restarts, || Event::Restarts);
             }
@@ -296,7 +296,7 @@
             Kind::Equal => EQUAL,
             Kind::Other => {
                 self.next_work += 1;
-                WorkKey {
+                RequestFingerprint {
                     owner: 1,
                     digest: self.next_work,
                 }
@@ -308,7 +308,7 @@
             work,
             box_at,
             sent: 0,
-            saw_end: false,
+            saw_crash: false,
             waits_since: None,
             runs: None,
             began: now,
@@ -329,11 +329,11 @@
 
     fn tries(&mut self, now: Time, id: usize) {
         let call = &self.calls[id];
-        let (box_at, work, saw_end) = (call.box_at, call.work, call.saw_end);
-        let admission = self.admit(now, box_at, work, saw_end);
+        let (box_at, work, saw_crash) = (call.box_at, call.work, call.saw_crash);
+        let admission = self.admit(now, box_at, work, saw_crash);
         match admission {
-            Admission::Run { lives } => self.runs(now, id, lives),
-            Admission::Held { .. } => self.refused(now, id),
+            Admission::Run { crashes } => self.runs(now, id, crashes),
+            Admission::Quarantined { .. } => self.refused(now, id),
             Admission::Wait => {
                 let since = *self.calls[id].waits_since.get_or_insert(now);
                 if now.since(since) >= PATIENCE {
@@ -344,27 +344,33 @@
         }
     }
 
-    fn admit(&mut self, now: Time, at: usize, work: WorkKey, saw_end: bool) -> Admission {
+    fn admit(
+        &mut self,
+        now: Time,
+        at: usize,
+        work: RequestFingerprint,
+        saw_crash: bool,
+    ) -> Admission {
         let count = self.boxes.len();
         let rank = self.ranks.rank(work, at);
         let rank = || rank;
         let of = &mut self.boxes[at];
-        let plain = Admission::Run { lives: 0 };
+        let plain = Admission::Run { crashes: 0 };
         match self.bound {
             Bound::None => plain,
-            Bound::Shared | Bound::EachBox => of.known.admit(now, work, saw_end, rank),
+            Bound::Shared | Bound::EachBox => of.known.admit(now, work, saw_crash, rank),
             Bound::NewsAlone => match of.known.admit(now, work, true, rank) {
                 Admission::Wait => plain,
                 other => other,
             },
             Bound::Owner => {
                 let is_owner = work.digest as usize % count == at;
-                match of.known.admit(now, work, saw_end, rank) {
-                    Admission::Run { lives: 1.. } if !is_owner => {
+                match of.known.admit(now, work, saw_crash, rank) {
+                    Admission::Run { crashes: 1.. } if !is_owner => {
                         of.known.end_run(now, work);
-                        Admission::Held {
+                        Admission::Quarantined {
                             left: Duration::ZERO,
-                            lives: 0,
+                            crashes: 0,
                         }
                     }
                     other => other,
@@ -373,7 +379,7 @@
         }
     }
 
-    fn runs(&mut self, now: Time, id: usize, lives: usize) {
+    fn runs(&mut self, now: Time, id: usize, crashes: usize) {
         let living: Vec<usize> = (0..self.servers.len())
             .filter(|&at| self.servers[at].lives)
             .collect();
@@ -382,7 +388,7 @@
         }
         // Calls are packed on a third of the servers, as short ones are; suspect ones go apart.
         let packed = living.len().div_ceil(3);
-        let server = if lives >= APART_FROM {
+        let server = if crashes >= ISOLATION_MIN_CRASHES {
             living[self
                 .rng
                 .random_range(packed.min(living.len() - 1)..living.len())]
@@ -405,7 +411,7 @@
             let ends = now + self.millis(150, 900);
             self.agenda.put(ends, Event::RunEnds(id, life));
         }
-        if lives > 0 {
+        if crashes > 0 {
             self.agenda.put(now, Event::Tells(self.calls[id].box_at));
         }
     }
@@ -419,7 +425,7 @@
         let (box_at, work) = (call.box_at, call.work);
         self.servers[server].runs.retain(|run| *run != id);
         let known = &mut self.boxes[box_at].known;
-        let change = known.ran_well(now, work);
+        let change = known.record_success(now, work);
         let is_told = known.end_run(now, work);
         if change.is_some() || is_told {
             self.agenda.put(now, Event::Tells(box_at));
@@ -461,21 +467,21 @@
     }
 
     /// Ends a life; gives back which it was and the calls that ran.
-    fn end_life(&mut self, now: Time, server: usize) -> (ServerLife, Vec<usize>) {
-        let life = ServerLife((server as u64) << 32 | self.servers[server].life);
+    fn end_life(&mut self, now: Time, server: usize) -> (ServerIncarnation, Vec<usize>) {
+        let life = ServerIncarnation((server as u64) << 32 | self.servers[server].life);
         let runs = self.servers[server].end();
         let back = now + self.millis(2_000, 4_000);
         self.agenda.put(back, Event::Starts(server));
         (life, runs)
     }
 
-    fn broke_off(&mut self, now: Time, id: usize, life: ServerLife) {
+    fn broke_off(&mut self, now: Time, id: usize, life: ServerIncarnation) {
         let call = &mut self.calls[id];
         call.runs = None;
-        call.saw_end = true;
+        call.saw_crash = true;
         let (at, work, began) = (call.box_at, call.work, call.began);
         let of = &mut self.boxes[at];
-        of.known.server_ended(now, work, life, began);
+        of.known.record_crash(now, work, life, began);
         of.known.end_run(now, work);
         if matches!(self.bound, Bound::Shared | Bound::NewsAlone | Bound::Owner) {
             self.agenda.put(now, Event::Tells(at));
@@ -490,9 +496,9 @@
 
     fn keep_in_store(&mut self, now: Time, at: usize) {
         let is_alone = self.boxes[at].is_cut_off;
-        for (work, fact) in self.boxes[at].known.to_store(now, is_alone) {
+        for (work, fact) in self.boxes[at].known.unstored_facts(now, is_alone) {
             // Marked as kept at once: what is on its way is not written again.
-            self.boxes[at].known.stored(now, work, fact);
+            self.boxes[at].known.apply_fact(now, work, fact);
             self.agenda.put(now + STORE_WAY, Event::Stored(work, fact));
         }
     }
@@ -530,18 +536,18 @@
         if self.boxes[at].is_cut_off || matches!(self.bound, Bound::None | Bound::EachBox) {
             return;
         }
-        let Some(rows) = self.boxes[at].rows(now, RunsOf::Box) else {
+        let Some(rows) = self.boxes[at].rows(now, RunScope::Box) else {
             return;
         };
         let (name, hall) = (self.boxes[at].name.clone(), self.boxes[at].hall);
         for to in 0..self.boxes.len() {
             if self.boxes[to].hall == hall {
                 let way = self.millis(1, 3);
-                self.tell(now + way, at, to, (RunsOf::Box, name.clone()), &rows);
+                self.tell(now + way, at, to, (RunScope::Box, name.clone()), &rows);
             }
         }
         let speaks = self.speaks(at) && now.since(self.boxes[at].last_far) >= LEAST_FAR_PAUSE;
-        let of_hall = speaks.then(|| self.boxes[at].rows(now, RunsOf::Hall));
+        let of_hall = speaks.then(|| self.boxes[at].rows(now, RunScope::Hall));
         let Some(rows) = of_hall.flatten() else {
             return;
         };
@@ -549,7 +555,7 @@
         for to in 0..self.boxes.len() {
             if self.boxes[to].hall != hall {
                 let way = self.millis(2, 25);
-                let teller = (RunsOf::Hall, format!("hall-{hall}"));
+                let teller = (RunScope::Hall, format!("hall-{hall}"));
                 self.tell(now + way, at, to, teller, &rows);
             }
         }
@@ -561,8 +567,8 @@
         when: Time,
         from: usize,
         to: usize,
-        (of, teller): (RunsOf, String),
-        rows: &Rc<Vec<WorkRow>>,
+        (of, teller): (RunScope, String),
+        rows: &Rc<Vec<QuarantineRow>>,
     ) {
         let is_lost = self.rng.random::<f64>() < 0.01;
         if to != from && !self.boxes[to].is_cut_off && !is_lost {
@@ -571,7 +577,7 @@
         }
     }
 
-    fn stored(&mut self, now: Time, work: WorkKey, fact: Fact) {
+    fn stored(&mut self, now: Time, work: RequestFingerprint, fact: StoredFact) {
         if self.stored.contains(&(work, fact)) {
             return;
         }
@@ -582,7 +588,7 @@
             let before = followers.entry(of.hall).or_default();
             if of.is_cut_off || *before < 2 {
                 *before += usize::from(!of.is_cut_off);
-                of.known.stored(now, work, fact);
+                of.known.apply_fact(now, work, fact);
             }
         }
     }
--- a/testutils/src/crash_model/fleet.rs
+++ b/testutils/src/crash_model/fleet.rs
@@ -5,9 +5,9 @@
 
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::quarantine::Quarantine;
-use badgerferry_lib::relay::quarantine::RunsOf;
-use badgerferry_lib::relay::quarantine::WorkRow;
-use badgerferry_lib::relay::work_key::WorkKey;
+use badgerferry_lib::relay::quarantine::QuarantineRow;
+use badgerferry_lib::relay::quarantine::RunScope;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
 use badgerferry_lib::time::Time;
 
 /// Halls, in which boxes lie in turn.
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct Ranks {
     names: Vec<String>,
-    by_work: HashMap<(WorkKey, usize), usize>,
+    by_work: HashMap<(RequestFingerprint, usize), usize>,
 }
 
 impl Ranks {
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(super) fn rank(&mut self, work: WorkKey, at: usize) -> usize {
+    pub(super) fn rank(&mut self, work: RequestFingerprint, at: usize) -> usize {
         let names = &self.names;
         let rank = || quarantine::rank(work, &names[at], names.iter().map(String::as_str));
         *self.by_work.entry((work, at)).or_insert_with(rank)
@@ -71,7 +71,7 @@
     }
 
     /// What it tells now; none where there is no news, not even that a run is over.
-    pub(super) fn rows(&mut self, now: Time, of: RunsOf) -> Option<Rc<Vec<WorkRow>>> {
+    pub(super) fn rows(&mut self, now: Time, of: RunScope) -> Option<Rc<Vec<QuarantineRow>>> {
         let rows = self.known.rows(now, of);
         let had_told = std::mem::replace(&mut self.told, !rows.is_empty());
         (had_told || self.told).then(|| Rc::new(rows))
--- a/testutils/src/limit_model.rs
+++ b/testutils/src/limit_model.rs
@@ -14,9 +14,9 @@
 use badgerferry_lib::relay::call_rate::CallRate;
 use badgerferry_lib::relay::permit_wire::Verdict;
 use badgerferry_lib::relay::quota_keeper::Keeper;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_limits::LimitRow;
 use badgerferry_lib::relay::stated::Stated;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::SeedableRng;
@@ -30,7 +30,7 @@
 use fleet::LimitFleet;
 
 /// The server.
-const SERVER: ServerLife = ServerLife(1);
+const SERVER: ServerIncarnation = ServerIncarnation(1);
 /// What a limit counts over.
 pub const WINDOW: Duration = Duration::from_secs(4);
 /// From here on it is judged.
--- a/testutils/src/shed_model.rs
+++ b/testutils/src/shed_model.rs
@@ -10,12 +10,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_notices::Notice;
 use badgerferry_lib::relay::server_notices::NoticeRows;
 use badgerferry_lib::relay::server_notices::ServerNotices;
 use badgerferry_lib::relay::standing::Standing;
 use badgerferry_lib::relay::stated::Stated;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::Rng;
 use rand::SeedableRng;
@@ -167,8 +167,8 @@
     world.counts
 }
 
-const fn life(server: usize) -> ServerLife {
-    ServerLife(server as u64)
+const fn life(server: usize) -> ServerIncarnation {
+    ServerIncarnation(server as u64)
 }
 
 impl World {
