--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -364,7 +364,7 @@
             })
         };
         candidates.retain(|(_, availability)| availability.accepts_calls());
-        candidates = quarantine::apart(candidates, busy, &mut rand::rng());
+        candidates = quarantine::pick_isolated(candidates, busy, &mut rand::rng());
     }
     // Engines kept for short calls are the first ones, which must take them.
     candidates.sort_by_key(|(_, availability)| *availability != Availability::Open);
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -21,7 +21,7 @@
 use badgerferry_lib::relay::load_datagram::LoadSource;
 use badgerferry_lib::relay::load_datagram::MAX_DATAGRAM_BYTES;
 use badgerferry_lib::relay::permit_wire::PermitFrame;
-use badgerferry_lib::relay::quarantine::RunsOf;
+use badgerferry_lib::relay::quarantine::RunScope;
 use badgerferry_lib::relay::slow_engine_tracker::ReportOrigin;
 use badgerferry_lib::relay::state_pull::FRAME_VERSION;
 use badgerferry_lib::time::Time;
@@ -192,8 +192,8 @@
         (tracker.recent_faults(now), tracker.recent_departures(now))
     };
     let (slow_engines, runs_of) = match source {
-        LoadSource::Box => (lock(&relay.paces).own_reports(now), RunsOf::Box),
-        LoadSource::Hall { .. } => (lock(&relay.paces).hall_reports(now), RunsOf::Hall),
+        LoadSource::Box => (lock(&relay.paces).own_reports(now), RunScope::Box),
+        LoadSource::Hall { .. } => (lock(&relay.paces).hall_reports(now), RunScope::Hall),
     };
     let suspects = lock(&relay.quarantine).rows(now, runs_of);
     let notices = lock(&relay.gate.notices).rows(now);
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -23,6 +23,7 @@
 use badgerferry_lib::relay::permit_wire::PermitResponse;
 use badgerferry_lib::relay::quota_owner::OwnedQuotas;
 use badgerferry_lib::relay::quota_owner::QuotaOwner;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_limits::LimitChange;
 use badgerferry_lib::relay::server_limits::LimitRow;
 use badgerferry_lib::relay::server_notices::Notice;
@@ -30,7 +31,6 @@
 use badgerferry_lib::relay::server_notices::NoticeRows;
 use badgerferry_lib::relay::server_notices::ServerNotices;
 use badgerferry_lib::relay::server_tracker::ServerTracker;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use metrics::counter;
 use tokio::sync::Notify;
@@ -68,7 +68,7 @@
     /// Its name.
     pub name: ServerName,
     /// The life of it that is meant.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// Its data hall.
     pub hall: HallName,
 }
@@ -299,7 +299,7 @@
     }
 
     /// Decides on a call to a server whose calls this box gives out.
-    fn decide(&self, life: ServerLife, shares: usize, patience: Duration) -> PermitDecision {
+    fn decide(&self, life: ServerIncarnation, shares: usize, patience: Duration) -> PermitDecision {
         let now = self.now();
         // Its limit may be over by a newer answer than the asking box knows of.
         let Some(limit) = lock(&self.notices).limits.limit(life) else {
--- a/lib/src/relay/server_notices.rs
+++ b/lib/src/relay/server_notices.rs
@@ -9,12 +9,12 @@
 use crate::relay::call_rate::CallRate;
 use crate::relay::leaving_servers::LeavingServers;
 use crate::relay::parsed_header::ParsedHeader;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::server_limits::LimitChange;
 use crate::relay::server_limits::LimitRow;
 use crate::relay::server_limits::ServerLimits;
 use crate::relay::shedding_servers::ShedRow;
 use crate::relay::shedding_servers::SheddingServers;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// What one answer says of its server.
@@ -34,7 +34,7 @@
     /// Those that name a limit, or did.
     pub limits: Vec<LimitRow>,
     /// Those that leave.
-    pub leaving: Vec<ServerLife>,
+    pub leaving: Vec<ServerIncarnation>,
     /// Those that turned the box away.
     pub shedding: Vec<ShedRow>,
 }
@@ -45,11 +45,11 @@
     /// Limits that began, changed or ended.
     pub limits: Vec<LimitChange>,
     /// Servers that leave.
-    pub leaving: Vec<ServerLife>,
+    pub leaving: Vec<ServerIncarnation>,
     /// Servers that shed load.
-    pub shedding: Vec<ServerLife>,
+    pub shedding: Vec<ServerIncarnation>,
     /// Servers that shed load and take calls again.
-    pub recovered: Vec<ServerLife>,
+    pub recovered: Vec<ServerIncarnation>,
 }
 
 /// What servers said, by their lives.
@@ -69,7 +69,7 @@
     pub fn record_response(
         &mut self,
         now: Time,
-        life: ServerLife,
+        life: ServerIncarnation,
         notice: &Notice,
         has_proof: bool,
     ) -> NoticeChanges {
@@ -107,7 +107,7 @@
     }
 
     /// Whether a server takes a call of this box now.
-    pub fn availability(&self, now: Time, life: ServerLife) -> Availability {
+    pub fn availability(&self, now: Time, life: ServerIncarnation) -> Availability {
         if self.leaving.contains(life) {
             return Availability::Leaving;
         }
@@ -117,7 +117,7 @@
 
     /// The same for a call that another server has turned away or lost: it is not the one to try a server
     /// after its pause.
-    pub fn availability_for_retry(&self, now: Time, life: ServerLife) -> Availability {
+    pub fn availability_for_retry(&self, now: Time, life: ServerIncarnation) -> Availability {
         match self.availability(now, life) {
             Availability::Open if self.shedding.awaits_probe(now, life) => Availability::Shedding,
             availability => availability,
@@ -125,7 +125,7 @@
     }
 
     /// How long until a server takes a call of this box; `None` if it never does in this life.
-    pub fn available_in(&self, now: Time, life: ServerLife) -> Option<Duration> {
+    pub fn available_in(&self, now: Time, life: ServerIncarnation) -> Option<Duration> {
         match self.availability(now, life) {
             Availability::Open | Availability::Limited | Availability::Shedding => {
                 Some(Duration::ZERO)
--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -17,9 +17,9 @@
 use crate::relay::engine_load::EngineKey;
 use crate::relay::hall_reachability::HallReachability;
 use crate::relay::hall_reachability::HallReachabilityChange;
+use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::relay::route_table::ServiceName;
 use crate::relay::server_list::ServerEntry;
-use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
 /// How long other boxes are told of servers that leave; datagrams go several times in that time.
@@ -92,7 +92,7 @@
     /// Its short key.
     pub key: EngineKey,
     /// The life that its entry tells of.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// Own calls there.
     pub in_flight: u32,
     /// Share of recent own calls that failed, from 0 to 1.
@@ -240,7 +240,7 @@
     }
 
     /// The server that has this life, if it is listed.
-    pub fn name_of(&self, life: ServerLife) -> Option<ServerName> {
+    pub fn name_of(&self, life: ServerIncarnation) -> Option<ServerName> {
         let mut records = self.records.values();
         let found = records.find(|record| record.life == life);
         found.map(|record| record.info.name.clone())
@@ -262,7 +262,7 @@
         now: Time,
         service: &ServiceName,
         tried: &[ServerName],
-        availability: impl Fn(ServerLife) -> Availability,
+        availability: impl Fn(ServerIncarnation) -> Availability,
     ) -> Vec<(&ServerRecord, Availability)> {
         let listed = self
             .of_service(service)
--- a/lib/tests/test_relay_server_notices.rs
+++ b/lib/tests/test_relay_server_notices.rs
@@ -7,12 +7,12 @@
 use badgerferry_lib::relay::call_rate::CallRate;
 use badgerferry_lib::relay::leaving_servers::LeavingServers;
 use badgerferry_lib::relay::parsed_header::ParsedHeader;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::server_notices::Notice;
 use badgerferry_lib::relay::server_notices::ServerNotices;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 
-const SERVER: ServerLife = ServerLife(7);
+const SERVER: ServerIncarnation = ServerIncarnation(7);
 
 fn leaves() -> Notice {
     Notice {
@@ -41,7 +41,7 @@
     );
     assert_eq!(notices.available_in(days_later, SERVER), None);
     assert_eq!(
-        notices.availability(days_later, ServerLife(8)),
+        notices.availability(days_later, ServerIncarnation(8)),
         Availability::Open
     );
 }
@@ -99,7 +99,7 @@
 fn many_that_leave_at_once_are_all_told_within_a_few_datagrams() {
     let mut leaving = LeavingServers::default();
     for life in 0..150 {
-        leaving.insert(Time::ZERO, ServerLife(life));
+        leaving.insert(Time::ZERO, ServerIncarnation(life));
     }
     let mut told = BTreeSet::new();
     for at in 0..5 {
@@ -115,7 +115,7 @@
 fn boxes_that_were_cut_off_hear_of_old_ones_in_turn() {
     let mut leaving = LeavingServers::default();
     for life in 0..40 {
-        leaving.insert(Time::ZERO, ServerLife(life));
+        leaving.insert(Time::ZERO, ServerIncarnation(life));
     }
     let mut told = BTreeSet::new();
     for at in 0..10 {
@@ -131,12 +131,12 @@
 fn thousands_that_leave_stay_within_bounds_and_the_newest_are_kept() {
     let mut leaving = LeavingServers::default();
     for life in 0..10_000 {
-        leaving.insert(Time::from_millis(life), ServerLife(life));
+        leaving.insert(Time::from_millis(life), ServerIncarnation(life));
     }
 
     assert_eq!(leaving.len(), 4_096);
     assert_eq!(leaving.evicted(), 10_000 - 4_096);
-    assert!(leaving.contains(ServerLife(9_999)));
+    assert!(leaving.contains(ServerIncarnation(9_999)));
 }
 
 const PAUSE: Duration = Duration::from_secs(3);
@@ -170,7 +170,7 @@
         Availability::Open
     );
     assert_eq!(
-        notices.availability(before, ServerLife(8)),
+        notices.availability(before, ServerIncarnation(8)),
         Availability::Open
     );
 }
@@ -333,7 +333,7 @@
     let mut notices = ServerNotices::default();
     for life in 0..5_000 {
         let now = Time::from_millis(life);
-        notices.record_response(now, ServerLife(life), &sheds(PAUSE), false);
+        notices.record_response(now, ServerIncarnation(life), &sheds(PAUSE), false);
         assert!(notices.rows(now).shedding.len() <= 16);
     }
 
--- a/lib/tests/test_relay_server_tracker.rs
+++ b/lib/tests/test_relay_server_tracker.rs
@@ -5,11 +5,11 @@
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::relay::availability::Availability;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
 use badgerferry_lib::relay::route_table::ServiceName;
 use badgerferry_lib::relay::server_list::ServerEntry;
 use badgerferry_lib::relay::server_tracker::ServerOutcome;
 use badgerferry_lib::relay::server_tracker::ServerTracker;
-use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +17,7 @@
 use crate::server_entry::server;
 
 /// Servers that say nothing of the calls they take.
-const fn open(_life: ServerLife) -> Availability {
+const fn open(_life: ServerIncarnation) -> Availability {
     Availability::Open
 }
 
