--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -129,7 +129,7 @@
         match admission {
             Admission::Run { crashes } => {
                 if crashes > 0 {
-                    tracing::info!(call = call.id(), %work, lives, "suspect call runs");
+                    tracing::info!(call = call.id(), %work, lives = crashes, "suspect call runs");
                     relay.urgent_changed.notify_one();
                 }
                 return Ok(run(Some(work), crashes));
@@ -137,7 +137,7 @@
             Admission::Quarantined { left, crashes } => {
                 counter!("badgerferry_calls_held_total").increment(1);
                 let left_s = left.as_secs();
-                tracing::info!(call = call.id(), %work, crashes, left_s, "call held: it ends servers");
+                tracing::info!(call = call.id(), %work, lives = crashes, left_s, "call held: it ends servers");
                 return Err((RefusalReason::EndsServers, left));
             }
             Admission::Wait if now >= until => {
@@ -313,11 +313,13 @@
         crashes,
     } = change;
     match status {
-        RequestStatus::Suspect => tracing::info!(%fingerprint, crashes, source, "work is suspect"),
+        RequestStatus::Suspect => {
+            tracing::info!(work = %fingerprint, lives = crashes, source, "work is suspect")
+        }
         RequestStatus::Quarantined => {
-            tracing::warn!(%fingerprint, crashes, source, "work is held: it ends servers")
+            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers")
         }
-        RequestStatus::Cleared => tracing::info!(%fingerprint, source, "work is cleared"),
+        RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "work is cleared"),
     }
 }
 
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -151,7 +151,7 @@
     /// Longest good pause between events, if any is stated.
     pub pause: Option<Duration>,
     /// Longest good pause of the most urgent streams that the same engines write.
-    pub strictest_pause: Option<Duration>,
+    pub tightest_gap: Option<Duration>,
     /// Longest part of a large prompt that can't be on time; it is read by as few engines as that takes.
     pub late_chunk: Option<Duration>,
 }
@@ -330,7 +330,7 @@
     if prefill > LONG_READ {
         // Engines outside the lane read it; those in the lane, too, where the parts would
         // otherwise make the streams there pause.
-        let beside_short = Bearable::new(model, targets.strictest_pause).beside_short;
+        let beside_short = Bearable::new(model, targets.tightest_gap).beside_short;
         let enough = parts_of(prefill, beside_short).min(MAX_HELPERS + 1) - 1;
         let outside = order.iter().filter(|&&at| at >= short_engines).count();
         let ahead = |at: usize| {
@@ -408,7 +408,7 @@
         reserve_memory,
         is_huge,
         longest_alone: longest.max(LONGEST_PART_ALONE),
-        bearable: Bearable::new(model, targets.strictest_pause),
+        bearable: Bearable::new(model, targets.tightest_gap),
     };
     let wanted = if targets.late_chunk.is_some() {
         least
--- a/lib/src/relay/lost_calls.rs
+++ b/lib/src/relay/lost_calls.rs
@@ -133,7 +133,7 @@
 /// What kind of call it is, as far as its size tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PromptSize {
+pub enum SizeClass {
     /// A call of a plain service.
     Plain,
     /// Up to 25,000 tokens: read by one engine beside streams.
@@ -144,7 +144,7 @@
     Long,
 }
 
-impl PromptSize {
+impl SizeClass {
     /// The size of a prompt.
     pub const fn of(tokens: Option<u64>) -> Self {
         match tokens {
@@ -156,7 +156,7 @@
     }
 }
 
-impl fmt::Display for PromptSize {
+impl fmt::Display for SizeClass {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Plain => "plain",
@@ -195,12 +195,12 @@
 #[derive(Debug, Default)]
 pub struct LostCalls {
     /// All calls, by size.
-    pub calls: BTreeMap<PromptSize, u64>,
+    pub calls: BTreeMap<SizeClass, u64>,
     /// Lost ones by size and cause.
-    pub lost: BTreeMap<(PromptSize, LossCause), LostRow>,
+    pub lost: BTreeMap<(SizeClass, LossCause), LostRow>,
     /// Lost ones by second, as the lines' times tell it.
     pub seconds: BTreeMap<String, u64>,
-    ratios: BTreeMap<PromptSize, Vec<f64>>,
+    ratios: BTreeMap<SizeClass, Vec<f64>>,
     /// Tokens of each prompt and whether it was served, by route.
     prompts: BTreeMap<String, Vec<(u64, bool)>>,
 }
@@ -208,7 +208,7 @@
 impl LostCalls {
     /// Takes a line, written in `second`.
     pub fn add(&mut self, second: &str, line: &CallRecord) {
-        let size = PromptSize::of(line.tokens);
+        let size = SizeClass::of(line.tokens);
         *self.calls.entry(size).or_default() += 1;
         if let (Some(route), Some(tokens)) = (&line.route, line.tokens) {
             let prompts = self.prompts.entry(route.clone()).or_default();
@@ -236,7 +236,7 @@
     }
 
     /// Reading against its estimate, by size.
-    pub fn estimates(&self) -> BTreeMap<PromptSize, ReadTimeRatios> {
+    pub fn estimates(&self) -> BTreeMap<SizeClass, ReadTimeRatios> {
         let estimate = |ratios: &Vec<f64>| {
             let mut sorted = ratios.clone();
             sorted.sort_by(f64::total_cmp);
--- a/lib/src/relay/prefill_selector.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -34,9 +34,9 @@
 
 impl Bearable {
     /// A pass with a full batch plays beside the part.
-    pub(crate) fn new(model: &EngineModel, strictest_pause: Option<Duration>) -> Self {
+    pub(crate) fn new(model: &EngineModel, tightest_gap: Option<Duration>) -> Self {
         let pass = model.pass_time(model.slots);
-        let short = strictest_pause.unwrap_or(LONG_PAUSE).saturating_sub(pass);
+        let short = tightest_gap.unwrap_or(LONG_PAUSE).saturating_sub(pass);
         Self {
             beside_short: short.mul_f64(READ_PART_OF_PAUSE),
             beside_long: LONG_PAUSE.saturating_sub(pass),
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -54,7 +54,7 @@
     LatencyTargets {
         due_in,
         pause,
-        strictest_pause: SHORT,
+        tightest_gap: SHORT,
         late_chunk: None,
     }
 }
@@ -265,7 +265,7 @@
         engine.load.short_calls = 8;
     }
     let targets = LatencyTargets {
-        strictest_pause: MIDDLE,
+        tightest_gap: MIDDLE,
         ..targets(Duration::from_secs(3), PATIENT)
     };
 
@@ -352,7 +352,7 @@
         let targets = LatencyTargets {
             due_in: Duration::from_millis(rng.random_range(0..5_000)),
             pause,
-            strictest_pause: [SHORT, MIDDLE, None][rng.random_range(0..3)],
+            tightest_gap: [SHORT, MIDDLE, None][rng.random_range(0..3)],
             late_chunk: None,
         };
         let found = engine_plan::plan(&pool(&engines, boxes), &prompt, targets, &mut rng);
--- a/lib/tests/test_relay_hall_planner.rs
+++ b/lib/tests/test_relay_hall_planner.rs
@@ -59,7 +59,7 @@
     let targets = LatencyTargets {
         due_in: Duration::from_millis(if is_short { 400 } else { 4_000 }),
         pause: Some(pause),
-        strictest_pause: Some(Duration::from_millis(300)),
+        tightest_gap: Some(Duration::from_millis(300)),
         late_chunk: None,
     };
     planner.plan(&prompt, targets, &mut ChaCha8Rng::seed_from_u64(1))
--- a/lib/tests/test_relay_lost_calls.rs
+++ b/lib/tests/test_relay_lost_calls.rs
@@ -3,7 +3,7 @@
 use badgerferry_lib::relay::lost_calls::CallRecord;
 use badgerferry_lib::relay::lost_calls::LossCause;
 use badgerferry_lib::relay::lost_calls::LostCalls;
-use badgerferry_lib::relay::lost_calls::PromptSize;
+use badgerferry_lib::relay::lost_calls::SizeClass;
 
 /// A long prompt that was answered on time.
 fn good() -> CallRecord {
@@ -96,7 +96,7 @@
     };
 
     assert_eq!(plain.cause(), Some(LossCause::Late));
-    assert_eq!(PromptSize::of(plain.tokens), PromptSize::Plain);
+    assert_eq!(SizeClass::of(plain.tokens), SizeClass::Plain);
 }
 
 #[test]
@@ -112,12 +112,12 @@
     }
     all.add("10:00:02", &good());
 
-    assert_eq!(all.calls[&PromptSize::Long], 6);
-    let row = &all.lost[&(PromptSize::Long, LossCause::Paused)];
+    assert_eq!(all.calls[&SizeClass::Long], 6);
+    let row = &all.lost[&(SizeClass::Long, LossCause::Paused)];
     assert_eq!((row.calls, row.examples.len()), (5, 3));
     assert_eq!(all.seconds["10:00:01"], 5);
     assert!(!all.seconds.contains_key("10:00:02"));
-    let estimate = all.estimates()[&PromptSize::Long];
+    let estimate = all.estimates()[&SizeClass::Long];
     assert_eq!(estimate.prompts, 6);
     assert!((estimate.median - 800.0 / 700.0).abs() < 1e-9);
 }
