--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -1,11 +1,13 @@
-//! Where a generation runs: the engine that leads it, and those that read parts of its prompt.
+//! Placement of a generation: the engine that leads it and the engines that prefill chunks of
+//! its prompt.
 //!
-//! An engine works in passes: all that write take a fixed number of steps, and what is read
-//! comes on top, so reading makes the pauses of every stream on that engine longer. Short
-//! calls are therefore packed on the first engines of an order that all boxes share; how many
-//! follows from the short calls in flight. Long prompts are read in parts, side by side, on
-//! the other engines. Each of those reads for one long prompt at a time: two on one engine
-//! delay each other by more than they gain. Ways weighed: `docs/design/long-reads.md`.
+//! An engine works in passes. A pass runs a fixed number of decode steps for all its streams, and
+//! prefill work is added to it, so prefill lengthens the pauses of every stream on the engine.
+//! Short calls are therefore packed onto the first engines of an order that all boxes share; the
+//! number of these engines follows from the short calls in flight. Long prompts are split into
+//! chunks that the other engines prefill in parallel. Each of these engines serves one long prompt
+//! at a time, since two on one engine delay each other by more than they gain.
+//! Alternatives: see `docs/design/long-reads.md`.
 
 use std::time::Duration;
 
@@ -17,80 +19,84 @@
 use crate::relay::call::PromptSize;
 use crate::relay::engine_load::EngineUse;
 use crate::relay::engine_load::Work;
-use crate::relay::prefill_selector::Bearable;
-use crate::relay::prefill_selector::LONG_PAUSE;
-use crate::relay::prefill_selector::LONGEST_PART_ALONE;
+use crate::relay::prefill_selector::ChunkLimits;
+use crate::relay::prefill_selector::LONG_STREAM_PAUSE;
+use crate::relay::prefill_selector::MAX_EXCLUSIVE_CHUNK;
 use crate::relay::prefill_selector::PrefillSelector;
 use crate::relay::standing::Standing;
 
-/// Engines that may read for one call beside the one that leads it; the engines' limit.
+/// Maximum number of engines that prefill for one call besides its leader, as limited by the
+/// engines.
 pub const MAX_HELPERS: usize = 16;
-/// Reading alone from which a prompt is long: a short stream's pause suffers from more.
-const LONG_READ: Duration = Duration::from_millis(200);
-/// Reading of one part that a long prompt is cut into, where enough engines are free. In smaller
-/// parts more engines would end the same pass later.
-const PART_READ: Duration = Duration::from_millis(300);
-/// Part of the free engines that one prompt takes at most where boxes are many, if its parts stay
-/// short enough. Up to [`FRESH_BOXES`] it takes all; beyond, several
-/// boxes would take the same engines.
-const LEAST_SHARE_OF_FREE: f64 = 0.6;
-/// Longest part that a prompt is sent with; it waits until enough engines are free.
-const LONGEST_PART: Duration = Duration::from_millis(600);
-/// Part of the time until its first event is due that a prompt's reading may take; the rest
-/// covers passes and other reading. The larger it is, the fewer engines must be free at once.
-const READ_PART_OF_TIME: f64 = 0.8;
-/// One in so many engines reads a prompt that all together can't read in parts of
-/// [`LONGEST_PART_ALONE`]. It is late in any case, and calls that come meanwhile find the others.
-const HUGE_SHARE: usize = 2;
-/// Reading of one part that a short call is cut into: passes of short streams stay short.
-const SHORT_PART_READ: Duration = Duration::from_millis(50);
-/// What is left of a long part that should be over by its estimate and is not.
-const LATE_PART: Duration = Duration::from_millis(150);
-/// Part of an engine's batch that is filled with short calls; the rest is for a burst.
-const SHORT_PART_OF_BATCH: f64 = 0.75;
-/// Engines kept for short calls beside those that they fill, for calls that come at once.
+/// Prefill time on one engine above which a prompt is long: more would make short streams exceed
+/// their pause limit.
+const MAX_SHORT_PREFILL: Duration = Duration::from_millis(200);
+/// Target prefill time of a long prompt's chunk where enough engines are free. Smaller chunks would
+/// prolong a pass on more engines.
+const TARGET_CHUNK: Duration = Duration::from_millis(300);
+/// Lower bound of the fraction of free engines that one prompt may take, reached where there are
+/// many boxes, provided its chunks stay short enough. Up to [`FRESH_BOXES`] boxes a prompt may take
+/// all free engines; with more, several boxes would choose the same ones.
+const MIN_FREE_ENGINE_FRACTION: f64 = 0.6;
+/// Maximum chunk of a prompt with little time left; more time allows larger chunks. The prompt waits
+/// until enough engines are free for it.
+const BASE_MAX_CHUNK: Duration = Duration::from_millis(600);
+/// Fraction of the time until its first event is due that a prompt's prefill may take; the rest
+/// covers passes and other prefill work. Larger values need fewer free engines at once.
+const PREFILL_TIME_FRACTION: f64 = 0.8;
+/// One in this many engines serves a prompt that all engines together can't prefill in chunks of
+/// [`MAX_EXCLUSIVE_CHUNK`]. It is late in any case, and the other engines stay free for other calls.
+const HUGE_PROMPT_ENGINE_DIVISOR: usize = 2;
+/// Target prefill time of a short call's chunk, which keeps the passes of short streams short.
+const SHORT_TARGET_CHUNK: Duration = Duration::from_millis(50);
+/// Assumed remaining prefill time of a long chunk that has exceeded its estimate.
+const OVERDUE_CHUNK_REMAINDER: Duration = Duration::from_millis(150);
+/// Fraction of an engine's batch that is planned for short calls; the rest absorbs bursts.
+const SHORT_BATCH_FRACTION: f64 = 0.75;
+/// Engines reserved for short calls in addition to those that they fill, for simultaneous arrivals.
 const SPARE_SHORT_ENGINES: usize = 1;
-/// Engines that long prompts keep at least.
-const LONG_ENGINES: usize = 3;
-/// Part of an engine's memory that is planned with; the rest covers what isn't known.
-const USABLE_MEMORY: f64 = 0.95;
-/// Boxes up to which nearly all engines are weighed; what they tell each other is fresh then.
+/// Minimum number of engines left to long prompts.
+const MIN_LONG_ENGINES: usize = 3;
+/// Fraction of an engine's memory that plans may use; the rest covers use not yet known here.
+const USABLE_MEMORY_FRACTION: f64 = 0.95;
+/// Number of boxes up to which load data is fresh, so that most engines are considered.
 const FRESH_BOXES: usize = 10;
-/// What leaving the short calls' own engines costs, as time to the first event.
-const FOREIGN_LANE: Duration = Duration::from_millis(60);
-/// What a full batch costs, as time: the call waits for another to end.
-const FULL_BATCH: Duration = Duration::from_millis(1_500);
-/// What a short call's helper may cost more than the engine that leads, as time.
-const HELPER_DELAY: Duration = Duration::from_millis(60);
-/// What a trip to another data hall costs, as time.
-const OTHER_HALL: Duration = Duration::from_millis(2);
-/// What an engine costs more than another that names a limit or sheds load, as time: its few calls
-/// are for when the others are full, and for prompts that need it.
-const LIMITED: Duration = Duration::from_millis(250);
-/// What an engine costs that takes no call now, as time: no call goes there.
-const CLOSED: Duration = Duration::from_hours(1);
+/// Cost of placing a short call outside its reserved engines, as time to the first event.
+const UNRESERVED_ENGINE_COST: Duration = Duration::from_millis(60);
+/// Cost of a full batch, as time: the call waits until another ends.
+const FULL_BATCH_COST: Duration = Duration::from_millis(1_500);
+/// Maximum extra cost of a short call's helper over its leader, as time.
+const MAX_HELPER_EXTRA_COST: Duration = Duration::from_millis(60);
+/// Cost of a round trip to another data hall, as time.
+const REMOTE_HALL_COST: Duration = Duration::from_millis(2);
+/// Extra cost of an engine that states a limit or sheds load, as time: the few calls that it accepts
+/// are kept for when other engines are full and for prompts that need it.
+const LIMITED_COST: Duration = Duration::from_millis(250);
+/// Cost of an engine that accepts no calls now, as time: high enough that no call goes there
+/// while another engine accepts calls.
+const CLOSED_COST: Duration = Duration::from_hours(1);
 
-/// How fast an engine is, as the operators state it.
+/// Performance model of an engine, as configured by the operators.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// Calls that write at once.
+    /// Maximum number of streams decoded at once.
     pub slots: u32,
-    /// Memory, in tokens.
+    /// Engine memory, in tokens.
     pub memory: u64,
-    /// Time of one step, in milliseconds.
+    /// Base time of one decode step, in milliseconds.
     pub step_ms: f64,
-    /// What each call that writes adds to a step, in milliseconds.
+    /// Time that each decoding stream adds to a step, in milliseconds.
     pub per_writer_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond, without attention cost.
     pub read_per_ms: f64,
-    /// What a million pairs of a token and an earlier one add, in milliseconds.
+    /// Attention cost of a million pairs of a token and an earlier one, in milliseconds.
     pub per_million_pairs_ms: f64,
-    /// Steps of one pass.
+    /// Decode steps per pass.
     pub steps_per_pass: u32,
 }
 
 impl EngineModel {
-    /// Time that reading a prompt takes one engine alone.
+    /// Time to prefill a prompt on a single engine.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
         let tokens = tokens as f64;
         let pairs = tokens * tokens / 2.0 / 1e6;
@@ -98,117 +104,119 @@
         Duration::from_secs_f64(millis / 1e3)
     }
 
-    /// Time of a pass with this many calls that write and nothing to read.
-    pub fn pass_time(&self, writers: u32) -> Duration {
-        let step = self.step_ms + self.per_writer_ms * f64::from(writers);
+    /// Duration of a pass that decodes this many streams, without prefill work.
+    pub fn pass_time(&self, streams: u32) -> Duration {
+        let step = self.step_ms + self.per_writer_ms * f64::from(streams);
         Duration::from_secs_f64(step * f64::from(self.steps_per_pass) / 1e3)
     }
 }
 
-/// One engine that may take work.
+/// An engine that accepts work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineState {
-    /// Work there, of all boxes.
+    /// Load from all boxes.
     pub load: EngineUse,
-    /// Whether it stands in this box's data hall.
+    /// Whether the engine is in this box's data hall.
     pub is_local: bool,
-    /// Rank in this box's own order, so that boxes which choose at once choose apart.
+    /// Rank in this box's own order of engines; the orders differ so that boxes which choose at the
+    /// same time choose different engines.
     pub preference: u32,
-    /// Whether it takes a call of this box. Engines that read parts are asked by the one that
-    /// leads, which no limit counts.
+    /// Whether the engine accepts calls of this box. It doesn't apply to chunks: the leader requests
+    /// these, and call limits don't count them.
     pub standing: Standing,
 }
 
-/// One engine's part of a plan.
+/// The share of a plan that one engine executes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assignment {
-    /// Index of the engine in the caller's list.
+    /// Index of the engine in [`EnginePool::engines`].
     pub engine: usize,
-    /// Reading there.
+    /// Prefill time on this engine.
     pub prefill: Duration,
-    /// Until the engine begins a pass that reads it.
+    /// Time until the engine starts the pass that prefills it.
     pub delay: Duration,
-    /// Memory taken there, in tokens.
+    /// Memory used on this engine, in tokens.
     pub memory: u64,
 }
 
-/// The engines that a call is planned over, and who else chooses among them.
+/// The engines available to a plan, and the number of boxes that choose among them.
 #[derive(Debug, Clone, Copy)]
 pub struct EnginePool<'a> {
-    /// How fast each is.
+    /// Performance model of each engine.
     pub model: &'a EngineModel,
-    /// Those that may take work, in the order that all boxes share.
+    /// Engines that accept work, in the order that all boxes share.
     pub engines: &'a [EngineState],
-    /// Boxes that choose apart from each other, this one included.
+    /// Boxes that choose independently, this one included.
     pub boxes: usize,
 }
 
-/// What a caller expects of a stream.
+/// Latency that a caller expects of a stream, and limits from other streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencyTargets {
-    /// Until its first event is due.
+    /// Time until the first event is due.
     pub due_in: Duration,
-    /// Longest good pause between events, if any is stated.
+    /// Maximum pause between events, if the service states one.
     pub pause: Option<Duration>,
-    /// Longest good pause of the most urgent streams that the same engines write.
+    /// Smallest pause limit among the streams that the same engines decode.
     pub strictest_pause: Option<Duration>,
-    /// Longest part of a large prompt that can't be on time; it is read by as few engines as that takes.
+    /// Maximum chunk of a large prompt that can't be on time; it uses as few engines as this chunk
+    /// size allows. `None` for all other prompts.
     pub late_chunk: Option<Duration>,
 }
 
-/// How a generation runs.
+/// Placement of a generation on engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EnginePlan {
-    /// Parts; the first one leads.
+    /// Assignments to engines; the first is the leader's.
     pub assignments: Vec<Assignment>,
-    /// Whether the parts' memory must be set aside before the call is sent.
+    /// Whether memory must be reserved for all assignments before the call is sent.
     pub reserve_memory: bool,
-    /// Whether the call counts as long.
+    /// Whether the call is treated as long.
     pub long: bool,
     /// Expected time to the first event.
     pub expected_first_event: Duration,
 }
 
 impl EnginePlan {
-    /// The work at each part's engine, for the load table; `engines` are those of the plan.
+    /// Load table entry of each assignment; `engines` must be the list that was planned over.
     pub fn works(&self, engines: &[EngineState]) -> Vec<Work> {
-        let work = |(at, part): (usize, &Assignment)| {
-            let ahead = Duration::from_millis(engines[part.engine].load.reading_ms.into());
+        let entry = |(index, assignment): (usize, &Assignment)| {
+            let pending = Duration::from_millis(engines[assignment.engine].load.reading_ms.into());
             Work {
-                read: part.prefill,
-                delay: ahead + part.delay,
-                memory: part.memory,
-                leads: at == 0,
+                read: assignment.prefill,
+                delay: pending + assignment.delay,
+                memory: assignment.memory,
+                leads: index == 0,
                 long: self.long,
             }
         };
-        self.assignments.iter().enumerate().map(work).collect()
+        self.assignments.iter().enumerate().map(entry).collect()
     }
 }
 
-/// Whether a prompt is read and written on the long prompts' engines.
+/// Whether a prompt is prefilled and decoded on the engines for long prompts.
 ///
-/// A stream that must not pause for long is written among the short ones, however long its
-/// prompt is: only its reading is spread over the other engines.
+/// A stream with a tight pause limit is decoded among the short streams, however long its prompt is;
+/// only its prefill is spread over the other engines.
 pub fn is_long(model: &EngineModel, prompt: &PromptSize, pause: Option<Duration>) -> bool {
-    let bears_pauses = pause.is_none_or(|pause| pause >= LONG_PAUSE);
-    bears_pauses && model.prefill_time(prompt.tokens) > LONG_READ
+    let tolerates_pauses = pause.is_none_or(|pause| pause >= LONG_STREAM_PAUSE);
+    tolerates_pauses && model.prefill_time(prompt.tokens) > MAX_SHORT_PREFILL
 }
 
-/// How many of the first engines are kept for short calls.
+/// Number of engines, from the start of the shared order, reserved for short calls.
 pub fn short_call_engines(model: &EngineModel, engines: &[EngineState]) -> usize {
     let short: usize = engines
         .iter()
         .map(|engine| usize::from(engine.load.short))
         .sum();
-    let per_engine = (f64::from(model.slots) * SHORT_PART_OF_BATCH).max(1.0) as usize;
+    let per_engine = (f64::from(model.slots) * SHORT_BATCH_FRACTION).max(1.0) as usize;
     let wanted = short.div_ceil(per_engine) + SPARE_SHORT_ENGINES;
-    wanted.clamp(1, engines.len().saturating_sub(LONG_ENGINES).max(1))
+    wanted.clamp(1, engines.len().saturating_sub(MIN_LONG_ENGINES).max(1))
 }
 
 /// Plans a call.
 ///
-/// `None` if no engine can take it now, or too few are free to read it.
+/// Returns `None` if no engine can take the call now, or too few are free to prefill it.
 pub fn plan(
     pool: &EnginePool<'_>,
     prompt: &PromptSize,
@@ -219,7 +227,7 @@
     plan_with_short_engines(pool, short_engines, prompt, targets, rng)
 }
 
-/// Plans a call where the first `short_engines` engines are those kept for short calls.
+/// Plans a call with the first `short_engines` engines reserved for short calls.
 pub(crate) fn plan_with_short_engines(
     pool: &EnginePool<'_>,
     short_engines: usize,
@@ -237,64 +245,65 @@
     }
 }
 
-fn reading_ahead(engine: &EngineState) -> Duration {
-    let reading = Duration::from_millis(u64::from(engine.load.reading_ms));
-    let least = match engine.load.long_reads {
+/// Prefill work ahead of a new call. A long chunk that is overdue counts as not yet finished.
+fn pending_prefill(engine: &EngineState) -> Duration {
+    let prefill = Duration::from_millis(u64::from(engine.load.reading_ms));
+    let minimum = match engine.load.long_reads {
         0 => Duration::ZERO,
-        _ => LATE_PART,
+        _ => OVERDUE_CHUNK_REMAINDER,
     };
-    reading.max(least)
+    prefill.max(minimum)
 }
 
-/// What is left of the pass that plays now, on average.
-fn residual(model: &EngineModel, engine: &EngineState) -> Duration {
-    match engine.writers() {
+/// Expected remaining time of the current pass: half of it on average.
+fn pass_remainder(model: &EngineModel, engine: &EngineState) -> Duration {
+    match engine.active_streams() {
         0 => Duration::ZERO,
-        writers => model.pass_time(writers) / 2,
+        active_streams => model.pass_time(active_streams) / 2,
     }
 }
 
-/// Time until a call that is sent now can be read.
-fn wait(model: &EngineModel, engine: &EngineState) -> Duration {
-    residual(model, engine) + reading_ahead(engine)
+/// Time until prefill of a call that is sent now can start.
+fn time_to_start(model: &EngineModel, engine: &EngineState) -> Duration {
+    pass_remainder(model, engine) + pending_prefill(engine)
 }
 
 impl EngineState {
-    /// Streams that it writes.
-    pub(crate) fn writers(&self) -> u32 {
+    /// Streams that the engine decodes.
+    pub(crate) fn active_streams(&self) -> u32 {
         u32::from(self.load.short) + u32::from(self.load.long)
     }
 
-    /// Tokens that it has room for.
+    /// Usable free memory, in tokens.
     pub(crate) fn free_memory(&self, model: &EngineModel) -> u64 {
-        let usable = (model.memory as f64 * USABLE_MEMORY) as u64;
+        let usable = (model.memory as f64 * USABLE_MEMORY_FRACTION) as u64;
         usable.saturating_sub(u64::from(self.load.memory_k) * 1_000)
     }
 }
 
-/// Expected time until a short call's prompt has been read at an engine, with what it costs
-/// others added as time.
+/// Expected time until an engine has prefilled a short call's prompt, plus the cost to other calls
+/// expressed as time.
 fn short_cost(
     model: &EngineModel,
     engine: &EngineState,
     prompt: &PromptSize,
     is_short_engine: bool,
 ) -> Duration {
-    let writers = engine.writers();
-    let mut cost = wait(model, engine) + model.pass_time(writers + 1);
+    let active_streams = engine.active_streams();
+    let mut cost = time_to_start(model, engine) + model.pass_time(active_streams + 1);
     if !is_short_engine {
-        cost += FOREIGN_LANE;
+        cost += UNRESERVED_ENGINE_COST;
     }
-    if writers >= model.slots || engine.free_memory(model) < prompt.memory() {
-        cost += FULL_BATCH;
+    if active_streams >= model.slots || engine.free_memory(model) < prompt.memory() {
+        cost += FULL_BATCH_COST;
     }
     if !engine.is_local {
-        cost += OTHER_HALL;
+        cost += REMOTE_HALL_COST;
     }
     cost + match engine.standing {
         Standing::Open => Duration::ZERO,
-        Standing::Limited | Standing::Shedding => LIMITED,
-        Standing::Closed | Standing::BackOff | Standing::Leaving => CLOSED,
+        Standing::Limited | Standing::Shedding => LIMITED_COST,
+        Standing::Closed | Standing::BackOff | Standing::Leaving => CLOSED_COST,
     }
 }
 
@@ -313,45 +322,63 @@
     } = *pool;
     let prefill = model.prefill_time(prompt.tokens);
     let costs: Vec<Duration> = (engines.iter().enumerate())
-        .map(|(at, engine)| short_cost(model, engine, prompt, at < short_engines))
+        .map(|(index, engine)| short_cost(model, engine, prompt, index < short_engines))
         .collect();
     let mut order: Vec<usize> = (0..engines.len()).collect();
-    order.sort_by_key(|&at| costs[at]);
-    let most = costs[order[0]] + FOREIGN_LANE;
-    let good = |is_short_engine: bool| {
-        let good = |at: &usize| costs[*at] <= most && (*at < short_engines || !is_short_engine);
-        (0..engines.len()).filter(good).collect::<Vec<usize>>()
+    order.sort_by_key(|&index| costs[index]);
+    let max_cost = costs[order[0]] + UNRESERVED_ENGINE_COST;
+    let candidates = |only_short_engines: bool| {
+        let is_candidate = |index: &usize| {
+            costs[*index] <= max_cost && (*index < short_engines || !only_short_engines)
+        };
+        (0..engines.len())
+            .filter(is_candidate)
+            .collect::<Vec<usize>>()
     };
-    let lead = draw(&costs, good(true), boxes, rng)
-        .or_else(|| draw(&costs, good(false), boxes, rng))
+    let lead = cheapest_of_sample(&costs, candidates(true), boxes, rng)
+        .or_else(|| cheapest_of_sample(&costs, candidates(false), boxes, rng))
         .unwrap_or(order[0]);
-    order.retain(|&at| at != lead);
-    let helpers = parts_of(prefill, SHORT_PART_READ).min(MAX_HELPERS + 1) - 1;
-    if prefill > LONG_READ {
-        // Engines outside the lane read it; those in the lane, too, where the parts would
-        // otherwise make the streams there pause.
-        let beside_short = Bearable::new(model, targets.strictest_pause).beside_short;
-        let enough = parts_of(prefill, beside_short).min(MAX_HELPERS + 1) - 1;
-        let outside = order.iter().filter(|&&at| at >= short_engines).count();
-        let ahead = |at: usize| {
-            let engine = &engines[at];
-            (at < short_engines, reading_ahead(engine), engine.preference)
+    order.retain(|&index| index != lead);
+    let helpers = chunk_count(prefill, SHORT_TARGET_CHUNK).min(MAX_HELPERS + 1) - 1;
+    if prefill > MAX_SHORT_PREFILL {
+        // Engines outside the reserved ones prefill it. Reserved engines join where larger chunks
+        // would make their streams exceed the pause limit.
+        let with_short_streams =
+            ChunkLimits::new(model, targets.strictest_pause).with_short_streams;
+        let needed = chunk_count(prefill, with_short_streams).min(MAX_HELPERS + 1) - 1;
+        let outside = order
+            .iter()
+            .filter(|&&index| index >= short_engines)
+            .count();
+        let helper_key = |index: usize| {
+            let engine = &engines[index];
+            (
+                index < short_engines,
+                pending_prefill(engine),
+                engine.preference,
+            )
         };
-        order.sort_by_key(|&at| ahead(at));
-        order.truncate(outside.max(enough));
+        order.sort_by_key(|&index| helper_key(index));
+        order.truncate(outside.max(needed));
     } else {
-        // Helpers that are busy, or that no short call is meant for, would only delay it.
-        order.retain(|&at| at < short_engines && costs[at] <= costs[lead] + HELPER_DELAY);
+        // Busy engines and those not reserved for short calls would only delay the call.
+        order.retain(|&index| {
+            index < short_engines && costs[index] <= costs[lead] + MAX_HELPER_EXTRA_COST
+        });
     }
     order.truncate(helpers);
     order.insert(0, lead);
     let share = prefill / order.len() as u32;
-    let slowest = order.iter().map(|&at| costs[at]).max().unwrap_or_default();
-    let assignments = order.iter().enumerate().map(|(at, &engine)| Assignment {
+    let slowest = order
+        .iter()
+        .map(|&index| costs[index])
+        .max()
+        .unwrap_or_default();
+    let assignments = order.iter().enumerate().map(|(index, &engine)| Assignment {
         engine,
         prefill: share,
-        delay: residual(model, &engines[engine]),
-        memory: if at == 0 { prompt.memory() } else { 0 },
+        delay: pass_remainder(model, &engines[engine]),
+        memory: if index == 0 { prompt.memory() } else { 0 },
     });
     EnginePlan {
         assignments: assignments.collect(),
@@ -361,20 +388,20 @@
     }
 }
 
-/// The cheapest of those drawn.
+/// Chooses the cheapest engine of a random sample.
 ///
-/// The more boxes there are, the older is what each knows, and the fewer engines are drawn: else
-/// all of them would choose the same one.
-fn draw(
+/// With more boxes the load data of each is older, so the sample is smaller: otherwise all boxes
+/// would choose the same engine.
+fn cheapest_of_sample(
     costs: &[Duration],
     mut engines: Vec<usize>,
     boxes: usize,
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let drawn = (engines.len() * FRESH_BOXES).div_ceil(FRESH_BOXES + boxes);
+    let sample_size = (engines.len() * FRESH_BOXES).div_ceil(FRESH_BOXES + boxes);
     engines.shuffle(rng);
-    engines.truncate(drawn.max(2));
-    engines.into_iter().min_by_key(|&at| costs[at])
+    engines.truncate(sample_size.max(2));
+    engines.into_iter().min_by_key(|&index| costs[index])
 }
 
 fn plan_long(
@@ -385,94 +412,110 @@
 ) -> Option<EnginePlan> {
     let EnginePool { model, engines, .. } = *pool;
     let prefill = model.prefill_time(prompt.tokens);
-    let usable = (model.memory as f64 * USABLE_MEMORY) as u64;
+    let usable = (model.memory as f64 * USABLE_MEMORY_FRACTION) as u64;
     let reserve_memory = prompt.memory() > usable;
     let short_engines = short_engines.min(engines.len() - 1);
-    // With reservations the engine that leads is listed among the readers, too.
-    let all = (MAX_HELPERS + usize::from(!reserve_memory)).min(engines.len());
-    let is_huge = prefill / all as u32 > LONGEST_PART_ALONE;
-    let most = if is_huge {
-        all.min(engines.len().div_ceil(HUGE_SHARE))
+    // With reservations the engines' limit on helpers includes the leader.
+    let available = (MAX_HELPERS + usize::from(!reserve_memory)).min(engines.len());
+    let exceeds_all_engines = prefill / available as u32 > MAX_EXCLUSIVE_CHUNK;
+    let max_count = if exceeds_all_engines {
+        available.min(engines.len().div_ceil(HUGE_PROMPT_ENGINE_DIVISOR))
     } else {
-        all
+        available
     };
-    let longest = longest_part(targets.due_in).max(targets.late_chunk.unwrap_or_default());
-    let least = parts_of(prefill, longest)
+    let chunk_limit = deadline_chunk(targets.due_in).max(targets.late_chunk.unwrap_or_default());
+    let min_count = chunk_count(prefill, chunk_limit)
         .min(engines.len() - short_engines)
-        .min(most);
-    let group = PrefillSelector {
+        .min(max_count);
+    let selector = PrefillSelector {
         model,
         engines,
         prompt,
         short_engines,
         reserve_memory,
-        is_huge,
-        longest_alone: longest.max(LONGEST_PART_ALONE),
-        bearable: Bearable::new(model, targets.strictest_pause),
+        exceeds_all_engines,
+        exclusive_limit: chunk_limit.max(MAX_EXCLUSIVE_CHUNK),
+        chunk_limits: ChunkLimits::new(model, targets.strictest_pause),
     };
     let wanted = if targets.late_chunk.is_some() {
-        least
+        min_count
     } else if reserve_memory {
-        most
+        max_count
     } else {
-        let free = group.free() as f64 * share_of_free(pool.boxes);
-        parts_of(prefill, PART_READ)
+        let free = selector.free() as f64 * free_engine_fraction(pool.boxes);
+        chunk_count(prefill, TARGET_CHUNK)
             .min(free as usize)
-            .clamp(least, most)
+            .clamp(min_count, max_count)
     };
-    // As many as are wanted or fewer, then more and smaller parts, which the lane bears, too.
-    let mut counts = (least..=wanted).rev().chain(wanted + 1..=most);
-    let chosen = counts.find_map(|count| group.choose(count, prefill / count as u32))?;
-    Some(long_plan(&group, &chosen, prefill))
+    // Try the wanted number of engines, then fewer, then more: smaller chunks also fit on engines
+    // reserved for short calls.
+    let mut counts = (min_count..=wanted).rev().chain(wanted + 1..=max_count);
+    let chosen = counts.find_map(|count| selector.choose(count, prefill / count as u32))?;
+    Some(build_long_plan(&selector, &chosen, prefill))
 }
 
-fn long_plan(group: &PrefillSelector<'_>, chosen: &[usize], prefill: Duration) -> EnginePlan {
+fn build_long_plan(
+    selector: &PrefillSelector<'_>,
+    chosen: &[usize],
+    prefill: Duration,
+) -> EnginePlan {
     let PrefillSelector {
         model,
         engines,
         prompt,
         reserve_memory,
         ..
-    } = *group;
+    } = *selector;
     let share = prefill / chosen.len() as u32;
-    let before = chosen.iter().map(|&at| wait(model, &engines[at])).max();
-    let share_of_memory = prompt.memory() / chosen.len() as u64 + 1;
-    let assignments = chosen.iter().enumerate().map(|(at, &engine)| Assignment {
-        engine,
-        prefill: share,
-        delay: residual(model, &engines[engine]),
-        memory: match (reserve_memory, at) {
-            (true, _) => share_of_memory,
-            (false, 0) => prompt.memory(),
-            (false, _) => 0,
-        },
-    });
+    let start_delay = chosen
+        .iter()
+        .map(|&index| time_to_start(model, &engines[index]))
+        .max();
+    let memory_share = prompt.memory() / chosen.len() as u64 + 1;
+    let assignments = chosen
+        .iter()
+        .enumerate()
+        .map(|(index, &engine)| Assignment {
+            engine,
+            prefill: share,
+            delay: pass_remainder(model, &engines[engine]),
+            memory: match (reserve_memory, index) {
+                (true, _) => memory_share,
+                (false, 0) => prompt.memory(),
+                (false, _) => 0,
+            },
+        });
     EnginePlan {
         assignments: assignments.collect(),
         reserve_memory,
         long: true,
-        expected_first_event: before.unwrap_or_default() + share + model.pass_time(2),
+        expected_first_event: start_delay.unwrap_or_default() + share + model.pass_time(2),
     }
 }
 
-/// Longest part that a prompt is sent with; it waits until enough engines are free for that.
-fn longest_part(due_in: Duration) -> Duration {
+/// Maximum chunk of a prompt, by the time until its first event is due. The prompt waits until
+/// enough engines are free for it.
+fn deadline_chunk(due_in: Duration) -> Duration {
     match due_in {
-        // Late already, it goes when nothing else waits: it only has to be read at all.
-        Duration::ZERO => LONGEST_PART_ALONE,
+        // Already late: it starts only when nothing else waits, and chunk size no longer matters
+        // for its deadline.
+        Duration::ZERO => MAX_EXCLUSIVE_CHUNK,
         due_in => due_in
-            .mul_f64(READ_PART_OF_TIME)
-            .clamp(LONGEST_PART, LONGEST_PART_ALONE),
+            .mul_f64(PREFILL_TIME_FRACTION)
+            .clamp(BASE_MAX_CHUNK, MAX_EXCLUSIVE_CHUNK),
     }
 }
 
-/// The part of the free engines that one prompt may take.
+/// Fraction of the free engines that one prompt may take.
 ///
-/// The more boxes there are, the older is what each knows of the engines.
-fn share_of_free(boxes: usize) -> f64 {
-    (FRESH_BOXES as f64 / boxes.max(1) as f64).clamp(LEAST_SHARE_OF_FREE, 1.0)
+/// It shrinks with the number of boxes, since the load data of each is then older.
+fn free_engine_fraction(boxes: usize) -> f64 {
+    (FRESH_BOXES as f64 / boxes.max(1) as f64).clamp(MIN_FREE_ENGINE_FRACTION, 1.0)
 }
 
-fn parts_of(prefill: Duration, part: Duration) -> usize {
-    (prefill.as_secs_f64() / part.as_secs_f64()).ceil().max(1.0) as usize
+/// Number of chunks of at most this prefill time.
+fn chunk_count(prefill: Duration, chunk: Duration) -> usize {
+    (prefill.as_secs_f64() / chunk.as_secs_f64())
+        .ceil()
+        .max(1.0) as usize
 }
--- a/lib/src/relay/prefill_selector.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -1,8 +1,8 @@
-//! Which engines can read a long prompt together.
+//! Selection of the engines that prefill a long prompt in parallel.
 //!
-//! All parts of a prompt are even, so the engine that bears the least decides how small they
-//! must be. What an engine bears follows from the streams that it writes: they pause for as
-//! long as a part is read beside them.
+//! All chunks of a prompt have the same size, so the engine with the smallest limit determines it.
+//! The limit of an engine follows from the streams that it decodes: they pause while a chunk is
+//! prefilled in the same pass.
 
 use std::time::Duration;
 
@@ -11,134 +11,141 @@
 use crate::relay::engine_plan::EngineState;
 use crate::relay::standing::Standing;
 
-/// Pause from which a stream may be written where long parts are read: the longest part, the
-/// steps of a pass, and a second part that came with it.
-pub(crate) const LONG_PAUSE: Duration = Duration::from_millis(900);
-/// Longest part of a prompt that has time enough; it is read where nothing is written. Fewer
-/// engines need to be free at once for a large prompt so.
-pub(crate) const LONGEST_PART_ALONE: Duration = Duration::from_millis(2_500);
-/// Part of what short streams bear that one part of reading may take; the rest is for other
-/// calls' prompts that are read in the same pass.
-const READ_PART_OF_PAUSE: f64 = 0.75;
-/// Long streams that an engine writes at most while it still leads another.
-const MOST_LONG_STREAMS: u16 = 4;
+/// Pause limit from which a stream may be decoded on engines that prefill long chunks. It covers the
+/// longest chunk, the decode steps of a pass and a second chunk that arrived with the first.
+pub(crate) const LONG_STREAM_PAUSE: Duration = Duration::from_millis(900);
+/// Maximum chunk of a prompt with enough time, on engines that decode nothing. Large chunks let a
+/// large prompt start with fewer engines free at once.
+pub(crate) const MAX_EXCLUSIVE_CHUNK: Duration = Duration::from_millis(2_500);
+/// Fraction of the short streams' pause limit that one chunk may use; the rest is for chunks of
+/// other calls that are prefilled in the same pass.
+const CHUNK_PAUSE_FRACTION: f64 = 0.75;
+/// Number of long streams at which an engine leads no further long prompt.
+const MAX_LONG_STREAMS: u16 = 4;
 
-/// Longest part of reading beside which streams still pause well.
+/// Maximum prefill time of a chunk at which the streams on the same engine keep their pause limit.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Bearable {
-    /// Beside any number of the most urgent streams.
-    pub(crate) beside_short: Duration,
-    /// Beside streams of long prompts only.
-    beside_long: Duration,
+pub(crate) struct ChunkLimits {
+    /// Limit with any number of streams of the strictest service.
+    pub(crate) with_short_streams: Duration,
+    /// Limit with streams of long prompts only.
+    with_long_streams: Duration,
 }
 
-impl Bearable {
-    /// A pass with a full batch plays beside the part.
+impl ChunkLimits {
+    /// Derives the limits for a pass with a full batch of decoding streams.
     pub(crate) fn new(model: &EngineModel, strictest_pause: Option<Duration>) -> Self {
         let pass = model.pass_time(model.slots);
-        let short = strictest_pause.unwrap_or(LONG_PAUSE).saturating_sub(pass);
+        let short = strictest_pause
+            .unwrap_or(LONG_STREAM_PAUSE)
+            .saturating_sub(pass);
         Self {
-            beside_short: short.mul_f64(READ_PART_OF_PAUSE),
-            beside_long: LONG_PAUSE.saturating_sub(pass),
+            with_short_streams: short.mul_f64(CHUNK_PAUSE_FRACTION),
+            with_long_streams: LONG_STREAM_PAUSE.saturating_sub(pass),
         }
     }
 }
 
-/// Chooses engines that read a long prompt together.
+/// Selects the engines that prefill a long prompt in parallel.
 ///
-/// Each engine bears parts up to a length that depends on what it writes, which helps
-/// most where short calls fill the fleet.
+/// The chunk limit of each engine depends on its streams, so that engines with short calls can take
+/// small chunks. This matters most when short calls fill the fleet.
 pub(crate) struct PrefillSelector<'a> {
     pub(crate) model: &'a EngineModel,
-    /// All engines that may take work, in the order that all boxes share.
+    /// All engines that accept work, in the order that all boxes share.
     pub(crate) engines: &'a [EngineState],
     pub(crate) prompt: &'a PromptSize,
-    /// How many of the first engines are kept for short calls.
+    /// Number of engines, from the start of the list, reserved for short calls.
     pub(crate) short_engines: usize,
-    /// Whether no engine holds the prompt alone, so that its memory is set aside everywhere.
+    /// Whether the prompt exceeds the memory of one engine, so that memory is reserved on every
+    /// selected engine.
     pub(crate) reserve_memory: bool,
-    /// Whether all engines together can't read it in parts of [`LONGEST_PART_ALONE`].
-    pub(crate) is_huge: bool,
-    /// Longest part that an engine reads which writes nothing.
-    pub(crate) longest_alone: Duration,
-    /// What streams bear beside a part.
-    pub(crate) bearable: Bearable,
+    /// Whether all engines together can't prefill the prompt in chunks of [`MAX_EXCLUSIVE_CHUNK`].
+    pub(crate) exceeds_all_engines: bool,
+    /// Maximum chunk on an engine that decodes nothing.
+    pub(crate) exclusive_limit: Duration,
+    /// Maximum chunks on engines that decode streams.
+    pub(crate) chunk_limits: ChunkLimits,
 }
 
 impl PrefillSelector<'_> {
-    /// Longest part that an engine may read.
+    /// Maximum chunk that an engine may prefill.
     ///
-    /// Beside a single short stream it is as short as beside many: one that pauses loses more than a
-    /// longer part gains.
-    fn bears(&self, at: usize) -> Duration {
-        let load = &self.engines[at].load;
+    /// The limit with one short stream is the same as with many: exceeding one stream's pause limit
+    /// costs more than a longer chunk gains.
+    fn max_chunk(&self, index: usize) -> Duration {
+        let load = &self.engines[index].load;
         match (load.short, load.long) {
             _ if load.long_reads > 0 => Duration::ZERO,
-            _ if at < self.short_engines => self.bearable.beside_short,
-            (0, 0) if self.is_huge => Duration::MAX,
-            (0, 0) => self.longest_alone,
-            (0, _) => self.bearable.beside_long,
-            _ => self.bearable.beside_short,
+            _ if index < self.short_engines => self.chunk_limits.with_short_streams,
+            (0, 0) if self.exceeds_all_engines => Duration::MAX,
+            (0, 0) => self.exclusive_limit,
+            (0, _) => self.chunk_limits.with_long_streams,
+            _ => self.chunk_limits.with_short_streams,
         }
     }
 
-    /// Engines that read and write little enough for parts of any usual length.
+    /// Number of engines without a long prefill and without short streams, which accept chunks of
+    /// any usual size.
     pub(crate) fn free(&self) -> usize {
         let engines = 0..self.engines.len();
         engines
-            .filter(|&at| self.bears(at) > self.bearable.beside_short)
+            .filter(|&index| self.max_chunk(index) > self.chunk_limits.with_short_streams)
             .count()
     }
 
-    /// Whether it may hold the whole prompt and write its stream.
-    fn leads(&self, at: usize) -> bool {
-        let engine = &self.engines[at];
+    /// Whether the engine can hold the whole prompt and decode its stream.
+    fn can_lead(&self, index: usize) -> bool {
+        let engine = &self.engines[index];
         engine.free_memory(self.model) >= self.prompt.memory()
-            && engine.load.long < MOST_LONG_STREAMS
-            && engine.writers() < self.model.slots
+            && engine.load.long < MAX_LONG_STREAMS
+            && engine.active_streams() < self.model.slots
     }
 
-    /// Whether it has room for its share of a prompt that no engine holds alone, and takes the orders
-    /// that set it aside.
-    fn has_room(&self, at: usize, count: usize) -> bool {
+    /// Whether the engine has room for its share of a prompt that exceeds one engine's memory, and
+    /// accepts the call that reserves it.
+    fn has_room(&self, index: usize, count: usize) -> bool {
         let share = self.prompt.memory() / count as u64 + 1;
-        let engine = &self.engines[at];
+        let engine = &self.engines[index];
         engine.standing.takes_calls() && engine.free_memory(self.model) >= share
     }
 
-    /// The first that may lead; one that names a limit or sheds load only where no other one may.
-    fn lead_among(&self, able: &[usize]) -> Option<usize> {
+    /// Position of the first engine that can lead. Engines that state a limit are used only if no
+    /// open engine can lead, and those that shed load only if none of the others can.
+    fn find_lead(&self, able: &[usize]) -> Option<usize> {
         let first = |standing: Standing| {
-            let may_lead = |&at: &usize| self.engines[at].standing == standing && self.leads(at);
-            able.iter().position(may_lead)
+            let is_lead =
+                |&index: &usize| self.engines[index].standing == standing && self.can_lead(index);
+            able.iter().position(is_lead)
         };
         first(Standing::Open)
             .or_else(|| first(Standing::Limited))
             .or_else(|| first(Standing::Shedding))
     }
 
-    /// So many engines that can read parts of this length; the one that leads is first.
-    pub(crate) fn choose(&self, count: usize, part: Duration) -> Option<Vec<usize>> {
-        let is_able = |at: &usize| {
-            self.bears(*at) >= part && (!self.reserve_memory || self.has_room(*at, count))
+    /// Selects `count` engines that can prefill chunks of this size; the first is the leader.
+    pub(crate) fn choose(&self, count: usize, chunk: Duration) -> Option<Vec<usize>> {
+        let is_able = |index: &usize| {
+            self.max_chunk(*index) >= chunk
+                && (!self.reserve_memory || self.has_room(*index, count))
         };
         let mut able: Vec<usize> = (0..self.engines.len()).filter(is_able).collect();
         if able.len() < count {
             return None;
         }
-        able.sort_by_key(|&at| {
-            let engine = &self.engines[at];
-            let writes_short = self.bears(at) <= self.bearable.beside_short;
-            let is_ordered = self.reserve_memory && engine.standing != Standing::Open;
+        able.sort_by_key(|&index| {
+            let engine = &self.engines[index];
+            let decodes_short = self.max_chunk(index) <= self.chunk_limits.with_short_streams;
+            let has_call_limit = self.reserve_memory && engine.standing != Standing::Open;
             (
-                is_ordered,
-                writes_short,
+                has_call_limit,
+                decodes_short,
                 engine.load.long,
                 engine.preference,
             )
         });
         if !self.reserve_memory {
-            let lead = self.lead_among(&able)?;
+            let lead = self.find_lead(&able)?;
             able[..=lead].rotate_right(1);
         }
         able.truncate(count);
