--- a/lib/src/relay/long_prompt_queue.rs
+++ b/lib/src/relay/long_prompt_queue.rs
@@ -1,19 +1,19 @@
-//! Long prompts that wait at a box until engines can read them soon.
+//! Queue of the long prompts that wait at a box until engines can prefill them soon.
 //!
-//! Engines are sent little more than they can read at once, so the order is still open here.
-//! Those that can be on time go first, the shortest reading before longer: most prompts are
-//! on time so. Prompts whose reading takes even all engines that may read one a good part of their
-//! time go by lot: else the largest would always be passed, and never served where there is more to
-//! read than engines can. The larger one is, the better is its lot, since it can start less often. One that
-//! will be late whoever reads it goes when nothing else waits, and is given up once no engines could answer it
-//! in time. Where engines are few a large one is nearly always late when others wait: there it keeps its place,
-//! and is read by few engines in longer parts.
+//! Engines are sent little more than they can prefill at once, so that the order of waiting prompts
+//! stays open here. Prompts that can be on time go first, the shortest prefill before longer ones,
+//! which puts most prompts on time. Large prompts, whose prefill takes a good part of their time
+//! objective even on as many engines as one prompt may use, go in random order: with
+//! shortest-first, the largest would always be overtaken and never served under overload. The
+//! random rank favours larger prompts, since they can start less often. A prompt that will be late
+//! on any engines goes when nothing else waits, and expires once no engines could answer it in
+//! time. Where engines are few, a large prompt is nearly always late when others wait. There it
+//! keeps its rank and is prefilled on few engines in longer chunks.
 //!
-//! The order holds over all boxes: each tells the others which of its prompts comes first, and
-//! a prompt waits while another box has one that goes before it. Without that, all boxes see
-//! the same engines turn free and take them in the same moment. Nothing depends on it for
-//! correctness: what a box tells lapses soon, and a prompt that could be read for a while
-//! stops giving way.
+//! The order applies across all boxes. Each box announces its first prompt, and a prompt waits
+//! while another box has one ahead of it. Otherwise all boxes would see the same engines become
+//! free and use them at the same moment. Correctness doesn't depend on it: announcements expire
+//! soon, and a prompt that could have started for some time stops yielding.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,114 +25,119 @@
 use crate::relay::engine_plan::MAX_HELPERS;
 use crate::time::Time;
 
-/// How often a waiting long prompt looks whether engines can read it; a part takes longer.
+/// Interval at which a waiting long prompt checks for free engines; shorter than any chunk.
 pub const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(8);
-/// Pause after memory was not set aside everywhere; each order has a price, and a stream that
-/// holds memory ends within about a second.
+/// Delay before a retry after a failed memory reservation. Each reservation call has a cost, and a
+/// stream that holds memory ends within about a second.
 pub const RESERVATION_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Engines that read one prompt at most.
-const MOST_READERS: u32 = MAX_HELPERS as u32 + 1;
-/// Part of its objective that reading takes all engines that may read a prompt, from which on it is large:
-/// large ones go by lot. First come, first served would make all of them late in turn.
-const LARGE_PART: f64 = 0.07;
-/// The same where engines are few: one takes most of them and holds up all others.
-const LARGE_PART_OF_FEW: f64 = 0.1;
-/// Engines beneath which they are few: one group of readers is more than half of them.
-const FEW_ENGINES: usize = 2 * MOST_READERS as usize;
-/// Power of a large prompt's reading by which its lot is divided.
-const LOT_POWER: f64 = 0.6;
-/// Longest part of a large prompt that is late and keeps its place: few engines need to be free at once.
-const LATE_PART: Duration = Duration::from_millis(3_500);
-/// Time that passes and writing need at least, beside the reading.
-const LEAST_RUN: Duration = Duration::from_secs(2);
-
-/// How long another box's first prompt counts: three times as long as a box that has one waiting
-/// is silent.
-const HEAD_LIFETIME: Duration = Duration::from_millis(450);
-/// How long a prompt gives way to other boxes' while engines could read it.
+/// Maximum number of engines that prefill one prompt.
+const MAX_PREFILL_ENGINES: u32 = MAX_HELPERS as u32 + 1;
+/// A prompt is large if its prefill on [`MAX_PREFILL_ENGINES`] engines takes at least this fraction
+/// of its objective. Large prompts go in random order: first come, first served would make all of
+/// them late in turn.
+const LARGE_FRACTION: f64 = 0.07;
+/// The same fraction where engines are few: a large prompt takes most of them and delays all
+/// others.
+const LARGE_FRACTION_FEW_ENGINES: f64 = 0.1;
+/// Number of engines below which they are few: one prompt may use more than half of them.
+const FEW_ENGINES: usize = 2 * MAX_PREFILL_ENGINES as usize;
+/// Exponent of a large prompt's relative prefill time, by which its random rank is divided.
+const RANK_EXPONENT: f64 = 0.6;
+/// Maximum chunk of a large prompt that is late and keeps its rank, so that few engines need to be
+/// free at once.
+const MAX_LATE_CHUNK: Duration = Duration::from_millis(3_500);
+/// Minimum time for passes and decoding, in addition to the prefill.
+const MIN_RUN_TIME: Duration = Duration::from_secs(2);
+
+/// Lifetime of another box's announcement: three times the longest interval at which a box with a
+/// waiting prompt sends one.
+const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(450);
+/// Maximum time that a prompt yields to another box while engines could prefill it.
 ///
-/// Whoever is first may need more engines than are free, and what turns free gathers for it only while
-/// others give way: else the next ones take it, one by one. Bounded, since its box may be unable to start it for
-/// reasons that others don't see; a dead box's prompt lapses before.
-const GIVES_WAY: Duration = Duration::from_secs(1);
-/// Least time between a prompt's arrival and its start, so that other boxes hear of it first: a
-/// datagram takes about a millisecond between halls, and up to ten where processors are slow.
-const ANNOUNCED: Duration = Duration::from_millis(8);
-
-/// Identifies a waiting prompt.
+/// The first prompt may need more engines than are free. Free engines accumulate for it only while
+/// others yield; otherwise smaller prompts take them one by one. The time is bounded because the
+/// box of the first prompt may be unable to start it for reasons that others don't see. The
+/// announcement of a failed box expires earlier.
+const MAX_YIELD: Duration = Duration::from_secs(1);
+/// Minimum time between a prompt's arrival and its start, so that other boxes learn of it first. A
+/// datagram between halls takes about 1 ms, and up to 10 ms where processors are slow.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(8);
+
+/// Identifies a prompt in the queue of this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// A prompt that waits.
+/// A prompt that waits for engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueuedPrompt {
-    /// Reading, by one engine alone.
+    /// Prefill time on a single engine.
     pub prefill: Duration,
-    /// When its first event is due to be on time.
+    /// Time at which its first event is due.
     pub due: Time,
-    /// How long after its caller first asked that is.
+    /// Time from the caller's first request until the first event is due.
     pub objective: Duration,
-    /// Drawn for it: the order among large prompts, the same for all boxes.
+    /// Random rank among large prompts, valid at all boxes; smaller goes first.
     pub random_rank: u16,
-    /// Engines of its service.
+    /// Number of engines of its service.
     pub engines: usize,
-    /// When it came.
+    /// Arrival time at this box.
     pub arrived: Time,
-    /// When its answer must be whole.
+    /// Time by which its answer must be complete.
     pub deadline: Time,
 }
 
 impl QueuedPrompt {
-    /// When it is given up: from then on no engines could answer it in its caller's time.
-    /// Refused before, its caller would come back to the same queue.
+    /// Time from which no engines could answer the prompt before its deadline.
+    ///
+    /// It isn't rejected earlier, since its caller would retry into the same queue.
     pub fn expires_at(&self) -> Time {
-        let needs = LEAST_RUN + self.prefill / MOST_READERS;
-        self.arrived + self.deadline.since(self.arrived).saturating_sub(needs)
+        let run_time = MIN_RUN_TIME + self.prefill / MAX_PREFILL_ENGINES;
+        self.arrived + self.deadline.since(self.arrived).saturating_sub(run_time)
     }
 
-    /// Whether its first event is late even if all engines that may read it begin now.
+    /// Whether the first event is late even if the maximum number of engines starts now.
     ///
-    /// Then no time is spent on a prompt that is late all the same, while others still are not.
+    /// Such a prompt goes after those that can still be on time.
     fn will_be_late(&self, now: Time) -> bool {
-        now + self.prefill / MOST_READERS > self.due
+        now + self.prefill / MAX_PREFILL_ENGINES > self.due
     }
 
-    fn engines_are_few(&self) -> bool {
+    fn has_few_engines(&self) -> bool {
         self.engines < FEW_ENGINES
     }
 
-    /// Reading from which it counts as large.
-    fn large_read(&self) -> Duration {
-        let part = if self.engines_are_few() {
-            LARGE_PART_OF_FEW
+    /// Prefill time on a single engine from which the prompt is large.
+    fn large_prefill(&self) -> Duration {
+        let fraction = if self.has_few_engines() {
+            LARGE_FRACTION_FEW_ENGINES
         } else {
-            LARGE_PART
+            LARGE_FRACTION
         };
-        self.objective.mul_f64(part) * MOST_READERS
+        self.objective.mul_f64(fraction) * MAX_PREFILL_ENGINES
     }
 
-    /// Whether it keeps its place among large prompts though it will be late.
-    fn keeps_place(&self) -> bool {
-        self.engines_are_few() && self.prefill >= self.large_read()
+    /// Whether the prompt keeps its rank among large prompts although it will be late.
+    fn keeps_rank(&self) -> bool {
+        self.has_few_engines() && self.prefill >= self.large_prefill()
     }
 
-    /// Longest part that it may be read in because it will be late all the same, and has its turn;
-    /// none where it is read as others are.
+    /// Maximum chunk of a prompt that will be late in any case and keeps its rank; `None` if the
+    /// usual limits apply.
     fn late_chunk(&self, now: Time) -> Option<Duration> {
-        if !self.will_be_late(now) || !self.keeps_place() {
+        if !self.will_be_late(now) || !self.keeps_rank() {
             return None;
         }
-        let time_to_read = now.until(self.deadline).saturating_sub(2 * LEAST_RUN);
-        Some(LATE_PART.min(time_to_read)).filter(|part| !part.is_zero())
+        let time_to_prefill = now.until(self.deadline).saturating_sub(2 * MIN_RUN_TIME);
+        Some(MAX_LATE_CHUNK.min(time_to_prefill)).filter(|chunk| !chunk.is_zero())
     }
 
     fn head(&self, now: Time) -> QueueHead {
-        let is_late = self.will_be_late(now) && !self.keeps_place();
-        let large = self.large_read();
+        let is_late = self.will_be_late(now) && !self.keeps_rank();
+        let large = self.large_prefill();
         let (prefill, random_rank) = match self.prefill {
-            // Late ones are no longer worth much: what takes engines the least goes first.
+            // Late prompts have lost most of their value: the shortest prefill goes first.
             prefill if is_late || prefill < large => (prefill, 0),
-            prefill => (large, weighted_lot(self.random_rank, prefill, large)),
+            prefill => (large, weighted_rank(self.random_rank, prefill, large)),
         };
         QueueHead {
             is_late,
@@ -142,153 +147,166 @@
     }
 }
 
-/// The lot of a large prompt: better, so smaller, the more reading it takes.
-fn weighted_lot(random_rank: u16, prefill: Duration, large: Duration) -> u16 {
-    let times = prefill.as_secs_f64() / large.as_secs_f64().max(f64::MIN_POSITIVE);
-    (f64::from(random_rank) / times.powf(LOT_POWER)) as u16
+/// Random rank of a large prompt, reduced (so earlier) with its prefill time.
+fn weighted_rank(random_rank: u16, prefill: Duration, large: Duration) -> u16 {
+    let ratio = prefill.as_secs_f64() / large.as_secs_f64().max(f64::MIN_POSITIVE);
+    (f64::from(random_rank) / ratio.powf(RANK_EXPONENT)) as u16
 }
 
-/// What a box tells of the prompt that it would send next; the smallest goes first.
+/// Announcement of the prompt that a box would start next. Prompts start in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct QueueHead {
-    /// Whether its first event will be late whoever reads it.
+    /// Whether its first event will be late on any engines.
     pub is_late: bool,
-    /// Reading, in milliseconds of one engine alone; the same for all large prompts of an objective.
+    /// Prefill time on a single engine, in milliseconds; the same for all large prompts with
+    /// the same objective.
     pub prefill_ms: u32,
-    /// The order among those.
+    /// Rank among large prompts; 0 where only the prefill time decides.
     pub random_rank: u16,
 }
 
-/// What a waiting prompt met when it looked for its turn; tells whether the order or the engines
-/// kept it.
+/// Unsuccessful start attempts of a waiting prompt, by cause: the order or a lack of engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BlockedPolls {
-    /// Another prompt went first, here or at another box.
+    /// Attempts at which another prompt was ahead, at this or another box.
     pub not_first: u32,
-    /// It was first, and too few engines could read it.
+    /// Attempts at which it was first but too few engines could prefill it.
     pub too_few_engines: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Row {
+struct Entry {
     ticket: Ticket,
-    waiting: QueuedPrompt,
-    since: Time,
-    /// Since when engines could read it while it gives way to another box's.
-    gives_way_since: Option<Time>,
+    prompt: QueuedPrompt,
+    enqueued: Time,
+    /// Time since which engines could prefill it while it yields to another box.
+    yielding_since: Option<Time>,
     blocked_polls: BlockedPolls,
 }
 
-/// Whether a prompt may be sent now, if engines can read it.
+/// Whether a prompt may start now, provided engines can prefill it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Turn {
-    /// Another prompt of this box goes first, or other boxes have not heard of this one.
+    /// Another prompt of this box is ahead, or other boxes may not know of this one yet.
     Blocked,
-    /// Another box has one that goes first: it is sent only if that has lasted too long.
+    /// Another box has a prompt ahead of it; it starts only after it has yielded for
+    /// a bounded time.
     Yields,
-    /// It is first.
+    /// The prompt is first at all boxes.
     First,
 }
 
-/// The waiting prompts of one box, and the first ones of the others.
+/// The waiting prompts of one box, and the announcements of other boxes and halls.
 #[derive(Debug, Default)]
 pub struct LongPromptQueue {
-    next: u64,
-    rows: Vec<Row>,
-    others: HashMap<String, ToldHead>,
-    /// The first ones of other halls, where those are told of as a whole.
-    halls: HashMap<String, ToldHead>,
+    next_ticket: u64,
+    entries: Vec<Entry>,
+    /// Announcements of other boxes.
+    boxes: HashMap<String, Announcement>,
+    /// Announcements of other halls, where halls are cells and announce one prompt each.
+    halls: HashMap<String, Announcement>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct ToldHead {
+struct Announcement {
     head: QueueHead,
     at: Time,
 }
 
-impl ToldHead {
-    fn lives(&self, now: Time) -> bool {
-        now.since(self.at) < HEAD_LIFETIME
+impl Announcement {
+    fn is_fresh(&self, now: Time) -> bool {
+        now.since(self.at) < ANNOUNCEMENT_LIFETIME
     }
 }
 
-fn take(from: &mut HashMap<String, ToldHead>, name: &str, head: Option<QueueHead>, at: Time) {
+fn record(
+    announcements: &mut HashMap<String, Announcement>,
+    name: &str,
+    head: Option<QueueHead>,
+    at: Time,
+) {
     match head {
         Some(head) => {
-            from.insert(name.to_owned(), ToldHead { head, at });
+            announcements.insert(name.to_owned(), Announcement { head, at });
         }
         None => {
-            from.remove(name);
+            announcements.remove(name);
         }
     }
 }
 
 impl LongPromptQueue {
-    /// Lets a prompt wait.
-    pub fn push(&mut self, now: Time, waiting: QueuedPrompt) -> Ticket {
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        self.rows.push(Row {
+    /// Adds a prompt.
+    pub fn push(&mut self, now: Time, prompt: QueuedPrompt) -> Ticket {
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
+        self.entries.push(Entry {
             ticket,
-            waiting,
-            since: now,
-            gives_way_since: None,
+            prompt,
+            enqueued: now,
+            yielding_since: None,
             blocked_polls: BlockedPolls::default(),
         });
         ticket
     }
 
-    /// Takes a prompt out.
+    /// Removes a prompt; does nothing if it isn't queued.
     pub fn remove(&mut self, ticket: Ticket) {
-        self.rows.retain(|row| row.ticket != ticket);
+        self.entries.retain(|entry| entry.ticket != ticket);
     }
 
-    /// The prompt that goes first here, for the other boxes.
+    /// The first prompt of this box, to announce to other boxes.
     pub fn head(&self, now: Time) -> Option<QueueHead> {
-        self.rows.iter().map(|row| row.waiting.head(now)).min()
+        self.entries
+            .iter()
+            .map(|entry| entry.prompt.head(now))
+            .min()
     }
 
-    /// The first of the prompts that wait in this box's hall, for the other halls.
+    /// The first prompt of all boxes of this hall, to announce to other halls.
     pub fn hall_head(&self, now: Time) -> Option<QueueHead> {
-        let live = self.others.values().filter(|told| told.lives(now));
-        let others = live.map(|told| told.head);
+        let fresh = self
+            .boxes
+            .values()
+            .filter(|announcement| announcement.is_fresh(now));
+        let others = fresh.map(|announcement| announcement.head);
         others.chain(self.head(now)).min()
     }
 
-    /// Takes what another box told.
+    /// Records the announcement of another box; `None` if no prompt waits there.
     pub fn record_box_head(&mut self, now: Time, from: &str, head: Option<QueueHead>) {
-        take(&mut self.others, from, head, now);
+        record(&mut self.boxes, from, head, now);
     }
 
-    /// Takes the first of another hall's prompts.
+    /// Records the announcement of another hall; `None` if no prompt waits there.
     pub fn record_hall_head(&mut self, now: Time, hall: &HallName, head: Option<QueueHead>) {
-        take(&mut self.halls, hall.as_str(), head, now);
+        record(&mut self.halls, hall.as_str(), head, now);
     }
 
-    /// Whose turn it is; `own` is this box's name, which decides between equals.
+    /// Whether a prompt may start; `own` is this box's name, which breaks ties between boxes.
     pub fn turn(&self, now: Time, ticket: Ticket, own: &str) -> Turn {
         let first = self
-            .rows
+            .entries
             .iter()
-            .min_by_key(|row| (row.waiting.head(now), row.ticket));
-        let Some(first) = first.filter(|row| row.ticket == ticket) else {
+            .min_by_key(|entry| (entry.prompt.head(now), entry.ticket));
+        let Some(first) = first.filter(|entry| entry.ticket == ticket) else {
             return Turn::Blocked;
         };
-        if now.since(first.since) < ANNOUNCED {
+        if now.since(first.enqueued) < ANNOUNCEMENT_DELAY {
             return Turn::Blocked;
         }
-        let head = first.waiting.head(now);
-        let goes_before = |(name, told): (&String, &ToldHead)| {
-            told.lives(now) && (told.head, name.as_str()) < (head, own)
+        let head = first.prompt.head(now);
+        let is_ahead = |(name, announcement): (&String, &Announcement)| {
+            announcement.is_fresh(now) && (announcement.head, name.as_str()) < (head, own)
         };
-        if self.others.iter().chain(&self.halls).any(goes_before) {
+        if self.boxes.iter().chain(&self.halls).any(is_ahead) {
             Turn::Yields
         } else {
             Turn::First
         }
     }
 
-    /// Takes a prompt's turn, if it is its turn and `plan` finds engines that can read it.
+    /// Returns a plan if the prompt may start and `plan` finds engines; otherwise counts the cause.
     pub fn try_start<P>(
         &mut self,
         now: Time,
@@ -302,53 +320,54 @@
             Turn::First => plan(),
             Turn::Yields => {
                 let planned = plan();
-                let long_enough = self.yielded_long_enough(now, ticket, planned.is_some());
-                planned.filter(|_| long_enough)
+                let yielded_enough = self.yielded_long_enough(now, ticket, planned.is_some());
+                planned.filter(|_| yielded_enough)
             }
         };
-        if let Some(row) = self.rows.iter_mut().find(|row| row.ticket == ticket) {
-            row.blocked_polls.not_first += u32::from(turn != Turn::First);
-            row.blocked_polls.too_few_engines +=
+        if let Some(entry) = self.entries.iter_mut().find(|entry| entry.ticket == ticket) {
+            entry.blocked_polls.not_first += u32::from(turn != Turn::First);
+            entry.blocked_polls.too_few_engines +=
                 u32::from(turn == Turn::First && planned.is_none());
         }
         planned
     }
 
-    /// Longest part that a waiting prompt may be read in because it will be late all the same, while
-    /// others wait; none where it is read as others are.
+    /// Maximum chunk of a prompt that will be late in any case while others wait; `None` if the
+    /// usual limits apply.
     pub fn late_chunk(&self, now: Time, ticket: Ticket) -> Option<Duration> {
-        let mut told = self.others.values().chain(self.halls.values());
-        let others_wait = self.rows.len() > 1 || told.any(|told| told.lives(now));
-        let row = self.rows.iter().find(|row| row.ticket == ticket)?;
-        row.waiting.late_chunk(now).filter(|_| others_wait)
+        let mut announcements = self.boxes.values().chain(self.halls.values());
+        let others_wait =
+            self.entries.len() > 1 || announcements.any(|announcement| announcement.is_fresh(now));
+        let entry = self.entries.iter().find(|entry| entry.ticket == ticket)?;
+        entry.prompt.late_chunk(now).filter(|_| others_wait)
     }
 
-    /// What a waiting prompt met so far.
+    /// Unsuccessful start attempts of a prompt so far.
     pub fn blocked_polls(&self, ticket: Ticket) -> BlockedPolls {
-        let row = self.rows.iter().find(|row| row.ticket == ticket);
-        row.map(|row| row.blocked_polls).unwrap_or_default()
+        let entry = self.entries.iter().find(|entry| entry.ticket == ticket);
+        entry.map(|entry| entry.blocked_polls).unwrap_or_default()
     }
 
-    /// Records whether engines could read a prompt that gives way; true once that has lasted so
-    /// long that it is sent all the same.
+    /// Records whether engines could prefill a yielding prompt. Returns true once it has
+    /// been able to start for the maximum yielding time, after which it starts.
     pub fn yielded_long_enough(&mut self, now: Time, ticket: Ticket, could_start: bool) -> bool {
-        let Some(row) = self.rows.iter_mut().find(|row| row.ticket == ticket) else {
+        let Some(entry) = self.entries.iter_mut().find(|entry| entry.ticket == ticket) else {
             return false;
         };
-        let since = *row.gives_way_since.get_or_insert(now);
+        let since = *entry.yielding_since.get_or_insert(now);
         if !could_start {
-            row.gives_way_since = None;
+            entry.yielding_since = None;
         }
-        could_start && now.since(since) >= GIVES_WAY
+        could_start && now.since(since) >= MAX_YIELD
     }
 
-    /// Prompts that wait.
+    /// Number of waiting prompts.
     pub const fn len(&self) -> usize {
-        self.rows.len()
+        self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Whether no prompt waits.
     pub const fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.entries.is_empty()
     }
 }
