--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -1,4 +1,4 @@
-//! Where a generation runs.
+//! Placement of generations on engines.
 
 use std::time::Duration;
 
@@ -25,18 +25,18 @@
     per_million_pairs_ms: 0.184,
     steps_per_pass: 51,
 };
-/// So little that parts are cut as small as can be waited for.
+/// Short enough that the smallest maximum chunk applies.
 const DUE_IN: Duration = Duration::from_millis(500);
-const PATIENT: Option<Duration> = Some(Duration::from_secs(1));
-const SHORT: Option<Duration> = Some(Duration::from_millis(250));
-const MIDDLE: Option<Duration> = Some(Duration::from_millis(600));
+const LONG_PAUSE: Option<Duration> = Some(Duration::from_secs(1));
+const SHORT_PAUSE: Option<Duration> = Some(Duration::from_millis(250));
+const MEDIUM_PAUSE: Option<Duration> = Some(Duration::from_millis(600));
 
-fn idle(count: usize) -> Vec<EngineState> {
+fn idle_engines(count: usize) -> Vec<EngineState> {
     (0..count)
-        .map(|at| EngineState {
+        .map(|index| EngineState {
             load: EngineUse::default(),
             is_local: true,
-            preference: at as u32,
+            preference: index as u32,
             standing: Standing::Open,
         })
         .collect()
@@ -49,12 +49,12 @@
     }
 }
 
-/// Beside streams that bear pauses of 250 ms.
+/// Targets for engines whose strictest stream has a pause limit of 250 ms.
 const fn targets(due_in: Duration, pause: Option<Duration>) -> LatencyTargets {
     LatencyTargets {
         due_in,
         pause,
-        strictest_pause: SHORT,
+        strictest_pause: SHORT_PAUSE,
         late_chunk: None,
     }
 }
@@ -82,31 +82,34 @@
 }
 
 fn plan_due(engines: &[EngineState], tokens: u64, due_in: Duration) -> Option<EnginePlan> {
-    plan_with(engines, tokens, targets(due_in, PATIENT), 6)
+    plan_with(engines, tokens, targets(due_in, LONG_PAUSE), 6)
 }
 
 fn engines_of(plan: &EnginePlan) -> Vec<usize> {
-    plan.assignments.iter().map(|part| part.engine).collect()
+    plan.assignments
+        .iter()
+        .map(|assignment| assignment.engine)
+        .collect()
 }
 
 #[test]
-fn short_calls_stay_on_the_first_engines() {
-    let mut engines = idle(18);
+fn short_calls_run_on_the_first_engines() {
+    let mut engines = idle_engines(18);
     engines[0].load.short = 12;
 
-    let plan = plan(&engines, 5_000, SHORT).expect("there is room");
+    let plan = plan(&engines, 5_000, SHORT_PAUSE).expect("there is room");
 
     assert!(!plan.long);
     assert_eq!(
         engines_of(&plan),
         [1],
-        "the second is the spare one, and it is idle"
+        "the second engine is the spare one and idle"
     );
 }
 
 #[test]
-fn the_lane_grows_with_the_short_calls_in_flight() {
-    let mut engines = idle(18);
+fn reserved_engines_grow_with_the_short_calls_in_flight() {
+    let mut engines = idle_engines(18);
     assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 1);
 
     engines[3].load.short = 100;
@@ -114,10 +117,10 @@
     assert_eq!(engine_plan::short_call_engines(&MODEL, &engines), 10);
 }
 
-/// Engines of the grown fleets hold 12 calls at once, not 16.
+/// Engines of large fleets decode 12 streams at once, not 16.
 #[test]
-fn smaller_batches_make_a_wider_lane() {
-    let mut engines = idle(18);
+fn smaller_batches_reserve_more_engines() {
+    let mut engines = idle_engines(18);
     engines[3].load.short = 72;
     let small = EngineModel { slots: 12, ..MODEL };
 
@@ -126,8 +129,8 @@
 }
 
 #[test]
-fn a_long_prompt_takes_free_engines_outside_the_lane_in_parts() {
-    let plan = plan(&idle(18), 154_000, PATIENT).expect("all are free");
+fn a_long_prompt_is_split_over_free_unreserved_engines() {
+    let plan = plan(&idle_engines(18), 154_000, LONG_PAUSE).expect("all engines are idle");
 
     assert!(plan.long && !plan.reserve_memory);
     assert!(
@@ -139,53 +142,54 @@
     assert!(
         plan.assignments
             .iter()
-            .all(|part| part.prefill <= Duration::from_millis(320))
+            .all(|assignment| assignment.prefill <= Duration::from_millis(320))
     );
     assert_eq!(plan.assignments[0].memory, prompt(154_000).memory());
 }
 
 #[test]
-fn an_engine_reads_for_one_long_prompt_at_a_time() {
-    let mut engines = idle(18);
+fn an_engine_prefills_one_long_prompt_at_a_time() {
+    let mut engines = idle_engines(18);
     engines[5].load.long_reads = 1;
 
-    let plan = plan(&engines, 154_000, PATIENT).expect("others are free");
+    let plan = plan(&engines, 154_000, LONG_PAUSE).expect("other engines are free");
 
     assert!(!engines_of(&plan).contains(&5));
 }
 
-/// 17 engines would read it in parts of 620 ms; a short stream there bears 250 ms.
+/// 17 engines would prefill the prompt in chunks of 620 ms; a short stream there has a limit of
+/// 250 ms.
 #[test]
-fn a_single_short_stream_is_not_made_to_pause_by_a_long_part() {
-    let mut engines = idle(18);
+fn a_long_chunk_does_not_pause_a_single_short_stream() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short = 1;
     }
 
-    assert_eq!(plan(&engines, 310_000, PATIENT), None);
+    assert_eq!(plan(&engines, 310_000, LONG_PAUSE), None);
     assert!(
-        plan(&engines, 100_000, PATIENT).is_some(),
-        "its parts are of 90 ms"
+        plan(&engines, 100_000, LONG_PAUSE).is_some(),
+        "its chunks take 90 ms"
     );
 }
 
 #[test]
-fn a_prompt_waits_where_too_few_engines_are_free() {
-    let mut engines = idle(18);
+fn a_prompt_is_not_planned_on_too_few_free_engines() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines[3..] {
         engine.load.long_reads = 1;
     }
 
-    assert_eq!(plan(&engines, 154_000, PATIENT), None);
+    assert_eq!(plan(&engines, 154_000, LONG_PAUSE), None);
     assert!(
-        plan(&engines, 60_000, PATIENT).is_some(),
-        "a smaller one needs fewer"
+        plan(&engines, 60_000, LONG_PAUSE).is_some(),
+        "a smaller prompt needs fewer engines"
     );
 }
 
 #[test]
-fn large_parts_stay_away_from_long_streams() {
-    let mut engines = idle(18);
+fn large_chunks_avoid_engines_with_long_streams() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines[4..] {
         engine.load.long = 1;
     }
@@ -193,54 +197,59 @@
         engine.load.long_reads = 1;
     }
 
-    let small = plan(&engines, 100_000, PATIENT).expect("parts of 200 ms");
+    let small = plan(&engines, 100_000, LONG_PAUSE).expect("chunks of 200 ms fit");
 
-    assert!(small.assignments.iter().all(|part| part.engine < 10));
+    assert!(
+        small
+            .assignments
+            .iter()
+            .all(|assignment| assignment.engine < 10)
+    );
     assert_eq!(
-        plan(&engines, 310_000, PATIENT),
+        plan(&engines, 310_000, LONG_PAUSE),
         None,
-        "nine engines, six of which write, read parts of 1.2 s"
+        "nine engines, six of which decode, would prefill chunks of 1.2 s"
     );
 }
 
 #[test]
-fn a_large_prompt_takes_all_engines_that_are_free() {
-    let mut engines = idle(18);
+fn a_large_prompt_uses_all_free_engines() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines[11..] {
         engine.load.long_reads = 1;
     }
 
-    let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("ten are free");
+    let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("ten engines are free");
 
     assert_eq!(plan.assignments.len(), 10);
 }
 
 #[test]
-fn a_large_prompt_leaves_some_free_engines_where_boxes_are_many() {
-    let mut engines = idle(18);
+fn a_large_prompt_leaves_engines_free_when_there_are_many_boxes() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines[11..] {
         engine.load.long_reads = 1;
     }
-    let targets = targets(Duration::from_secs(3), PATIENT);
+    let targets = targets(Duration::from_secs(3), LONG_PAUSE);
 
     let plan = plan_with(&engines, 250_000, targets, 60);
 
-    let plan = plan.expect("ten are free");
+    let plan = plan.expect("ten engines are free");
     assert_eq!(plan.assignments.len(), 6);
 }
 
-/// It can't be on time, and half of the engines stay for calls that can.
+/// The prompt can't be on time; half of the engines stay free for calls that can.
 #[test]
-fn a_prompt_that_is_late_on_all_engines_takes_half_of_them() {
-    let plan = plan_due(&idle(18), 900_000, Duration::ZERO).expect("all are free");
+fn a_prompt_that_is_late_on_all_engines_uses_half_of_them() {
+    let plan = plan_due(&idle_engines(18), 900_000, Duration::ZERO).expect("all engines are idle");
 
     assert_eq!(plan.assignments.len(), 9);
     assert!(plan.reserve_memory);
 }
 
 #[test]
-fn a_prompt_is_read_beside_short_streams_in_parts_that_they_bear() {
-    let mut engines = idle(18);
+fn chunks_next_to_short_streams_respect_their_pause_limit() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short = 8;
     }
@@ -248,25 +257,25 @@
     let small = plan_due(&engines, 100_000, Duration::from_secs(3));
     let large = plan_due(&engines, 200_000, Duration::from_secs(3));
 
-    let small = small.expect("parts of 100 ms are borne by all engines");
+    let small = small.expect("all engines accept chunks of 100 ms");
     assert!(
         small
             .assignments
             .iter()
-            .all(|part| part.prefill < Duration::from_millis(150))
+            .all(|assignment| assignment.prefill < Duration::from_millis(150))
     );
-    assert_eq!(large, None, "parts of 280 ms would pause them");
+    assert_eq!(large, None, "chunks of 280 ms would exceed the pause limit");
 }
 
 #[test]
-fn streams_that_pause_longer_bear_larger_parts_beside_them() {
-    let mut engines = idle(18);
+fn a_larger_pause_limit_allows_larger_chunks() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short = 8;
     }
     let targets = LatencyTargets {
-        strictest_pause: MIDDLE,
-        ..targets(Duration::from_secs(3), PATIENT)
+        strictest_pause: MEDIUM_PAUSE,
+        ..targets(Duration::from_secs(3), LONG_PAUSE)
     };
 
     let plan = plan_with(&engines, 200_000, targets, 6);
@@ -274,68 +283,72 @@
     assert!(plan.is_some());
 }
 
-/// Most engines stand in the lane while short calls are many; three read outside it.
+/// With many short calls most engines are reserved for these, and three are not.
 #[test]
-fn a_prompt_led_among_short_streams_is_read_in_the_lane_where_parts_would_pause_them() {
-    let mut engines = idle(18);
+fn reserved_engines_share_a_prefill_that_would_exceed_the_pause_limit() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines[..15] {
         engine.load.short = 11;
     }
 
-    let plan = plan(&engines, 100_000, MIDDLE).expect("there is room");
+    let plan = plan(&engines, 100_000, MEDIUM_PAUSE).expect("there is room");
 
     assert!(
         plan.assignments
             .iter()
-            .all(|part| part.prefill <= Duration::from_millis(155)),
+            .all(|assignment| assignment.prefill <= Duration::from_millis(155)),
         "{:?}",
         plan.assignments[0]
     );
 }
 
 #[test]
-fn a_stream_that_must_not_pause_is_led_among_the_short_ones() {
-    let plan = plan(&idle(18), 45_000, MIDDLE).expect("there is room");
+fn a_stream_with_a_tight_pause_limit_is_led_by_a_reserved_engine() {
+    let plan = plan(&idle_engines(18), 45_000, MEDIUM_PAUSE).expect("there is room");
 
     assert!(!plan.long);
     assert_eq!(plan.assignments[0].engine, 0);
     assert!(
         plan.assignments
             .iter()
-            .all(|part| part.prefill <= Duration::from_millis(60))
+            .all(|assignment| assignment.prefill <= Duration::from_millis(60))
     );
-    assert!(engines_of(&plan)[1..].iter().all(|&at| at >= 1));
+    assert!(engines_of(&plan)[1..].iter().all(|&index| index >= 1));
 }
 
 #[test]
-fn a_prompt_larger_than_one_engine_sets_memory_aside_everywhere() {
-    let plan = plan(&idle(18), 700_000, PATIENT).expect("all are free");
+fn a_prompt_larger_than_one_engine_reserves_memory_on_all() {
+    let plan = plan(&idle_engines(18), 700_000, LONG_PAUSE).expect("all engines are idle");
 
     assert!(plan.reserve_memory);
     assert!(
         plan.assignments.len() <= MAX_HELPERS,
-        "the one that leads is listed, too"
+        "the leader counts as a helper"
     );
-    let memory: u64 = plan.assignments.iter().map(|part| part.memory).sum();
+    let memory: u64 = plan
+        .assignments
+        .iter()
+        .map(|assignment| assignment.memory)
+        .sum();
     assert!(memory >= prompt(700_000).memory());
 }
 
 #[test]
-fn a_prompt_that_no_group_can_hold_is_not_planned() {
-    let mut engines = idle(18);
+fn a_prompt_that_does_not_fit_in_memory_is_not_planned() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.memory_k = 299;
     }
 
-    assert_eq!(plan(&engines, 700_000, PATIENT), None);
-    assert_eq!(plan(&[], 5_000, SHORT), None);
+    assert_eq!(plan(&engines, 700_000, LONG_PAUSE), None);
+    assert_eq!(plan(&[], 5_000, SHORT_PAUSE), None);
 }
 
 #[test]
-fn plans_are_sound_for_any_load() {
+fn plans_are_valid_for_any_load() {
     for seed in 0..2_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut engines = idle(rng.random_range(1..70));
+        let mut engines = idle_engines(rng.random_range(1..70));
         for engine in &mut engines {
             engine.load = EngineUse {
                 reading_ms: rng.random_range(0..800),
@@ -346,94 +359,115 @@
             };
         }
         let tokens = rng.random_range(1..1_000_000);
-        let pause = [SHORT, MIDDLE, PATIENT, None][rng.random_range(0..4)];
+        let pause = [SHORT_PAUSE, MEDIUM_PAUSE, LONG_PAUSE, None][rng.random_range(0..4)];
         let prompt = prompt(tokens);
         let boxes = rng.random_range(1..400);
         let targets = LatencyTargets {
             due_in: Duration::from_millis(rng.random_range(0..5_000)),
             pause,
-            strictest_pause: [SHORT, MIDDLE, None][rng.random_range(0..3)],
+            strictest_pause: [SHORT_PAUSE, MEDIUM_PAUSE, None][rng.random_range(0..3)],
             late_chunk: None,
         };
         let found = engine_plan::plan(&pool(&engines, boxes), &prompt, targets, &mut rng);
         let Some(plan) = found else { continue };
 
         let mut used = engines_of(&plan);
-        let assignments = used.len();
+        let count = used.len();
         used.sort_unstable();
         used.dedup();
-        assert_eq!(used.len(), assignments, "seed {seed}: an engine twice");
-        assert!(used.iter().all(|&at| at < engines.len()), "seed {seed}");
+        assert_eq!(
+            used.len(),
+            count,
+            "seed {seed}: an engine is assigned twice"
+        );
         assert!(
-            assignments <= MAX_HELPERS + 1 - usize::from(plan.reserve_memory),
+            used.iter().all(|&index| index < engines.len()),
             "seed {seed}"
         );
-        let memory: u64 = plan.assignments.iter().map(|part| part.memory).sum();
+        assert!(
+            count <= MAX_HELPERS + 1 - usize::from(plan.reserve_memory),
+            "seed {seed}"
+        );
+        let memory: u64 = plan
+            .assignments
+            .iter()
+            .map(|assignment| assignment.memory)
+            .sum();
         assert!(memory >= prompt.memory(), "seed {seed}: {memory}");
-        let alone = used.iter().all(|&at| engines[at].load.long_reads == 0);
+        let one_prefill_each = used
+            .iter()
+            .all(|&index| engines[index].load.long_reads == 0);
         assert!(
-            !plan.long || alone,
-            "seed {seed}: a long prompt beside another"
+            !plan.long || one_prefill_each,
+            "seed {seed}: two long prompts on one engine"
         );
     }
 }
 
 #[test]
-fn a_large_prompt_starts_on_few_free_engines_unless_it_needs_more_to_be_on_time() {
-    let mut engines = idle(18);
+fn a_large_prompt_waits_for_more_engines_only_to_be_on_time() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines[8..] {
         engine.load.long_reads = 1;
     }
 
     let early = plan_due(&engines, 250_000, Duration::from_secs(3));
     let late = plan_due(&engines, 250_000, Duration::from_millis(500));
-    let past = plan_due(&engines, 250_000, Duration::ZERO);
+    let overdue = plan_due(&engines, 250_000, Duration::ZERO);
 
-    let early = early.expect("seven engines read it in time");
-    assert!(early.assignments.iter().all(|part| part.engine < 8));
+    let early = early.expect("seven engines prefill it in time");
+    assert!(
+        early
+            .assignments
+            .iter()
+            .all(|assignment| assignment.engine < 8)
+    );
     assert!(early.expected_first_event < Duration::from_secs(2));
     assert_eq!(late, None);
-    assert!(past.is_some(), "it can only be read late, on what is free");
+    assert!(
+        overdue.is_some(),
+        "a prompt that is late in any case uses the free engines"
+    );
 }
 
 #[test]
-fn a_part_that_would_pause_streams_for_long_goes_where_nothing_is_written() {
-    let mut engines = idle(18);
+fn long_chunks_run_on_engines_without_streams() {
+    let mut engines = idle_engines(18);
     for engine in &mut engines[8..] {
         engine.load.long_reads = 1;
     }
     engines[3].load.short = 1;
     engines[4].load.long = 1;
 
-    let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("five are left");
+    let plan = plan_due(&engines, 250_000, Duration::from_secs(3)).expect("five engines are left");
 
     let used = engines_of(&plan);
     assert!(!used.contains(&3) && !used.contains(&4), "{used:?}");
 }
 
-/// A limit counts calls that boxes send there, not what it reads for others.
+/// An engine's limit counts calls that boxes send to it, not chunks that it prefills for others.
 #[test]
-fn limited_engines_read_parts_of_long_prompts_and_lead_none() {
-    let mut engines = idle(6);
-    for at in [1, 2, 3] {
-        engines[at].standing = Standing::Limited;
+fn limited_engines_prefill_chunks_but_do_not_lead() {
+    let mut engines = idle_engines(6);
+    for index in [1, 2, 3] {
+        engines[index].standing = Standing::Limited;
     }
 
-    let plan = plan(&engines, 154_000, PATIENT).expect("all are free");
+    let plan = plan(&engines, 154_000, LONG_PAUSE).expect("all engines are idle");
 
     let used = engines_of(&plan);
     assert_eq!(engines[used[0]].standing, Standing::Open, "{used:?}");
     assert!(
         used.iter()
-            .any(|&at| engines[at].standing == Standing::Limited)
+            .any(|&index| engines[index].standing == Standing::Limited)
     );
 }
 
 #[test]
-fn a_long_prompt_is_led_by_a_limited_engine_where_there_is_no_other() {
-    let mut engines = idle(6);
-    for (at, engine) in engines.iter_mut().enumerate() {
-        let is_closed = at % 2 == 0;
+fn a_limited_engine_leads_a_long_prompt_when_no_open_one_can() {
+    let mut engines = idle_engines(6);
+    for (index, engine) in engines.iter_mut().enumerate() {
+        let is_closed = index % 2 == 0;
         engine.standing = if is_closed {
             Standing::Closed
         } else {
@@ -441,7 +475,7 @@
         };
     }
 
-    let plan = plan(&engines, 154_000, PATIENT).expect("some take it");
+    let plan = plan(&engines, 154_000, LONG_PAUSE).expect("limited engines accept calls");
 
     assert_eq!(
         engines[plan.assignments[0].engine].standing,
@@ -450,39 +484,42 @@
 }
 
 #[test]
-fn short_calls_go_to_limited_engines_only_where_the_others_are_full() {
-    let mut engines = idle(4);
+fn short_calls_use_limited_engines_only_when_others_are_full() {
+    let mut engines = idle_engines(4);
     engines[0].standing = Standing::Closed;
     engines[1].standing = Standing::Limited;
-    let with_room = plan(&engines, 5_000, SHORT).expect("there is room");
-    for at in [2, 3] {
-        engines[at].load.short = 16;
+    let with_free_engines = plan(&engines, 5_000, SHORT_PAUSE).expect("there is room");
+    for index in [2, 3] {
+        engines[index].load.short = 16;
     }
 
-    let without = plan(&engines, 5_000, SHORT).expect("there is room");
+    let without_free_engines = plan(&engines, 5_000, SHORT_PAUSE).expect("there is room");
 
     assert!(
-        [2, 3].contains(&with_room.assignments[0].engine),
-        "{with_room:?}"
+        [2, 3].contains(&with_free_engines.assignments[0].engine),
+        "{with_free_engines:?}"
+    );
+    assert_eq!(
+        without_free_engines.assignments[0].engine, 1,
+        "{without_free_engines:?}"
     );
-    assert_eq!(without.assignments[0].engine, 1, "{without:?}");
 }
 
 #[test]
-fn a_large_prompt_that_is_late_is_read_by_few_engines_in_longer_parts() {
-    let engines = idle(18);
-    let part = Duration::from_millis(3_500);
+fn a_late_large_prompt_is_prefilled_on_few_engines_in_longer_chunks() {
+    let engines = idle_engines(18);
+    let chunk = Duration::from_millis(3_500);
     let late = LatencyTargets {
-        late_chunk: Some(part),
-        ..targets(Duration::ZERO, PATIENT)
+        late_chunk: Some(chunk),
+        ..targets(Duration::ZERO, LONG_PAUSE)
     };
 
     let usual = plan_due(&engines, 300_000, Duration::ZERO).expect("engines are idle");
     let plan = plan_with(&engines, 300_000, late, 6).expect("engines are idle");
 
     let prefill = MODEL.prefill_time(300_000);
-    let least = (prefill.as_secs_f64() / part.as_secs_f64()).ceil() as usize;
-    assert_eq!(plan.assignments.len(), least);
-    assert!(plan.assignments[0].prefill <= part);
-    assert!(usual.assignments.len() > least);
+    let min_count = (prefill.as_secs_f64() / chunk.as_secs_f64()).ceil() as usize;
+    assert_eq!(plan.assignments.len(), min_count);
+    assert!(plan.assignments[0].prefill <= chunk);
+    assert!(usual.assignments.len() > min_count);
 }
--- a/lib/tests/test_relay_hall_planner.rs
+++ b/lib/tests/test_relay_hall_planner.rs
@@ -1,4 +1,4 @@
-//! Whether a generation runs in the box's own hall or in another one.
+//! Choice of the hall in which a generation runs.
 
 use std::time::Duration;
 
@@ -24,19 +24,21 @@
     per_million_pairs_ms: 0.184,
     steps_per_pass: 80,
 };
-const PER_HALL: usize = 30;
+const ENGINES_PER_HALL: usize = 30;
 const HALLS: usize = 5;
 
-/// Idle engines of five halls, which stand mixed in the shared order.
-fn idle() -> (Vec<EngineState>, Vec<usize>) {
-    let state = |at| EngineState {
+/// Idle engines of five halls, interleaved in the shared order.
+fn idle_engines() -> (Vec<EngineState>, Vec<usize>) {
+    let state = |index| EngineState {
         load: EngineUse::default(),
-        is_local: at % HALLS == 0,
-        preference: at as u32,
+        is_local: index % HALLS == 0,
+        preference: index as u32,
         standing: Standing::Open,
     };
-    let engines = (0..PER_HALL * HALLS).map(state).collect();
-    let halls = (0..PER_HALL * HALLS).map(|at| at % HALLS).collect();
+    let engines = (0..ENGINES_PER_HALL * HALLS).map(state).collect();
+    let halls = (0..ENGINES_PER_HALL * HALLS)
+        .map(|index| index % HALLS)
+        .collect();
     (engines, halls)
 }
 
@@ -65,9 +67,13 @@
     planner.plan(&prompt, targets, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
-/// Makes a hall's engines read long prompts and write many short ones.
-fn fill(engines: &mut [EngineState], halls: &[usize], hall: usize) {
-    for (engine, _) in engines.iter_mut().zip(halls).filter(|(_, of)| **of == hall) {
+/// Loads all engines of a hall with a long prefill and a full batch of short streams.
+fn saturate(engines: &mut [EngineState], halls: &[usize], hall: usize) {
+    for (engine, _) in engines
+        .iter_mut()
+        .zip(halls)
+        .filter(|(_, own)| **own == hall)
+    {
         engine.load = EngineUse {
             reading_ms: 2_000,
             long_reads: 1,
@@ -82,7 +88,7 @@
     let mut used: Vec<usize> = plan
         .assignments
         .iter()
-        .map(|part| halls[part.engine])
+        .map(|assignment| halls[assignment.engine])
         .collect();
     used.sort_unstable();
     used.dedup();
@@ -90,22 +96,22 @@
 }
 
 #[test]
-fn calls_of_all_sizes_stay_in_their_own_hall_while_it_has_room() {
-    let (engines, halls) = idle();
+fn calls_of_all_sizes_run_in_the_own_hall_while_it_has_room() {
+    let (engines, halls) = idle_engines();
 
     for tokens in [1_000, 5_000, 45_000, 220_000, 700_000] {
-        let plan = plan(&engines, &halls, tokens).expect("all are free");
+        let plan = plan(&engines, &halls, tokens).expect("all engines are idle");
         assert_eq!(halls_of(&plan, &halls), [0], "{tokens} tokens");
     }
 }
 
 #[test]
-fn a_short_call_that_would_be_late_at_home_goes_to_another_hall() {
-    let (mut engines, halls) = idle();
-    fill(&mut engines, &halls, 0);
-    fill(&mut engines, &halls, 2);
+fn a_short_call_that_would_be_late_in_its_hall_runs_in_another() {
+    let (mut engines, halls) = idle_engines();
+    saturate(&mut engines, &halls, 0);
+    saturate(&mut engines, &halls, 2);
 
-    let plan = plan(&engines, &halls, 5_000).expect("there is always one");
+    let plan = plan(&engines, &halls, 5_000).expect("a short call always has a plan");
 
     let used = halls_of(&plan, &halls);
     assert!(used.len() == 1 && ![0, 2].contains(&used[0]), "{used:?}");
@@ -113,65 +119,65 @@
 }
 
 #[test]
-fn a_short_call_stays_home_where_all_halls_are_as_full() {
-    let (mut engines, halls) = idle();
-    (0..HALLS).for_each(|hall| fill(&mut engines, &halls, hall));
+fn a_short_call_stays_in_its_hall_when_all_halls_are_equally_loaded() {
+    let (mut engines, halls) = idle_engines();
+    (0..HALLS).for_each(|hall| saturate(&mut engines, &halls, hall));
 
-    let plan = plan(&engines, &halls, 5_000).expect("there is always one");
+    let plan = plan(&engines, &halls, 5_000).expect("a short call always has a plan");
 
     assert_eq!(halls_of(&plan, &halls), [0]);
 }
 
 #[test]
-fn a_long_prompt_is_read_by_other_halls_where_its_own_is_taken() {
-    let (mut engines, halls) = idle();
-    fill(&mut engines, &halls, 0);
+fn a_long_prompt_is_prefilled_in_other_halls_when_its_own_is_busy() {
+    let (mut engines, halls) = idle_engines();
+    saturate(&mut engines, &halls, 0);
 
-    let plan = plan(&engines, &halls, 220_000).expect("four halls are free");
+    let plan = plan(&engines, &halls, 220_000).expect("four halls are idle");
 
     assert!(!halls_of(&plan, &halls).contains(&0));
 }
 
 #[test]
-fn a_long_prompt_leaves_each_halls_first_engines_to_short_calls() {
-    let (mut engines, halls) = idle();
-    fill(&mut engines, &halls, 0);
+fn a_long_prompt_avoids_the_reserved_engines_of_each_hall() {
+    let (mut engines, halls) = idle_engines();
+    saturate(&mut engines, &halls, 0);
 
-    let plan = plan(&engines, &halls, 220_000).expect("four halls are free");
+    let plan = plan(&engines, &halls, 220_000).expect("four halls are idle");
 
-    let first_of_halls = 0..HALLS;
+    let reserved = 0..HALLS;
     assert!(
         plan.assignments
             .iter()
-            .all(|part| !first_of_halls.contains(&part.engine))
+            .all(|assignment| !reserved.contains(&assignment.engine))
     );
 }
 
 #[test]
-fn a_prompt_that_no_hall_can_read_by_itself_is_read_by_several() {
-    let (mut engines, halls) = idle();
-    (0..HALLS).for_each(|hall| fill(&mut engines, &halls, hall));
-    // The last four engines of each hall are free: too few for a prompt that no engine holds.
-    let last = PER_HALL * HALLS - 4 * HALLS;
-    for engine in &mut engines[last..] {
+fn a_prompt_that_exceeds_every_hall_is_prefilled_in_several() {
+    let (mut engines, halls) = idle_engines();
+    (0..HALLS).for_each(|hall| saturate(&mut engines, &halls, hall));
+    // Four engines per hall are idle: too few for a prompt that exceeds one engine's memory.
+    let first_idle = ENGINES_PER_HALL * HALLS - 4 * HALLS;
+    for engine in &mut engines[first_idle..] {
         engine.load = EngineUse::default();
     }
 
-    let plan = plan(&engines, &halls, 400_000).expect("twenty engines are free");
+    let plan = plan(&engines, &halls, 400_000).expect("twenty engines are idle");
 
     assert!(plan.reserve_memory);
     assert!(halls_of(&plan, &halls).len() > 1);
 }
 
 #[test]
-fn a_box_without_engines_in_its_hall_uses_those_of_others() {
-    let (engines, halls) = idle();
-    let away: Vec<EngineState> = (engines.iter().zip(&halls))
+fn a_box_without_local_engines_uses_other_halls() {
+    let (engines, halls) = idle_engines();
+    let remote: Vec<EngineState> = (engines.iter().zip(&halls))
         .filter(|(_, hall)| **hall != 0)
         .map(|(engine, _)| *engine)
         .collect();
     let halls: Vec<usize> = halls.into_iter().filter(|hall| *hall != 0).collect();
 
-    assert!(plan(&away, &halls, 5_000).is_some());
-    assert!(plan(&away, &halls, 220_000).is_some());
+    assert!(plan(&remote, &halls, 5_000).is_some());
+    assert!(plan(&remote, &halls, 220_000).is_some());
 }
--- a/lib/tests/test_relay_largest_prompts.rs
+++ b/lib/tests/test_relay_largest_prompts.rs
@@ -1,4 +1,4 @@
-//! The largest prompts are served, too: on each day, not only in the mean over days.
+//! Guards against starvation of the largest prompts, in every simulated day and not only on average.
 
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::served_shares::ServedShares;
@@ -6,46 +6,51 @@
 use badgerferry_testutils::relay_model::Scenario;
 use badgerferry_testutils::seeds::run_seeds;
 
-/// Index of the long prompts among the scenario's kinds.
-const LONG: usize = 2;
+/// Index of the long prompts in the scenario's list of kinds.
+const LONG_KIND: usize = 2;
 
-/// Days on which the largest tenth drew bad lots, or came where only few engines read.
-const STARVED_AT_150: [u64; 3] = [4, 18, 22];
-const STARVED_AT_18: [u64; 4] = [9, 17, 49, 73];
+/// Seeds of days on which the largest tenth had unfavourable random ranks, or arrived where only few
+/// engines prefill.
+const STARVATION_SEEDS_150: [u64; 3] = [4, 18, 22];
+const STARVATION_SEEDS_18: [u64; 4] = [9, 17, 49, 73];
 
-fn starved_150() -> Scenario {
+fn scenario_150_engines() -> Scenario {
     let text = include_str!("../../testutils/scenarios/starved-150.json");
-    Scenario::parse(text).expect("it is a good one")
+    Scenario::parse(text).expect("the scenario is valid")
 }
 
-fn turns_18() -> Scenario {
+fn scenario_18_engines() -> Scenario {
     let text = include_str!("../../testutils/scenarios/turns-18.json");
-    Scenario::parse(text).expect("it is a good one")
+    Scenario::parse(text).expect("the scenario is valid")
 }
 
-/// What share of the long prompts is served on each day.
+/// Served shares of the long prompts, one entry per simulated day.
 fn served(scenario: &Scenario, scope: Scope, seeds: &[u64]) -> Vec<ServedShares> {
-    let day = |at: u64| {
-        relay_model::run(scenario, Some(scope), seeds[at as usize])
+    let day = |index: u64| {
+        relay_model::run(scenario, Some(scope), seeds[index as usize])
             .0
-            .served[LONG]
+            .served[LONG_KIND]
     };
-    let (days, broken) = run_seeds(0..seeds.len() as u64, day);
-    assert!(broken.is_empty(), "{broken:?}");
+    let (days, failed) = run_seeds(0..seeds.len() as u64, day);
+    assert!(failed.is_empty(), "{failed:?}");
     days
 }
 
-fn assert_none_starved(days: &[ServedShares]) {
+fn assert_no_starvation(days: &[ServedShares]) {
     let worst = days.iter().map(ServedShares::lower_relative_share);
     let worst = worst.fold(f64::INFINITY, f64::min);
     assert!(worst >= 0.5, "{worst:.3}: {days:?}");
 }
 
-/// Mean over eight days of the lesser share served of the largest tenth and of the fifth beneath it,
-/// against that of all.
+/// The lower of the shares served of the largest tenth and of the fifth below it, relative to the
+/// share of all, as a mean over eight days.
 #[test]
-fn the_largest_prompts_are_served_more_than_half_as_often_as_all() {
-    let days = served(&starved_150(), Scope::Hall, &[0, 1, 2, 3, 4, 5, 6, 7]);
+fn largest_prompts_are_served_at_over_half_the_overall_rate() {
+    let days = served(
+        &scenario_150_engines(),
+        Scope::Hall,
+        &[0, 1, 2, 3, 4, 5, 6, 7],
+    );
 
     let mean = days
         .iter()
@@ -57,15 +62,15 @@
 }
 
 #[test]
-fn no_day_of_150_engines_starves_the_largest_prompts() {
-    let days = served(&starved_150(), Scope::Hall, &STARVED_AT_150);
+fn largest_prompts_are_not_starved_on_150_engines() {
+    let days = served(&scenario_150_engines(), Scope::Hall, &STARVATION_SEEDS_150);
 
-    assert_none_starved(&days);
+    assert_no_starvation(&days);
 }
 
 #[test]
-fn no_day_of_18_engines_starves_the_largest_prompts() {
-    let days = served(&turns_18(), Scope::Fleet, &STARVED_AT_18);
+fn largest_prompts_are_not_starved_on_18_engines() {
+    let days = served(&scenario_18_engines(), Scope::Fleet, &STARVATION_SEEDS_18);
 
-    assert_none_starved(&days);
+    assert_no_starvation(&days);
 }
--- a/lib/tests/test_relay_model.rs
+++ b/lib/tests/test_relay_model.rs
@@ -1,4 +1,4 @@
-//! The model of a fleet in virtual time, and what policies are worth in it.
+//! Simulation of a fleet in virtual time, and the value of policies measured in it.
 
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_testutils::relay_model;
@@ -12,12 +12,12 @@
         "{}/../testutils/scenarios/{name}",
         env!("CARGO_MANIFEST_DIR")
     );
-    let text = std::fs::read_to_string(path).expect("the scenario is in the tree");
-    Scenario::parse(&text).expect("it is a good one")
+    let text = std::fs::read_to_string(path).expect("the scenario file exists");
+    Scenario::parse(&text).expect("the scenario is valid")
 }
 
-/// A quiet fleet to which hardly any call comes, all of one length.
-fn alone(tokens: f64) -> Scenario {
+/// A nearly idle fleet: rare calls of equal length.
+fn nearly_idle(tokens: f64) -> Scenario {
     let mut scenario = scenario("turns-18.json");
     scenario.phases.clear();
     scenario.kinds.truncate(1);
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_runs() {
+fn runs_with_equal_seeds_are_equal() {
     let mut busy = scenario("turns-18.json");
     busy.seconds = 6.0;
 
     let first = relay_model::run(&busy, Some(Scope::Fleet), 3);
-    let again = relay_model::run(&busy, Some(Scope::Fleet), 3);
+    let second = relay_model::run(&busy, Some(Scope::Fleet), 3);
 
-    assert_eq!(first, again);
+    assert_eq!(first, second);
 }
 
 #[test]
-fn arrivals_do_not_depend_on_what_boxes_decide() {
+fn arrivals_are_independent_of_placement() {
     let mut busy = scenario("turns-18.json");
     busy.seconds = 6.0;
     let arrivals = |calls: Vec<CallOutcome>| -> Vec<(u64, u64, usize)> {
-        let one = |call: &CallOutcome| (call.at_ms, call.tokens, call.kind);
-        calls.iter().map(one).collect()
+        let key = |call: &CallOutcome| (call.at_ms, call.tokens, call.kind);
+        calls.iter().map(key).collect()
     };
 
     let fleet = relay_model::run(&busy, Some(Scope::Fleet), 3).1;
@@ -58,35 +58,38 @@
     assert_eq!(arrivals(fleet), arrivals(hall));
 }
 
-/// By arithmetic 154,000 tokens take one engine of the scenario 1.0 s and 1.92 s for their pairs.
+/// By the model, one engine of the scenario takes 1.0 s for 154,000 tokens plus 1.92 s for attention.
 #[test]
-fn a_prompt_alone_is_read_in_the_time_that_its_engines_need() {
+fn a_prompt_on_idle_engines_takes_the_modelled_prefill_time() {
     let one_engine_ms = 154_000.0 / 154.0 + 154_000.0 * 154_000.0 / 2.0 * 0.162e-6;
 
-    let calls = relay_model::run(&alone(154_000.0), Some(Scope::Fleet), 1).1;
+    let calls = relay_model::run(&nearly_idle(154_000.0), Some(Scope::Fleet), 1).1;
 
     assert!(!calls.is_empty());
     for call in calls {
-        let first = call.first_event_ms.expect("it was served") as f64;
+        let first = call.first_event_ms.expect("the call was served") as f64;
         let pass = 34.0 * 1.31;
-        let least = one_engine_ms / 17.0 + pass;
-        assert!(first >= least && first < least * 2.0, "{call:?}, {least}");
+        let min_ms = one_engine_ms / 17.0 + pass;
+        assert!(
+            first >= min_ms && first < min_ms * 2.0,
+            "{call:?}, {min_ms}"
+        );
     }
 }
 
 #[test]
-fn a_bad_scenario_is_told_by_its_field() {
-    let good = serde_json::to_value(alone(5_000.0)).expect("it can be written");
-    let mut without_boxes = good.clone();
+fn an_invalid_scenario_is_reported_by_field() {
+    let valid = serde_json::to_value(nearly_idle(5_000.0)).expect("a scenario can be serialized");
+    let mut without_boxes = valid.clone();
     without_boxes["fleet"]["boxes_per_hall"] = serde_json::json!(0);
-    let mut unknown = good;
+    let mut unknown = valid;
     unknown["fleet"]["colour"] = serde_json::json!("red");
 
-    let bad = Scenario::parse(&without_boxes.to_string());
+    let invalid = Scenario::parse(&without_boxes.to_string());
     let malformed = Scenario::parse(&unknown.to_string());
 
     assert_eq!(
-        bad,
+        invalid,
         Err(BadScenario::Value {
             field: "fleet.boxes_per_hall",
             wanted: "1 or more"
@@ -95,31 +98,28 @@
     assert!(matches!(malformed, Err(BadScenario::Malformed(cause)) if cause.contains("colour")));
 }
 
-/// 295 boxes before 150 engines, a load that turns every ten seconds. Worth, mean of eight seeds:
-/// 0.882 where all boxes tell all, 0.918 where halls tell each other sums.
+/// 295 boxes, 150 engines and a load that changes every ten seconds. Mean worth over eight seeds:
+/// 0.882 if all boxes exchange load data, 0.918 if halls exchange sums.
 #[test]
-fn callers_of_many_boxes_fare_better_where_halls_are_cells() {
+fn exchange_by_halls_has_higher_worth_with_many_boxes() {
     let busy = scenario("turns-150.json");
     let mean = |scope| {
-        let (days, broken) = run_seeds(0..8, |seed| {
+        let (days, failed) = run_seeds(0..8, |seed| {
             relay_model::run(&busy, Some(scope), seed).0.worth
         });
-        assert!(broken.is_empty(), "{broken:?}");
+        assert!(failed.is_empty(), "{failed:?}");
         days.iter().sum::<f64>() / days.len() as f64
     };
 
-    let (all_to_all, by_halls) = (mean(Scope::Fleet), mean(Scope::Hall));
+    let (by_fleet, by_halls) = (mean(Scope::Fleet), mean(Scope::Hall));
 
-    assert!(
-        by_halls > all_to_all + 0.01,
-        "{by_halls:.4}, {all_to_all:.4}"
-    );
+    assert!(by_halls > by_fleet + 0.01, "{by_halls:.4}, {by_fleet:.4}");
 }
 
-/// Two times six seconds in which 14 in 100 engines are five times slower: 0.80 of worth where
-/// nothing learns it, 0.85 where late calls ask.
+/// 14 % of the engines are five times slower during two periods of six seconds. Worth is 0.80 if
+/// this goes undetected, and 0.85 if late calls request reports.
 #[test]
-fn slow_engines_are_found_and_left_out() {
+fn slow_engines_are_detected_and_avoided() {
     let slow = scenario("slow-60.json");
     let runs = (0..8).map(|seed| relay_model::run(&slow, Some(Scope::Hall), seed).0);
     let runs: Vec<_> = runs.collect();
