--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -377,8 +377,8 @@
     let rng = &mut rand::rng();
     let targets = LatencyTargets {
         due_in: now.until(call.due()),
-        pause: call.route.pause,
-        strictest_pause: call.routes.strictest_pause(&call.service),
+        max_gap: call.route.pause,
+        tightest_gap: call.routes.tightest_gap(&call.service),
         late_chunk: match among {
             Among::All { late_chunk } => late_chunk,
             Among::Apart => None,
@@ -399,7 +399,7 @@
     let address = |part: &Assignment| Engine::of(usable[part.engine]);
     Ok(Planned {
         addresses: plan.assignments.iter().map(address).collect(),
-        works: plan.works(&states),
+        works: plan.engine_work(&states),
         plan,
     })
 }
@@ -420,7 +420,7 @@
     let works = Works {
         relay: Arc::clone(relay),
         ids,
-        long: plan.long,
+        long: plan.is_long,
     };
     Started {
         addresses,
@@ -501,7 +501,7 @@
     started: &Started,
 ) -> Result<Reservations, Vec<(String, NotReserved)>> {
     let wanted = started.addresses.iter().zip(&started.plan.assignments);
-    let wanted = wanted.map(|(engine, part)| (engine.clone(), part.memory));
+    let wanted = wanted.map(|(engine, part)| (engine.clone(), part.memory_tokens));
     Reservations::make(call, wanted.collect()).await
 }
 
--- a/lib/src/relay/call.rs
+++ b/lib/src/relay/call.rs
@@ -44,7 +44,7 @@
 
 impl PromptSize {
     /// Engine memory that the whole generation occupies at its limit, in tokens.
-    pub const fn memory(&self) -> u64 {
+    pub const fn memory_tokens(&self) -> u64 {
         self.tokens + self.max_output
     }
 }
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -136,7 +136,7 @@
     /// Time until the engine starts the pass that prefills it.
     pub delay: Duration,
     /// Memory used on this engine, in tokens.
-    pub memory: u64,
+    pub memory_tokens: u64,
 }
 
 /// The engines available to a plan, and the number of boxes that choose among them.
@@ -156,9 +156,9 @@
     /// Time until the first event is due.
     pub due_in: Duration,
     /// Maximum pause between events, if the service states one.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Smallest pause limit among the streams that the same engines decode.
-    pub strictest_pause: Option<Duration>,
+    pub tightest_gap: Option<Duration>,
     /// Maximum chunk of a large prompt that can't be on time; it uses as few engines as this chunk
     /// size allows. `None` for all other prompts.
     pub late_chunk: Option<Duration>,
@@ -172,22 +172,22 @@
     /// Whether memory must be reserved for all assignments before the call is sent.
     pub reserve_memory: bool,
     /// Whether the call is treated as long.
-    pub long: bool,
+    pub is_long: bool,
     /// Expected time to the first event.
     pub expected_first_event: Duration,
 }
 
 impl EnginePlan {
     /// Load table entry of each assignment; `engines` must be the list that was planned over.
-    pub fn works(&self, engines: &[EngineState]) -> Vec<Work> {
+    pub fn engine_work(&self, engines: &[EngineState]) -> Vec<Work> {
         let entry = |(index, assignment): (usize, &Assignment)| {
             let pending = Duration::from_millis(engines[assignment.engine].load.reading_ms.into());
             Work {
                 read: assignment.prefill,
                 delay: pending + assignment.delay,
-                memory: assignment.memory,
+                memory: assignment.memory_tokens,
                 leads: index == 0,
-                long: self.long,
+                long: self.is_long,
             }
         };
         self.assignments.iter().enumerate().map(entry).collect()
@@ -198,8 +198,8 @@
 ///
 /// A stream with a tight pause limit is decoded among the short streams, however long its prompt is;
 /// only its prefill is spread over the other engines.
-pub fn is_long(model: &EngineModel, prompt: &PromptSize, pause: Option<Duration>) -> bool {
-    let tolerates_pauses = pause.is_none_or(|pause| pause >= LONG_STREAM_PAUSE);
+pub fn is_long(model: &EngineModel, prompt: &PromptSize, max_gap: Option<Duration>) -> bool {
+    let tolerates_pauses = max_gap.is_none_or(|max_gap| max_gap >= LONG_STREAM_PAUSE);
     tolerates_pauses && model.prefill_time(prompt.tokens) > MAX_SHORT_PREFILL
 }
 
@@ -238,7 +238,7 @@
     if pool.engines.is_empty() {
         return None;
     }
-    if is_long(pool.model, prompt, targets.pause) {
+    if is_long(pool.model, prompt, targets.max_gap) {
         plan_long(pool, short_engines, prompt, targets)
     } else {
         Some(plan_short(pool, short_engines, prompt, targets, rng))
@@ -294,7 +294,7 @@
     if !is_short_engine {
         cost += UNRESERVED_ENGINE_COST;
     }
-    if active_streams >= model.slots || engine.free_memory(model) < prompt.memory() {
+    if active_streams >= model.slots || engine.free_memory(model) < prompt.memory_tokens() {
         cost += FULL_BATCH_COST;
     }
     if !engine.is_local {
@@ -343,8 +343,7 @@
     if prefill > MAX_SHORT_PREFILL {
         // Engines outside the reserved ones prefill it. Reserved engines join where larger chunks
         // would make their streams exceed the pause limit.
-        let with_short_streams =
-            ChunkLimits::new(model, targets.strictest_pause).with_short_streams;
+        let with_short_streams = ChunkLimits::new(model, targets.tightest_gap).with_short_streams;
         let needed = chunk_count(prefill, with_short_streams).min(MAX_HELPERS + 1) - 1;
         let outside = order
             .iter()
@@ -378,12 +377,16 @@
         engine,
         prefill: share,
         delay: pass_remainder(model, &engines[engine]),
-        memory: if index == 0 { prompt.memory() } else { 0 },
+        memory_tokens: if index == 0 {
+            prompt.memory_tokens()
+        } else {
+            0
+        },
     });
     EnginePlan {
         assignments: assignments.collect(),
         reserve_memory: false,
-        long: false,
+        is_long: false,
         expected_first_event: slowest + share,
     }
 }
@@ -413,7 +416,7 @@
     let EnginePool { model, engines, .. } = *pool;
     let prefill = model.prefill_time(prompt.tokens);
     let usable = (model.memory as f64 * USABLE_MEMORY_FRACTION) as u64;
-    let reserve_memory = prompt.memory() > usable;
+    let reserve_memory = prompt.memory_tokens() > usable;
     let short_engines = short_engines.min(engines.len() - 1);
     // With reservations the engines' limit on helpers includes the leader.
     let available = (MAX_HELPERS + usize::from(!reserve_memory)).min(engines.len());
@@ -435,7 +438,7 @@
         reserve_memory,
         exceeds_all_engines,
         exclusive_limit: chunk_limit.max(MAX_EXCLUSIVE_CHUNK),
-        chunk_limits: ChunkLimits::new(model, targets.strictest_pause),
+        chunk_limits: ChunkLimits::new(model, targets.tightest_gap),
     };
     let wanted = if targets.late_chunk.is_some() {
         min_count
@@ -471,7 +474,7 @@
         .iter()
         .map(|&index| time_to_start(model, &engines[index]))
         .max();
-    let memory_share = prompt.memory() / chosen.len() as u64 + 1;
+    let memory_share = prompt.memory_tokens() / chosen.len() as u64 + 1;
     let assignments = chosen
         .iter()
         .enumerate()
@@ -479,16 +482,16 @@
             engine,
             prefill: share,
             delay: pass_remainder(model, &engines[engine]),
-            memory: match (reserve_memory, index) {
+            memory_tokens: match (reserve_memory, index) {
                 (true, _) => memory_share,
-                (false, 0) => prompt.memory(),
+                (false, 0) => prompt.memory_tokens(),
                 (false, _) => 0,
             },
         });
     EnginePlan {
         assignments: assignments.collect(),
         reserve_memory,
-        long: true,
+        is_long: true,
         expected_first_event: start_delay.unwrap_or_default() + share + model.pass_time(2),
     }
 }
--- a/lib/src/relay/hall_planner.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -46,7 +46,7 @@
         if self.scope == Scope::Fleet {
             return engine_plan::plan(&self.pool, prompt, targets, rng);
         }
-        if engine_plan::is_long(self.pool.model, prompt, targets.pause) {
+        if engine_plan::is_long(self.pool.model, prompt, targets.max_gap) {
             return self.plan_across_halls(prompt, targets, rng);
         }
         let local = self.plan_in(0, prompt, targets, rng);
--- a/lib/src/relay/prefill_selector.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -34,9 +34,9 @@
 
 impl ChunkLimits {
     /// Derives the limits for a pass with a full batch of decoding streams.
-    pub(crate) fn new(model: &EngineModel, strictest_pause: Option<Duration>) -> Self {
+    pub(crate) fn new(model: &EngineModel, tightest_gap: Option<Duration>) -> Self {
         let pass = model.pass_time(model.slots);
-        let short = strictest_pause
+        let short = tightest_gap
             .unwrap_or(LONG_STREAM_PAUSE)
             .saturating_sub(pass);
         Self {
@@ -97,7 +97,7 @@
     /// Whether the engine can hold the whole prompt and decode its stream.
     fn can_lead(&self, index: usize) -> bool {
         let engine = &self.engines[index];
-        engine.free_memory(self.model) >= self.prompt.memory()
+        engine.free_memory(self.model) >= self.prompt.memory_tokens()
             && engine.load.long < MAX_LONG_STREAMS
             && engine.active_streams() < self.model.slots
     }
@@ -105,7 +105,7 @@
     /// Whether the engine has room for its share of a prompt that exceeds one engine's memory, and
     /// accepts the call that reserves it.
     fn has_room(&self, index: usize, count: usize) -> bool {
-        let share = self.prompt.memory() / count as u64 + 1;
+        let share = self.prompt.memory_tokens() / count as u64 + 1;
         let engine = &self.engines[index];
         engine.standing.takes_calls() && engine.free_memory(self.model) >= share
     }
--- a/lib/src/relay/route_table.rs
+++ b/lib/src/relay/route_table.rs
@@ -176,7 +176,7 @@
     }
 
     /// Longest good pause of the most urgent streams of a service, if any states one.
-    pub fn strictest_pause(&self, name: &ServiceName) -> Option<Duration> {
+    pub fn tightest_gap(&self, name: &ServiceName) -> Option<Duration> {
         self.least_pauses.get(name).copied()
     }
 
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -50,11 +50,11 @@
 }
 
 /// Targets for engines whose strictest stream has a pause limit of 250 ms.
-const fn targets(due_in: Duration, pause: Option<Duration>) -> LatencyTargets {
+const fn targets(due_in: Duration, max_gap: Option<Duration>) -> LatencyTargets {
     LatencyTargets {
         due_in,
-        pause,
-        strictest_pause: SHORT_PAUSE,
+        max_gap,
+        tightest_gap: SHORT_PAUSE,
         late_chunk: None,
     }
 }
@@ -77,8 +77,8 @@
     engine_plan::plan(&pool(engines, boxes), &prompt(tokens), targets, &mut rng)
 }
 
-fn plan(engines: &[EngineState], tokens: u64, pause: Option<Duration>) -> Option<EnginePlan> {
-    plan_with(engines, tokens, targets(DUE_IN, pause), 6)
+fn plan(engines: &[EngineState], tokens: u64, max_gap: Option<Duration>) -> Option<EnginePlan> {
+    plan_with(engines, tokens, targets(DUE_IN, max_gap), 6)
 }
 
 fn plan_due(engines: &[EngineState], tokens: u64, due_in: Duration) -> Option<EnginePlan> {
@@ -99,7 +99,7 @@
 
     let plan = plan(&engines, 5_000, SHORT_PAUSE).expect("there is room");
 
-    assert!(!plan.long);
+    assert!(!plan.is_long);
     assert_eq!(
         engines_of(&plan),
         [1],
@@ -132,7 +132,7 @@
 fn a_long_prompt_is_split_over_free_unreserved_engines() {
     let plan = plan(&idle_engines(18), 154_000, LONG_PAUSE).expect("all engines are idle");
 
-    assert!(plan.long && !plan.reserve_memory);
+    assert!(plan.is_long && !plan.reserve_memory);
     assert!(
         plan.assignments.len() >= 10,
         "{} parts",
@@ -144,7 +144,10 @@
             .iter()
             .all(|assignment| assignment.prefill <= Duration::from_millis(320))
     );
-    assert_eq!(plan.assignments[0].memory, prompt(154_000).memory());
+    assert_eq!(
+        plan.assignments[0].memory_tokens,
+        prompt(154_000).memory_tokens()
+    );
 }
 
 #[test]
@@ -274,7 +277,7 @@
         engine.load.short = 8;
     }
     let targets = LatencyTargets {
-        strictest_pause: MEDIUM_PAUSE,
+        tightest_gap: MEDIUM_PAUSE,
         ..targets(Duration::from_secs(3), LONG_PAUSE)
     };
 
@@ -306,7 +309,7 @@
 fn a_stream_with_a_tight_pause_limit_is_led_by_a_reserved_engine() {
     let plan = plan(&idle_engines(18), 45_000, MEDIUM_PAUSE).expect("there is room");
 
-    assert!(!plan.long);
+    assert!(!plan.is_long);
     assert_eq!(plan.assignments[0].engine, 0);
     assert!(
         plan.assignments
@@ -328,9 +331,9 @@
     let memory: u64 = plan
         .assignments
         .iter()
-        .map(|assignment| assignment.memory)
+        .map(|assignment| assignment.memory_tokens)
         .sum();
-    assert!(memory >= prompt(700_000).memory());
+    assert!(memory >= prompt(700_000).memory_tokens());
 }
 
 #[test]
@@ -359,13 +362,13 @@
             };
         }
         let tokens = rng.random_range(1..1_000_000);
-        let pause = [SHORT_PAUSE, MEDIUM_PAUSE, LONG_PAUSE, None][rng.random_range(0..4)];
+        let max_gap = [SHORT_PAUSE, MEDIUM_PAUSE, LONG_PAUSE, None][rng.random_range(0..4)];
         let prompt = prompt(tokens);
         let boxes = rng.random_range(1..400);
         let targets = LatencyTargets {
             due_in: Duration::from_millis(rng.random_range(0..5_000)),
-            pause,
-            strictest_pause: [SHORT_PAUSE, MEDIUM_PAUSE, None][rng.random_range(0..3)],
+            max_gap,
+            tightest_gap: [SHORT_PAUSE, MEDIUM_PAUSE, None][rng.random_range(0..3)],
             late_chunk: None,
         };
         let found = engine_plan::plan(&pool(&engines, boxes), &prompt, targets, &mut rng);
@@ -391,14 +394,14 @@
         let memory: u64 = plan
             .assignments
             .iter()
-            .map(|assignment| assignment.memory)
+            .map(|assignment| assignment.memory_tokens)
             .sum();
-        assert!(memory >= prompt.memory(), "seed {seed}: {memory}");
+        assert!(memory >= prompt.memory_tokens(), "seed {seed}: {memory}");
         let one_prefill_each = used
             .iter()
             .all(|&index| engines[index].load.long_reads == 0);
         assert!(
-            !plan.long || one_prefill_each,
+            !plan.is_long || one_prefill_each,
             "seed {seed}: two long prompts on one engine"
         );
     }
--- a/lib/tests/test_relay_hall_planner.rs
+++ b/lib/tests/test_relay_hall_planner.rs
@@ -57,11 +57,11 @@
         max_output: 800,
     };
     let is_short = tokens < 25_000;
-    let pause = Duration::from_millis(if is_short { 300 } else { 1_200 });
+    let max_gap = Duration::from_millis(if is_short { 300 } else { 1_200 });
     let targets = LatencyTargets {
         due_in: Duration::from_millis(if is_short { 400 } else { 4_000 }),
-        pause: Some(pause),
-        strictest_pause: Some(Duration::from_millis(300)),
+        max_gap: Some(max_gap),
+        tightest_gap: Some(Duration::from_millis(300)),
         late_chunk: None,
     };
     planner.plan(&prompt, targets, &mut ChaCha8Rng::seed_from_u64(1))
--- a/lib/tests/test_relay_route_table.rs
+++ b/lib/tests/test_relay_route_table.rs
@@ -123,7 +123,7 @@
     urgent.pause = Some(Duration::from_millis(250));
     let index = index(vec![patient, urgent, route("/c/", &[("z", 1)])], &[]);
 
-    let least = |service: &str| index.strictest_pause(&ServiceName::new(service));
+    let least = |service: &str| index.tightest_gap(&ServiceName::new(service));
 
     assert_eq!(least("x"), Some(Duration::from_millis(250)));
     assert_eq!(least("y"), Some(Duration::from_secs(1)));
--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -107,7 +107,7 @@
     pub(super) scope: Scope,
     /// Boxes that choose among the same engines.
     pub(super) boxes: usize,
-    pub(super) strictest_pause: Option<Duration>,
+    pub(super) tightest_gap: Option<Duration>,
     pub(super) engines: EngineList,
 }
 
@@ -208,8 +208,8 @@
         };
         let targets = LatencyTargets {
             due_in: now.until(asked.due),
-            pause: Some(asked.pause),
-            strictest_pause: rules.strictest_pause,
+            max_gap: Some(asked.pause),
+            tightest_gap: rules.tightest_gap,
             late_chunk: asked.late_chunk,
         };
         let plan = planner.plan(&asked.prompt, targets, rng)?;
@@ -219,7 +219,7 @@
     /// Enters a plan's work.
     pub(super) fn enter(&mut self, now: Time, planned: Planned) -> Placed {
         let Planned { plan, states, rows } = planned;
-        let entered = plan.assignments.iter().zip(plan.works(&states));
+        let entered = plan.assignments.iter().zip(plan.engine_work(&states));
         let works = entered.map(|(part, work)| self.loads.begin(now, rows[part.engine].0, work));
         let works = works.collect();
         let engines = plan
--- a/testutils/src/relay_model/run.rs
+++ b/testutils/src/relay_model/run.rs
@@ -136,7 +136,7 @@
                 model: fleet.engine,
                 scope,
                 boxes: beside,
-                strictest_pause: scenario.strictest_pause(),
+                tightest_gap: scenario.tightest_gap(),
                 engines: EngineList::new(halls, fleet.engines_per_hall),
             },
             agenda: Agenda::default(),
@@ -356,9 +356,9 @@
     fn reserve(&mut self, placed: &Placed) -> bool {
         let wanted = placed.engines.iter().zip(&placed.plan.assignments);
         for (got, (&engine, part)) in wanted.clone().enumerate() {
-            if !self.engines[engine].reserve(part.memory) {
+            if !self.engines[engine].reserve(part.memory_tokens) {
                 for (&engine, part) in wanted.take(got) {
-                    self.engines[engine].release(part.memory);
+                    self.engines[engine].release(part.memory_tokens);
                 }
                 return false;
             }
@@ -391,7 +391,7 @@
         let late_at = now + engine_pace::late_after(placed.plan.expected_first_event);
         self.agenda.put(late_at, Event::IsLate(id));
         if !placed.plan.reserve_memory {
-            self.engines[placed.engines[0]].hold(self.calls[id].prompt.memory());
+            self.engines[placed.engines[0]].hold(self.calls[id].prompt.memory_tokens());
         }
         self.calls[id].placed = Some(placed);
     }
@@ -430,7 +430,7 @@
             return;
         };
         let lead = placed.engines[0];
-        let memory = call.prompt.memory();
+        let memory = call.prompt.memory_tokens();
         let size = if placed.plan.reserve_memory {
             // What was set aside is given back by orders of its own.
             StreamSize {
@@ -465,7 +465,7 @@
         let Some(placed) = &self.calls[id].placed else {
             return;
         };
-        let is_long = placed.plan.long;
+        let is_long = placed.plan.is_long;
         for &work in &placed.works {
             self.boxes[box_at].loads.read_done(work);
         }
@@ -483,7 +483,7 @@
         };
         if placed.plan.reserve_memory {
             for (&engine, part) in placed.engines.iter().zip(&placed.plan.assignments) {
-                self.engines[engine].release(part.memory);
+                self.engines[engine].release(part.memory_tokens);
             }
         }
         for &work in &placed.works {
--- a/testutils/src/relay_model/scenario.rs
+++ b/testutils/src/relay_model/scenario.rs
@@ -180,7 +180,7 @@
     }
 
     /// Longest good pause of the most urgent kind.
-    pub(crate) fn strictest_pause(&self) -> Option<Duration> {
+    pub(crate) fn tightest_gap(&self) -> Option<Duration> {
         let pauses = self.kinds.iter().map(|kind| kind.pause_ms);
         pauses.min().map(Duration::from_millis)
     }
