--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -2,7 +2,8 @@
 //! its prompt.
 //!
 //! An engine works in passes. A pass runs a fixed number of decode steps for all its streams, and
-//! prefill work is added to it, so prefill lengthens the pauses of every stream on the engine.
+//! prefill work is added to it, so prefill widens the gaps between events of every stream
+//! on the engine.
 //! Short calls are therefore packed onto the first engines of an order that all boxes share; the
 //! number of these engines follows from the short calls in flight. Long prompts are split into
 //! chunks that the other engines prefill in parallel. Each of these engines serves one long prompt
@@ -20,7 +21,7 @@
 use crate::relay::engine_load::EngineUse;
 use crate::relay::engine_load::Work;
 use crate::relay::prefill_selector::ChunkLimits;
-use crate::relay::prefill_selector::LONG_STREAM_PAUSE;
+use crate::relay::prefill_selector::LONG_STREAM_MAX_GAP;
 use crate::relay::prefill_selector::MAX_EXCLUSIVE_CHUNK;
 use crate::relay::prefill_selector::PrefillSelector;
 use crate::relay::standing::Standing;
@@ -29,7 +30,7 @@
 /// engines.
 pub const MAX_HELPERS: usize = 16;
 /// Prefill time on one engine above which a prompt is long: more would make short streams exceed
-/// their pause limit.
+/// their gap limit.
 const MAX_SHORT_PREFILL: Duration = Duration::from_millis(200);
 /// Target prefill time of a long prompt's chunk where enough engines are free. Smaller chunks would
 /// prolong a pass on more engines.
@@ -38,14 +39,14 @@
 /// many boxes, provided its chunks stay short enough. Up to [`FRESH_BOXES`] boxes a prompt may take
 /// all free engines; with more, several boxes would choose the same ones.
 const MIN_FREE_ENGINE_FRACTION: f64 = 0.6;
-/// Maximum chunk of a prompt with little time left; more time allows larger chunks. The prompt waits
-/// until enough engines are free for it.
+/// Maximum chunk of a prompt with little time left; more time allows larger chunks. The prompt
+/// waits until enough engines are free for it.
 const BASE_MAX_CHUNK: Duration = Duration::from_millis(600);
 /// Fraction of the time until its first event is due that a prompt's prefill may take; the rest
 /// covers passes and other prefill work. Larger values need fewer free engines at once.
 const PREFILL_TIME_FRACTION: f64 = 0.8;
 /// One in this many engines serves a prompt that all engines together can't prefill in chunks of
-/// [`MAX_EXCLUSIVE_CHUNK`]. It is late in any case, and the other engines stay free for other calls.
+/// [`MAX_EXCLUSIVE_CHUNK`]. It is late in any case; the other engines stay free for other calls.
 const HUGE_PROMPT_ENGINE_DIVISOR: usize = 2;
 /// Target prefill time of a short call's chunk, which keeps the passes of short streams short.
 const SHORT_TARGET_CHUNK: Duration = Duration::from_millis(50);
@@ -69,8 +70,8 @@
 const MAX_HELPER_EXTRA_COST: Duration = Duration::from_millis(60);
 /// Cost of a round trip to another data hall, as time.
 const REMOTE_HALL_COST: Duration = Duration::from_millis(2);
-/// Extra cost of an engine that states a limit or sheds load, as time: the few calls that it accepts
-/// are kept for when other engines are full and for prompts that need it.
+/// Extra cost of an engine that states a limit or sheds load, as time: the few calls that it
+/// accepts are kept for when other engines are full and for prompts that need it.
 const LIMITED_COST: Duration = Duration::from_millis(250);
 /// Cost of an engine that accepts no calls now, as time: high enough that no call goes there
 /// while another engine accepts calls.
@@ -121,8 +122,8 @@
     /// Rank in this box's own order of engines; the orders differ so that boxes which choose at the
     /// same time choose different engines.
     pub preference: u32,
-    /// Whether the engine accepts calls of this box. It doesn't apply to chunks: the leader requests
-    /// these, and call limits don't count them.
+    /// Whether the engine accepts calls of this box. It doesn't apply to chunks: the leader
+    /// requests these, and call limits don't count them.
     pub standing: Standing,
 }
 
@@ -155,9 +156,9 @@
 pub struct LatencyTargets {
     /// Time until the first event is due.
     pub due_in: Duration,
-    /// Maximum pause between events, if the service states one.
+    /// Maximum gap between events, if the route states one.
     pub max_gap: Option<Duration>,
-    /// Smallest pause limit among the streams that the same engines decode.
+    /// Smallest gap limit among the streams that the same engines decode.
     pub tightest_gap: Option<Duration>,
     /// Maximum chunk of a large prompt that can't be on time; it uses as few engines as this chunk
     /// size allows. `None` for all other prompts.
@@ -196,11 +197,11 @@
 
 /// Whether a prompt is prefilled and decoded on the engines for long prompts.
 ///
-/// A stream with a tight pause limit is decoded among the short streams, however long its prompt is;
-/// only its prefill is spread over the other engines.
+/// A stream with a tight gap limit is decoded among the short streams, however long its prompt is.
+/// Only its prefill is spread over the other engines.
 pub fn is_long(model: &EngineModel, prompt: &PromptSize, max_gap: Option<Duration>) -> bool {
-    let tolerates_pauses = max_gap.is_none_or(|max_gap| max_gap >= LONG_STREAM_PAUSE);
-    tolerates_pauses && model.prefill_time(prompt.tokens) > MAX_SHORT_PREFILL
+    let tolerates_long_gaps = max_gap.is_none_or(|max_gap| max_gap >= LONG_STREAM_MAX_GAP);
+    tolerates_long_gaps && model.prefill_time(prompt.tokens) > MAX_SHORT_PREFILL
 }
 
 /// Number of engines, from the start of the shared order, reserved for short calls.
@@ -342,7 +343,7 @@
     let helpers = chunk_count(prefill, SHORT_TARGET_CHUNK).min(MAX_HELPERS + 1) - 1;
     if prefill > MAX_SHORT_PREFILL {
         // Engines outside the reserved ones prefill it. Reserved engines join where larger chunks
-        // would make their streams exceed the pause limit.
+        // would make their streams exceed the gap limit.
         let with_short_streams = ChunkLimits::new(model, targets.tightest_gap).with_short_streams;
         let needed = chunk_count(prefill, with_short_streams).min(MAX_HELPERS + 1) - 1;
         let outside = order
--- a/lib/src/relay/prefill_selector.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -1,7 +1,7 @@
 //! Selection of the engines that prefill a long prompt in parallel.
 //!
 //! All chunks of a prompt have the same size, so the engine with the smallest limit determines it.
-//! The limit of an engine follows from the streams that it decodes: they pause while a chunk is
+//! The limit of an engine follows from the streams that it decodes: they stall while a chunk is
 //! prefilled in the same pass.
 
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use crate::relay::engine_plan::EngineState;
 use crate::relay::standing::Standing;
 
-/// Pause limit from which a stream may be decoded on engines that prefill long chunks. It covers the
+/// Gap limit from which a stream may be decoded on engines that prefill long chunks. It covers the
 /// longest chunk, the decode steps of a pass and a second chunk that arrived with the first.
-pub(crate) const LONG_STREAM_PAUSE: Duration = Duration::from_millis(900);
+pub(crate) const LONG_STREAM_MAX_GAP: Duration = Duration::from_millis(900);
 /// Maximum chunk of a prompt with enough time, on engines that decode nothing. Large chunks let a
 /// large prompt start with fewer engines free at once.
 pub(crate) const MAX_EXCLUSIVE_CHUNK: Duration = Duration::from_millis(2_500);
-/// Fraction of the short streams' pause limit that one chunk may use; the rest is for chunks of
+/// Fraction of the short streams' gap limit that one chunk may use; the rest is for chunks of
 /// other calls that are prefilled in the same pass.
-const CHUNK_PAUSE_FRACTION: f64 = 0.75;
+const CHUNK_GAP_FRACTION: f64 = 0.75;
 /// Number of long streams at which an engine leads no further long prompt.
 const MAX_LONG_STREAMS: u16 = 4;
 
-/// Maximum prefill time of a chunk at which the streams on the same engine keep their pause limit.
+/// Maximum prefill time of a chunk at which the streams on the same engine keep their gap limit.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ChunkLimits {
     /// Limit with any number of streams of the strictest service.
@@ -37,11 +37,11 @@
     pub(crate) fn new(model: &EngineModel, tightest_gap: Option<Duration>) -> Self {
         let pass = model.pass_time(model.slots);
         let short = tightest_gap
-            .unwrap_or(LONG_STREAM_PAUSE)
+            .unwrap_or(LONG_STREAM_MAX_GAP)
             .saturating_sub(pass);
         Self {
-            with_short_streams: short.mul_f64(CHUNK_PAUSE_FRACTION),
-            with_long_streams: LONG_STREAM_PAUSE.saturating_sub(pass),
+            with_short_streams: short.mul_f64(CHUNK_GAP_FRACTION),
+            with_long_streams: LONG_STREAM_MAX_GAP.saturating_sub(pass),
         }
     }
 }
@@ -71,7 +71,7 @@
 impl PrefillSelector<'_> {
     /// Maximum chunk that an engine may prefill.
     ///
-    /// The limit with one short stream is the same as with many: exceeding one stream's pause limit
+    /// The limit with one short stream is the same as with many: exceeding one stream's gap limit
     /// costs more than a longer chunk gains.
     fn max_chunk(&self, index: usize) -> Duration {
         let load = &self.engines[index].load;
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -27,9 +27,9 @@
 };
 /// Short enough that the smallest maximum chunk applies.
 const DUE_IN: Duration = Duration::from_millis(500);
-const LONG_PAUSE: Option<Duration> = Some(Duration::from_secs(1));
-const SHORT_PAUSE: Option<Duration> = Some(Duration::from_millis(250));
-const MEDIUM_PAUSE: Option<Duration> = Some(Duration::from_millis(600));
+const LONG_GAP: Option<Duration> = Some(Duration::from_secs(1));
+const SHORT_GAP: Option<Duration> = Some(Duration::from_millis(250));
+const MEDIUM_GAP: Option<Duration> = Some(Duration::from_millis(600));
 
 fn idle_engines(count: usize) -> Vec<EngineState> {
     (0..count)
@@ -49,12 +49,12 @@
     }
 }
 
-/// Targets for engines whose strictest stream has a pause limit of 250 ms.
+/// Targets for engines whose strictest stream has a gap limit of 250 ms.
 const fn targets(due_in: Duration, max_gap: Option<Duration>) -> LatencyTargets {
     LatencyTargets {
         due_in,
         max_gap,
-        tightest_gap: SHORT_PAUSE,
+        tightest_gap: SHORT_GAP,
         late_chunk: None,
     }
 }
@@ -82,7 +82,7 @@
 }
 
 fn plan_due(engines: &[EngineState], tokens: u64, due_in: Duration) -> Option<EnginePlan> {
-    plan_with(engines, tokens, targets(due_in, LONG_PAUSE), 6)
+    plan_with(engines, tokens, targets(due_in, LONG_GAP), 6)
 }
 
 fn engines_of(plan: &EnginePlan) -> Vec<usize> {
@@ -97,7 +97,7 @@
     let mut engines = idle_engines(18);
     engines[0].load.short = 12;
 
-    let plan = plan(&engines, 5_000, SHORT_PAUSE).expect("there is room");
+    let plan = plan(&engines, 5_000, SHORT_GAP).expect("there is room");
 
     assert!(!plan.is_long);
     assert_eq!(
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_long_prompt_is_split_over_free_unreserved_engines() {
-    let plan = plan(&idle_engines(18), 154_000, LONG_PAUSE).expect("all engines are idle");
+    let plan = plan(&idle_engines(18), 154_000, LONG_GAP).expect("all engines are idle");
 
     assert!(plan.is_long && !plan.reserve_memory);
     assert!(
@@ -155,7 +155,7 @@
     let mut engines = idle_engines(18);
     engines[5].load.long_reads = 1;
 
-    let plan = plan(&engines, 154_000, LONG_PAUSE).expect("other engines are free");
+    let plan = plan(&engines, 154_000, LONG_GAP).expect("other engines are free");
 
     assert!(!engines_of(&plan).contains(&5));
 }
@@ -163,15 +163,15 @@
 /// 17 engines would prefill the prompt in chunks of 620 ms; a short stream there has a limit of
 /// 250 ms.
 #[test]
-fn a_long_chunk_does_not_pause_a_single_short_stream() {
+fn a_long_chunk_does_not_stall_a_single_short_stream() {
     let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short = 1;
     }
 
-    assert_eq!(plan(&engines, 310_000, LONG_PAUSE), None);
+    assert_eq!(plan(&engines, 310_000, LONG_GAP), None);
     assert!(
-        plan(&engines, 100_000, LONG_PAUSE).is_some(),
+        plan(&engines, 100_000, LONG_GAP).is_some(),
         "its chunks take 90 ms"
     );
 }
@@ -183,9 +183,9 @@
         engine.load.long_reads = 1;
     }
 
-    assert_eq!(plan(&engines, 154_000, LONG_PAUSE), None);
+    assert_eq!(plan(&engines, 154_000, LONG_GAP), None);
     assert!(
-        plan(&engines, 60_000, LONG_PAUSE).is_some(),
+        plan(&engines, 60_000, LONG_GAP).is_some(),
         "a smaller prompt needs fewer engines"
     );
 }
@@ -200,7 +200,7 @@
         engine.load.long_reads = 1;
     }
 
-    let small = plan(&engines, 100_000, LONG_PAUSE).expect("chunks of 200 ms fit");
+    let small = plan(&engines, 100_000, LONG_GAP).expect("chunks of 200 ms fit");
 
     assert!(
         small
@@ -209,7 +209,7 @@
             .all(|assignment| assignment.engine < 10)
     );
     assert_eq!(
-        plan(&engines, 310_000, LONG_PAUSE),
+        plan(&engines, 310_000, LONG_GAP),
         None,
         "nine engines, six of which decode, would prefill chunks of 1.2 s"
     );
@@ -233,7 +233,7 @@
     for engine in &mut engines[11..] {
         engine.load.long_reads = 1;
     }
-    let targets = targets(Duration::from_secs(3), LONG_PAUSE);
+    let targets = targets(Duration::from_secs(3), LONG_GAP);
 
     let plan = plan_with(&engines, 250_000, targets, 60);
 
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn chunks_next_to_short_streams_respect_their_pause_limit() {
+fn chunks_next_to_short_streams_respect_their_gap_limit() {
     let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short = 8;
@@ -267,18 +267,18 @@
             .iter()
             .all(|assignment| assignment.prefill < Duration::from_millis(150))
     );
-    assert_eq!(large, None, "chunks of 280 ms would exceed the pause limit");
+    assert_eq!(large, None, "chunks of 280 ms would exceed the gap limit");
 }
 
 #[test]
-fn a_larger_pause_limit_allows_larger_chunks() {
+fn a_larger_gap_limit_allows_larger_chunks() {
     let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short = 8;
     }
     let targets = LatencyTargets {
-        tightest_gap: MEDIUM_PAUSE,
-        ..targets(Duration::from_secs(3), LONG_PAUSE)
+        tightest_gap: MEDIUM_GAP,
+        ..targets(Duration::from_secs(3), LONG_GAP)
     };
 
     let plan = plan_with(&engines, 200_000, targets, 6);
@@ -288,13 +288,13 @@
 
 /// With many short calls most engines are reserved for these, and three are not.
 #[test]
-fn reserved_engines_share_a_prefill_that_would_exceed_the_pause_limit() {
+fn reserved_engines_share_a_prefill_that_would_exceed_the_gap_limit() {
     let mut engines = idle_engines(18);
     for engine in &mut engines[..15] {
         engine.load.short = 11;
     }
 
-    let plan = plan(&engines, 100_000, MEDIUM_PAUSE).expect("there is room");
+    let plan = plan(&engines, 100_000, MEDIUM_GAP).expect("there is room");
 
     assert!(
         plan.assignments
@@ -306,8 +306,8 @@
 }
 
 #[test]
-fn a_stream_with_a_tight_pause_limit_is_led_by_a_reserved_engine() {
-    let plan = plan(&idle_engines(18), 45_000, MEDIUM_PAUSE).expect("there is room");
+fn a_stream_with_a_tight_gap_limit_is_led_by_a_reserved_engine() {
+    let plan = plan(&idle_engines(18), 45_000, MEDIUM_GAP).expect("there is room");
 
     assert!(!plan.is_long);
     assert_eq!(plan.assignments[0].engine, 0);
@@ -321,7 +321,7 @@
 
 #[test]
 fn a_prompt_larger_than_one_engine_reserves_memory_on_all() {
-    let plan = plan(&idle_engines(18), 700_000, LONG_PAUSE).expect("all engines are idle");
+    let plan = plan(&idle_engines(18), 700_000, LONG_GAP).expect("all engines are idle");
 
     assert!(plan.reserve_memory);
     assert!(
@@ -343,8 +343,8 @@
         engine.load.memory_k = 299;
     }
 
-    assert_eq!(plan(&engines, 700_000, LONG_PAUSE), None);
-    assert_eq!(plan(&[], 5_000, SHORT_PAUSE), None);
+    assert_eq!(plan(&engines, 700_000, LONG_GAP), None);
+    assert_eq!(plan(&[], 5_000, SHORT_GAP), None);
 }
 
 #[test]
@@ -362,13 +362,13 @@
             };
         }
         let tokens = rng.random_range(1..1_000_000);
-        let max_gap = [SHORT_PAUSE, MEDIUM_PAUSE, LONG_PAUSE, None][rng.random_range(0..4)];
+        let max_gap = [SHORT_GAP, MEDIUM_GAP, LONG_GAP, None][rng.random_range(0..4)];
         let prompt = prompt(tokens);
         let boxes = rng.random_range(1..400);
         let targets = LatencyTargets {
             due_in: Duration::from_millis(rng.random_range(0..5_000)),
             max_gap,
-            tightest_gap: [SHORT_PAUSE, MEDIUM_PAUSE, None][rng.random_range(0..3)],
+            tightest_gap: [SHORT_GAP, MEDIUM_GAP, None][rng.random_range(0..3)],
             late_chunk: None,
         };
         let found = engine_plan::plan(&pool(&engines, boxes), &prompt, targets, &mut rng);
@@ -456,7 +456,7 @@
         engines[index].standing = Standing::Limited;
     }
 
-    let plan = plan(&engines, 154_000, LONG_PAUSE).expect("all engines are idle");
+    let plan = plan(&engines, 154_000, LONG_GAP).expect("all engines are idle");
 
     let used = engines_of(&plan);
     assert_eq!(engines[used[0]].standing, Standing::Open, "{used:?}");
@@ -478,7 +478,7 @@
         };
     }
 
-    let plan = plan(&engines, 154_000, LONG_PAUSE).expect("limited engines accept calls");
+    let plan = plan(&engines, 154_000, LONG_GAP).expect("limited engines accept calls");
 
     assert_eq!(
         engines[plan.assignments[0].engine].standing,
@@ -491,12 +491,12 @@
     let mut engines = idle_engines(4);
     engines[0].standing = Standing::Closed;
     engines[1].standing = Standing::Limited;
-    let with_free_engines = plan(&engines, 5_000, SHORT_PAUSE).expect("there is room");
+    let with_free_engines = plan(&engines, 5_000, SHORT_GAP).expect("there is room");
     for index in [2, 3] {
         engines[index].load.short = 16;
     }
 
-    let without_free_engines = plan(&engines, 5_000, SHORT_PAUSE).expect("there is room");
+    let without_free_engines = plan(&engines, 5_000, SHORT_GAP).expect("there is room");
 
     assert!(
         [2, 3].contains(&with_free_engines.assignments[0].engine),
@@ -514,7 +514,7 @@
     let chunk = Duration::from_millis(3_500);
     let late = LatencyTargets {
         late_chunk: Some(chunk),
-        ..targets(Duration::ZERO, LONG_PAUSE)
+        ..targets(Duration::ZERO, LONG_GAP)
     };
 
     let usual = plan_due(&engines, 300_000, Duration::ZERO).expect("engines are idle");
--- a/lib/tests/test_relay_largest_prompts.rs
+++ b/lib/tests/test_relay_largest_prompts.rs
@@ -1,4 +1,4 @@
-//! Guards against starvation of the largest prompts, in every simulated day and not only on average.
+//! Guards against starvation of the largest prompts, on every simulated day and on average.
 
 use badgerferry_lib::relay::cells::Scope;
 use badgerferry_lib::relay::served_shares::ServedShares;
@@ -9,8 +9,8 @@
 /// Index of the long prompts in the scenario's list of kinds.
 const LONG_KIND: usize = 2;
 
-/// Seeds of days on which the largest tenth had unfavourable random ranks, or arrived where only few
-/// engines prefill.
+/// Seeds of days on which the largest tenth had unfavourable random ranks, or arrived where only
+/// few engines prefill.
 const STARVATION_SEEDS_150: [u64; 3] = [4, 18, 22];
 const STARVATION_SEEDS_18: [u64; 4] = [9, 17, 49, 73];
 
--- a/lib/tests/test_relay_model.rs
+++ b/lib/tests/test_relay_model.rs
@@ -58,7 +58,8 @@
     assert_eq!(arrivals(fleet), arrivals(hall));
 }
 
-/// By the model, one engine of the scenario takes 1.0 s for 154,000 tokens plus 1.92 s for attention.
+/// By the model, one engine of the scenario needs 1.0 s for 154,000 tokens plus 1.92 s for their
+/// pairs.
 #[test]
 fn a_prompt_on_idle_engines_takes_the_modelled_prefill_time() {
     let one_engine_ms = 154_000.0 / 154.0 + 154_000.0 * 154_000.0 / 2.0 * 0.162e-6;
