--- a/testutils/src/relay_model/boxes.rs
+++ b/testutils/src/relay_model/boxes.rs
@@ -213,7 +213,7 @@
         };
         let targets = LatencyTargets {
             due_in: now.until(asked.due),
-            pause: Some(asked.pause),
+            max_gap: Some(asked.pause),
             tightest_gap: rules.tightest_gap,
             late_chunk: asked.late_chunk,
         };
@@ -224,7 +224,7 @@
     /// Enters a plan's work.
     pub(super) fn enter(&mut self, now: Time, planned: Planned) -> Placed {
         let Planned { plan, states, rows } = planned;
-        let entered = plan.assignments.iter().zip(plan.works(&states));
+        let entered = plan.assignments.iter().zip(plan.engine_work(&states));
         let works = entered.map(|(part, work)| self.loads.begin(now, rows[part.engine].0, work));
         let works = works.collect();
         let engines = plan
