--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -35,7 +35,7 @@
 /// How long a failed server is excluded before one call probes it.
 const EXCLUSION_TIME: Duration = Duration::from_millis(1_500);
 /// How long a server is excluded after another server reported it at fault: it is leaving, already
-/// helps as many other servers as it may, or is unreachable. Each call that uses it costs an attempt.
+/// helps as many other servers as it may, or is unreachable. Each use of it costs an attempt.
 const FAULT_EXCLUSION_TIME: Duration = Duration::from_secs(3);
 /// Maximum factor on `FAULT_EXCLUSION_TIME` for a server that is reported again after each
 /// exclusion: a leaving server keeps running for some seconds.
@@ -181,7 +181,7 @@
 impl ServerTracker {
     /// Records servers that leave or are gone according to a newer list; true if there are any.
     ///
-    /// Boxes that read the store announce departures with their next datagram. Otherwise other boxes
+    /// Boxes that read the store announce departures with their next datagram. Otherwise others
     /// keep choosing such servers: a long prompt was declined because one engine of its group had
     /// been known as leaving to other boxes for 0.3 s.
     pub fn record_departures(&mut self, now: Time, listed: &[ServerEntry]) -> bool {
--- a/lib/tests/server_entry.rs
+++ b/lib/tests/server_entry.rs
@@ -1,11 +1,11 @@
-//! A server as the tests of lists and books know it.
+//! Server entry shared by the tests of the server list and the server tracker.
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::relay::route_table::ServiceName;
 use badgerferry_lib::relay::server_list::ServerEntry;
 
-/// A server of the service `boards` in `hall-a`.
+/// An entry of the service `boards` in `hall-a`.
 pub fn server(name: &str) -> ServerEntry {
     ServerEntry {
         name: ServerName::new(name),
--- a/lib/tests/test_relay_era_model.rs
+++ b/lib/tests/test_relay_era_model.rs
@@ -1,5 +1,5 @@
-//! Boxes that follow a store which comes back from copies, by seeds: cuts, new boxes, servers that leave,
-//! end and start again.
+//! Seeded model of boxes that follow a store which is restored from backups, with network cuts,
+//! new boxes, and servers that leave, stop and restart.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,17 +23,17 @@
 use crate::server_entry::server;
 
 const BOXES: usize = 5;
-/// Boxes that ask the store themselves; the others pull from them.
+/// Number of boxes that read the store themselves; the others pull from them.
 const FOLLOWERS: usize = 2;
 const SERVERS: u64 = 4;
 const STEPS: u64 = 120;
 const STEP: Duration = Duration::from_millis(50);
-/// Steps after all is well again until all boxes must know all.
-const CALM_STEPS: u64 = 8;
-/// From the store's return until operators and servers have written again.
-const WRITTEN_AGAIN_AFTER: u64 = 6;
-/// The route table's key; servers' begin otherwise.
-const ROUTES: &str = "routes";
+/// Steps after the last fault within which all boxes must converge.
+const CONVERGENCE_STEPS: u64 = 8;
+/// Steps from a restore of the store until operators and servers have written their keys again.
+const REWRITE_DELAY_STEPS: u64 = 6;
+/// Key of the route table; keys of servers start differently.
+const ROUTES_KEY: &str = "routes";
 
 #[derive(Debug, Clone, PartialEq)]
 enum Value {
@@ -41,13 +41,13 @@
     Server(ServerEntry),
 }
 
-type Items = BTreeMap<String, Value>;
+type StoreContents = BTreeMap<String, Value>;
 
 #[derive(Debug, Clone, Default)]
 struct ModelStore {
     position: StorePosition,
-    items: Items,
-    /// Changes since the last return, and of the copy before it.
+    contents: StoreContents,
+    /// Changes since the last restore, and those contained in the backup.
     events: Vec<(StorePosition, String, Option<Value>)>,
 }
 
@@ -55,16 +55,16 @@
     fn write(&mut self, key: &str, value: Option<Value>) {
         self.position.revision += 1;
         match value.clone() {
-            Some(value) => self.items.insert(key.to_owned(), value),
-            None => self.items.remove(key),
+            Some(value) => self.contents.insert(key.to_owned(), value),
+            None => self.contents.remove(key),
         };
         self.events.push((self.position, key.to_owned(), value));
     }
 
-    /// Comes back as it was when it was copied.
-    fn return_from(&mut self, copy: &Self) {
+    /// Restores the contents of the backup under a new era.
+    fn restore(&mut self, backup: &Self) {
         let era = self.position.era + 1;
-        *self = copy.clone();
+        *self = backup.clone();
         self.position.era = era;
         self.events.iter_mut().for_each(|(at, ..)| at.era = era);
     }
@@ -77,8 +77,8 @@
     version: Option<u64>,
     reaches_store: bool,
     reaches_others: bool,
-    /// Lives that it knew to leave or to have ended while the store worked.
-    over: BTreeSet<ServerLife>,
+    /// Servers that it saw leave or stop while the store was available.
+    retired: BTreeSet<ServerLife>,
 }
 
 impl ModelBox {
@@ -90,27 +90,27 @@
         }
     }
 
-    fn known(&self) -> KnownState {
+    fn known_state(&self) -> KnownState {
         KnownState {
             routes: self.version,
             servers: self.servers.entries().position,
         }
     }
 
-    fn take_version(&mut self, version: u64) {
+    fn update_version(&mut self, version: u64) {
         self.version = self.version.max(Some(version));
     }
 
-    fn ask(&mut self, now: Time, store: &ModelStore) {
+    fn read_store(&mut self, now: Time, store: &ModelStore) {
         match self.cursor.next() {
-            StoreRead::Full => self.read_whole(now, store),
+            StoreRead::Full => self.read_full(now, store),
             StoreRead::ChangesSince(at) if !at.shares_era_with(store.position) => {
                 self.cursor.reset();
             }
             StoreRead::ChangesSince(at) => {
                 for (position, key, value) in &store.events {
                     if *position > at {
-                        self.take(now, *position, key, value.as_ref());
+                        self.apply_change(now, *position, key, value.as_ref());
                     }
                 }
                 self.cursor.advance_to(store.position);
@@ -118,14 +118,14 @@
         }
     }
 
-    fn read_whole(&mut self, now: Time, store: &ModelStore) {
+    fn read_full(&mut self, now: Time, store: &ModelStore) {
         let mut entries = ServerSnapshot {
             position: store.position,
             ..ServerSnapshot::default()
         };
-        for value in store.items.values() {
+        for value in store.contents.values() {
             match value {
-                Value::Version(version) => self.take_version(*version),
+                Value::Version(version) => self.update_version(*version),
                 Value::Server(server) => {
                     entries.servers.insert(server.name.clone(), server.clone());
                 }
@@ -135,12 +135,12 @@
         self.cursor.advance_to(store.position);
     }
 
-    fn take(&mut self, now: Time, at: StorePosition, key: &str, value: Option<&Value>) {
+    fn apply_change(&mut self, now: Time, at: StorePosition, key: &str, value: Option<&Value>) {
         match value {
-            Some(Value::Version(version)) => self.take_version(*version),
+            Some(Value::Version(version)) => self.update_version(*version),
             Some(Value::Server(server)) => {
                 if server.leaving {
-                    self.over.insert(server.life());
+                    self.retired.insert(server.life());
                 }
                 self.servers.put(at, server.clone());
             }
@@ -159,10 +159,10 @@
     rng: ChaCha8Rng,
     step: u64,
     store: ModelStore,
-    copy: ModelStore,
-    /// What operators and servers last wrote.
-    written: Items,
-    writes_again_at: Option<u64>,
+    backup: ModelStore,
+    /// Keys as last written by operators and servers.
+    written: StoreContents,
+    rewrite_at: Option<u64>,
     boxes: Vec<ModelBox>,
     born: u64,
     version: u64,
@@ -174,16 +174,16 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             step: 0,
             store: ModelStore::default(),
-            copy: ModelStore::default(),
-            written: Items::default(),
-            writes_again_at: None,
+            backup: ModelStore::default(),
+            written: StoreContents::default(),
+            rewrite_at: None,
             boxes: (0..BOXES).map(|_| ModelBox::new()).collect(),
             born: 0,
             version: 0,
         };
         run.new_version();
         (0..SERVERS).for_each(|at| run.start_server(at));
-        run.copy = run.store.clone();
+        run.backup = run.store.clone();
         run
     }
 
@@ -201,7 +201,7 @@
 
     fn new_version(&mut self) {
         self.version += 1;
-        self.write(ROUTES, Some(Value::Version(self.version)));
+        self.write(ROUTES_KEY, Some(Value::Version(self.version)));
     }
 
     fn start_server(&mut self, at: u64) {
@@ -214,7 +214,7 @@
         self.write(&name, Some(Value::Server(started)));
     }
 
-    fn leave(&mut self, at: u64) {
+    fn mark_leaving(&mut self, at: u64) {
         let name = format!("server-{at}");
         if let Some(Value::Server(server)) = self.written.get(&name).cloned() {
             let leaving = ServerEntry {
@@ -225,16 +225,16 @@
         }
     }
 
-    fn end_server(&mut self, at: u64) {
+    fn remove_server(&mut self, at: u64) {
         let name = format!("server-{at}");
         if self.written.contains_key(&name) {
             self.write(&name, None);
         }
     }
 
-    fn write_again(&mut self) {
-        let lost: Vec<String> = (self.store.items.keys().chain(self.written.keys()))
-            .filter(|key| self.store.items.get(*key) != self.written.get(*key))
+    fn rewrite_lost(&mut self) {
+        let lost: Vec<String> = (self.store.contents.keys().chain(self.written.keys()))
+            .filter(|key| self.store.contents.get(*key) != self.written.get(*key))
             .cloned()
             .collect();
         for key in lost.into_iter().collect::<BTreeSet<String>>() {
@@ -243,20 +243,20 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let at = self.rng.random_range(0..BOXES);
         let server = self.rng.random_range(0..SERVERS);
         match self.rng.random_range(0..14) {
             0 | 1 => self.new_version(),
             2 => self.start_server(server),
-            3 => self.leave(server),
-            4 => self.end_server(server),
-            5 => self.copy = self.store.clone(),
+            3 => self.mark_leaving(server),
+            4 => self.remove_server(server),
+            5 => self.backup = self.store.clone(),
             6 => {
-                self.store.return_from(&self.copy);
-                self.copy.position.era = self.store.position.era;
-                self.copy.events.clone_from(&self.store.events);
-                self.writes_again_at = Some(self.step + WRITTEN_AGAIN_AFTER);
+                self.store.restore(&self.backup);
+                self.backup.position.era = self.store.position.era;
+                self.backup.events.clone_from(&self.store.events);
+                self.rewrite_at = Some(self.step + REWRITE_DELAY_STEPS);
             }
             7 => self.boxes[at].reaches_store = false,
             8 => self.boxes[at].reaches_others = false,
@@ -265,18 +265,18 @@
             11 if self.rng.random_bool(0.2) => self.boxes[at] = ModelBox::new(),
             _ => {}
         }
-        if self.writes_again_at.is_some_and(|due| self.step >= due) {
-            self.writes_again_at = None;
-            self.write_again();
+        if self.rewrite_at.is_some_and(|due| self.step >= due) {
+            self.rewrite_at = None;
+            self.rewrite_lost();
         }
     }
 
-    fn boxes_learn(&mut self) {
+    fn sync_boxes(&mut self) {
         let now = self.now();
         for at in 0..BOXES {
-            let asks = at < FOLLOWERS || self.boxes[at].cursor.next() == StoreRead::Full;
-            if asks && self.boxes[at].reaches_store {
-                self.boxes[at].ask(now, &self.store);
+            let reads_store = at < FOLLOWERS || self.boxes[at].cursor.next() == StoreRead::Full;
+            if reads_store && self.boxes[at].reaches_store {
+                self.boxes[at].read_store(now, &self.store);
             }
         }
         for to in 0..BOXES {
@@ -285,101 +285,111 @@
                 self.pull(now, (first + next) % BOXES, to);
             }
         }
-        for of in &mut self.boxes {
-            of.servers.tick(now);
+        for model_box in &mut self.boxes {
+            model_box.servers.tick(now);
         }
     }
 
     fn pull(&mut self, now: Time, from: usize, to: usize) {
-        let reach = |at: usize| self.boxes[at].reaches_others;
-        let (have, theirs) = (self.boxes[to].known(), self.boxes[from].known());
-        if from == to || !reach(from) || !reach(to) || !have.lacks(theirs) {
+        let reaches_others = |at: usize| self.boxes[at].reaches_others;
+        let (own, theirs) = (self.boxes[to].known_state(), self.boxes[from].known_state());
+        if from == to || !reaches_others(from) || !reaches_others(to) || !own.lacks(theirs) {
             return;
         }
-        let news = self.boxes[from].servers.update_since(have.servers);
+        let update = self.boxes[from].servers.update_since(own.servers);
         let hold_remaining = self.boxes[from].servers.hold_remaining(now);
-        let of = &mut self.boxes[to];
-        of.servers.extend_hold(now, hold_remaining);
-        if let Some(news) = news {
-            of.servers.apply_update(now, news);
+        let model_box = &mut self.boxes[to];
+        model_box.servers.extend_hold(now, hold_remaining);
+        if let Some(update) = update {
+            model_box.servers.apply_update(now, update);
         }
         if let Some(version) = theirs.routes {
-            of.take_version(version);
+            model_box.update_version(version);
         }
         if to >= FOLLOWERS {
-            let known = of.known().servers;
-            of.cursor.raise_to(known);
+            let known = model_box.known_state().servers;
+            model_box.cursor.raise_to(known);
         }
     }
 
-    /// What must hold all the time.
-    fn check(&self, before: &[Option<u64>]) {
-        for (of, before) in self.boxes.iter().zip(before) {
-            assert!(of.version >= *before, "an older version came back");
-            let used = of.usable();
-            let back: Vec<_> = of.over.intersection(&used).collect();
-            assert!(back.is_empty(), "used again though over: {back:?}");
+    /// Invariants that hold after every step.
+    fn check_invariants(&self, before: &[Option<u64>]) {
+        for (model_box, before) in self.boxes.iter().zip(before) {
+            assert!(
+                model_box.version >= *before,
+                "route table version went back"
+            );
+            let usable = model_box.usable();
+            let revived: Vec<_> = model_box.retired.intersection(&usable).collect();
+            assert!(
+                revived.is_empty(),
+                "retired servers in use again: {revived:?}"
+            );
         }
     }
 
-    fn steps(&mut self, steps: u64, has_trouble: bool) {
+    fn run_steps(&mut self, steps: u64, with_faults: bool) {
         for _ in 0..steps {
             self.step += 1;
-            if has_trouble {
-                self.trouble();
+            if with_faults {
+                self.inject_fault();
             }
-            let is_same = |of: &ModelBox| of.version;
-            let before: Vec<Option<u64>> = self.boxes.iter().map(is_same).collect();
-            self.boxes_learn();
-            self.check(&before);
+            let version = |model_box: &ModelBox| model_box.version;
+            let before: Vec<Option<u64>> = self.boxes.iter().map(version).collect();
+            self.sync_boxes();
+            self.check_invariants(&before);
         }
     }
 
-    /// What must hold once all reach the store and each other, and all was written again.
-    fn check_known(&self) {
+    /// Final state once all boxes reach the store and each other, and all keys were written again.
+    fn check_converged(&self) {
         let listed = self.written.values().filter_map(|value| match value {
             Value::Server(server) if !server.leaving => Some(server.life()),
             _ => None,
         });
-        let lives: BTreeSet<ServerLife> = listed.collect();
-        for (at, of) in self.boxes.iter().enumerate() {
-            assert_eq!(of.version, Some(self.version), "box {at}");
-            assert_eq!(of.usable(), lives, "box {at}");
+        let expected: BTreeSet<ServerLife> = listed.collect();
+        for (at, model_box) in self.boxes.iter().enumerate() {
+            assert_eq!(model_box.version, Some(self.version), "box {at}");
+            assert_eq!(model_box.usable(), expected, "box {at}");
         }
     }
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let mut run = Run::new(seed);
-    run.steps(STEPS, true);
-    run.write_again();
-    for of in &mut run.boxes {
-        (of.reaches_store, of.reaches_others) = (true, true);
+    run.run_steps(STEPS, true);
+    run.rewrite_lost();
+    for model_box in &mut run.boxes {
+        (model_box.reaches_store, model_box.reaches_others) = (true, true);
     }
     run.new_version();
-    let held = HOLD_AFTER_RECOVERY.as_millis() / STEP.as_millis();
-    run.steps(CALM_STEPS, false);
-    for (at, of) in run.boxes.iter().enumerate() {
-        assert_eq!(of.version, Some(run.version), "box {at} is late");
+    let hold_steps = HOLD_AFTER_RECOVERY.as_millis() / STEP.as_millis();
+    run.run_steps(CONVERGENCE_STEPS, false);
+    for (at, model_box) in run.boxes.iter().enumerate() {
+        assert_eq!(
+            model_box.version,
+            Some(run.version),
+            "box {at} lacks the newest version"
+        );
     }
-    run.steps(held as u64 + CALM_STEPS, false);
-    run.check_known();
+    run.run_steps(hold_steps as u64 + CONVERGENCE_STEPS, false);
+    run.check_converged();
 }
 
-/// By hand: `BADGERFERRY_ERA_SEEDS=100000`.
+/// Number of seeds; `BADGERFERRY_ERA_SEEDS=100000` overrides the default for long runs.
 fn seeds() -> u64 {
-    let asked = std::env::var("BADGERFERRY_ERA_SEEDS").ok();
-    asked.and_then(|text| text.parse().ok()).unwrap_or(1_000)
+    let text = std::env::var("BADGERFERRY_ERA_SEEDS").ok();
+    text.and_then(|text| text.parse().ok()).unwrap_or(1_000)
 }
 
 #[test]
 fn boxes_know_the_newest_state_whatever_copies_the_store_comes_back_from() {
-    let (_, broken) = badgerferry_testutils::seeds::run_seeds(0..seeds(), play);
+    let (_, failed) = badgerferry_testutils::seeds::run_seeds(0..seeds(), run_seed);
 
     assert!(
-        broken.is_empty(),
+        failed.is_empty(),
         "{} seeds: {:?}",
-        broken.len(),
-        &broken[..broken.len().min(10)]
+        failed.len(),
+        &failed[..failed.len().min(10)]
     );
 }
--- a/lib/tests/test_relay_route_table.rs
+++ b/lib/tests/test_relay_route_table.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and weights of one version of what operators want.
+//! Look-ups of routes and API keys, and the choice of services by weight.
 
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_and_the_host_may_carry_a_port() {
+fn longest_prefix_wins_and_host_port_is_ignored() {
     let index = index(
         vec![route("/a/", &[("x", 1)]), route("/a/b/", &[("y", 1)])],
         &[],
@@ -66,7 +66,7 @@
 
     let found = index
         .route("HOST.example:8080", "/a/b/c")
-        .expect("there is a route");
+        .expect("route matches");
 
     assert_eq!(found.path_prefix, "/a/b/");
     assert_eq!(
@@ -80,52 +80,50 @@
 }
 
 #[test]
-fn a_key_is_needed_unless_the_route_is_public() {
-    let mut open = route("/open/", &[("x", 1)]);
-    open.public = true;
-    let index = index(vec![route("/a/", &[("x", 1)]), open], &["secret"]);
-    let closed = index
-        .route("host.example", "/a/")
-        .expect("there is a route");
+fn key_is_required_unless_route_is_public() {
+    let mut public = route("/open/", &[("x", 1)]);
+    public.public = true;
+    let index = index(vec![route("/a/", &[("x", 1)]), public], &["secret"]);
+    let private = index.route("host.example", "/a/").expect("route matches");
     let open = index
         .route("host.example", "/open/")
-        .expect("there is a route");
+        .expect("route matches");
 
     let principal = index
-        .principal(closed, Some("secret"))
-        .expect("the key is known");
+        .principal(private, Some("secret"))
+        .expect("key is known");
 
     assert_eq!(
         principal.map(|h| h.workspace.as_str()),
         Some("workspace of secret")
     );
-    assert_eq!(index.principal(closed, None), Err(Denied::NoKey));
-    assert_eq!(index.principal(closed, Some("other")), Err(Denied::NoKey));
+    assert_eq!(index.principal(private, None), Err(Denied::NoKey));
+    assert_eq!(index.principal(private, Some("other")), Err(Denied::NoKey));
     assert_eq!(index.principal(open, None), Ok(None));
 }
 
 #[test]
-fn weights_split_calls() {
+fn target_is_chosen_by_weight() {
     let route = route("/a/", &[("x", 90), ("y", 10)]);
 
-    let drawn: Vec<&str> = [0.0, 0.89, 0.91, 0.999]
-        .map(|at| route.target(at).as_str())
+    let chosen: Vec<&str> = [0.0, 0.89, 0.91, 0.999]
+        .map(|sample| route.target(sample).as_str())
         .to_vec();
 
-    assert_eq!(drawn, ["x", "x", "y", "y"]);
+    assert_eq!(chosen, ["x", "x", "y", "y"]);
 }
 
 #[test]
-fn the_most_urgent_streams_of_a_service_are_known() {
-    let mut patient = route("/a/", &[("x", 1), ("y", 1)]);
-    patient.max_gap = Some(Duration::from_secs(1));
-    let mut urgent = route("/b/", &[("x", 1)]);
-    urgent.max_gap = Some(Duration::from_millis(250));
-    let index = index(vec![patient, urgent, route("/c/", &[("z", 1)])], &[]);
-
-    let least = |service: &str| index.tightest_gap(&ServiceName::new(service));
-
-    assert_eq!(least("x"), Some(Duration::from_millis(250)));
-    assert_eq!(least("y"), Some(Duration::from_secs(1)));
-    assert_eq!(least("z"), None, "it has no streams");
+fn tightest_gap_is_smallest_of_all_routes_to_service() {
+    let mut lenient = route("/a/", &[("x", 1), ("y", 1)]);
+    lenient.max_gap = Some(Duration::from_secs(1));
+    let mut strict = route("/b/", &[("x", 1)]);
+    strict.max_gap = Some(Duration::from_millis(250));
+    let index = index(vec![lenient, strict, route("/c/", &[("z", 1)])], &[]);
+
+    let tightest = |service: &str| index.tightest_gap(&ServiceName::new(service));
+
+    assert_eq!(tightest("x"), Some(Duration::from_millis(250)));
+    assert_eq!(tightest("y"), Some(Duration::from_secs(1)));
+    assert_eq!(tightest("z"), None, "no route to z has a maximum gap");
 }
--- a/lib/tests/test_relay_server_list.rs
+++ b/lib/tests/test_relay_server_list.rs
@@ -1,4 +1,4 @@
-//! Which servers live, from the store and from neighbours.
+//! Server list as read from the store and updated by peers.
 
 use std::time::Duration;
 
@@ -36,13 +36,17 @@
 }
 
 fn names(list: &ServerList) -> Vec<String> {
-    let mut names: Vec<String> = list.servers().iter().map(|s| s.name.to_string()).collect();
+    let mut names: Vec<String> = list
+        .servers()
+        .iter()
+        .map(|server| server.name.to_string())
+        .collect();
     names.sort();
     names
 }
 
 #[test]
-fn a_server_whose_entry_goes_while_the_store_works_is_gone() {
+fn entry_removed_while_store_is_available_removes_server() {
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries(1, &["a", "b"]));
 
@@ -56,19 +60,19 @@
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries(1, &["a", "b"]));
     list.store_unavailable();
-    let back = Time::from_millis(9_000);
-    list.store_available(back);
+    let recovered_at = Time::from_millis(9_000);
+    list.store_available(recovered_at);
 
-    list.replace(back, entries(7, &["b"]));
+    list.replace(recovered_at, entries(7, &["b"]));
     let held = names(&list);
-    list.tick(back + HOLD_AFTER_RECOVERY);
+    list.tick(recovered_at + HOLD_AFTER_RECOVERY);
 
     assert_eq!(held, ["a", "b"]);
     assert_eq!(names(&list), ["b"]);
 }
 
 #[test]
-fn an_entry_that_returns_is_no_longer_held() {
+fn reappearing_entry_is_no_longer_held() {
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries(1, &["a"]));
     list.store_unavailable();
@@ -98,7 +102,7 @@
 }
 
 #[test]
-fn older_entries_never_move_the_list_back() {
+fn older_snapshot_is_ignored() {
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries(5, &["a"]));
 
@@ -108,50 +112,47 @@
 }
 
 #[test]
-fn a_box_that_is_behind_is_told_only_what_changed() {
-    let mut teller = ServerList::default();
-    teller.replace(Time::ZERO, entries(5, &["a", "b"]));
-    let mut told = ServerList::default();
-    told.replace(Time::ZERO, entries(5, &["a", "b"]));
-    teller.put(at(6), server("c"));
-    teller.remove(Time::ZERO, at(7), &ServerName::new("a"));
-
-    let news = teller.update_since(at(5)).expect("it is behind");
-    told.apply_update(Time::ZERO, news.clone());
-
-    let ServerUpdate::Delta(changes) = news else {
-        panic!("all was told");
+fn box_that_is_behind_gets_delta() {
+    let mut sender = ServerList::default();
+    sender.replace(Time::ZERO, entries(5, &["a", "b"]));
+    let mut receiver = ServerList::default();
+    receiver.replace(Time::ZERO, entries(5, &["a", "b"]));
+    sender.put(at(6), server("c"));
+    sender.remove(Time::ZERO, at(7), &ServerName::new("a"));
+
+    let update = sender.update_since(at(5)).expect("receiver is behind");
+    receiver.apply_update(Time::ZERO, update.clone());
+
+    let ServerUpdate::Delta(changes) = update else {
+        panic!("expected a delta, got a snapshot");
     };
     assert_eq!((changes.upserted.len(), changes.removed.len()), (1, 1));
-    assert_eq!(told.entries(), teller.entries());
-    assert_eq!(teller.update_since(at(7)), None);
+    assert_eq!(receiver.entries(), sender.entries());
+    assert_eq!(sender.update_since(at(7)), None);
 }
 
 #[test]
-fn a_box_that_is_too_far_behind_is_told_everything() {
-    let mut teller = ServerList::default();
-    teller.replace(Time::ZERO, entries(5, &["a", "b"]));
+fn box_that_is_far_behind_gets_snapshot() {
+    let mut sender = ServerList::default();
+    sender.replace(Time::ZERO, entries(5, &["a", "b"]));
     for revision in 6..4_000 {
-        teller.put(at(revision), server("c"));
+        sender.put(at(revision), server("c"));
     }
 
-    let before_the_last_read = teller.update_since(at(4));
-    let before_what_is_remembered = teller.update_since(at(10));
-    let lately = teller.update_since(at(3_990));
+    let before_snapshot = sender.update_since(at(4));
+    let before_kept_changes = sender.update_since(at(10));
+    let recent = sender.update_since(at(3_990));
 
+    assert!(matches!(before_snapshot, Some(ServerUpdate::Snapshot(_))));
     assert!(matches!(
-        before_the_last_read,
+        before_kept_changes,
         Some(ServerUpdate::Snapshot(_))
     ));
-    assert!(matches!(
-        before_what_is_remembered,
-        Some(ServerUpdate::Snapshot(_))
-    ));
-    assert!(matches!(lately, Some(ServerUpdate::Delta(_))));
+    assert!(matches!(recent, Some(ServerUpdate::Delta(_))));
 }
 
 #[test]
-fn changes_pass_through_a_box_that_was_told_of_them() {
+fn deltas_are_forwarded_through_intermediate_box() {
     let mut first = ServerList::default();
     first.replace(Time::ZERO, entries(5, &["a"]));
     let (mut second, mut third) = (ServerList::default(), ServerList::default());
@@ -159,48 +160,50 @@
     third.replace(Time::ZERO, entries(5, &["a"]));
     for revision in 6..9 {
         first.put(at(revision), server("b"));
-        let news = first.update_since(at(revision - 1)).expect("it is behind");
-        second.apply_update(Time::ZERO, news);
+        let update = first
+            .update_since(at(revision - 1))
+            .expect("receiver is behind");
+        second.apply_update(Time::ZERO, update);
     }
 
-    let news = second.update_since(at(5)).expect("it is behind");
-    third.apply_update(Time::ZERO, news);
+    let update = second.update_since(at(5)).expect("receiver is behind");
+    third.apply_update(Time::ZERO, update);
 
     assert_eq!(third.entries(), first.entries());
 }
 
 #[test]
-fn old_news_never_move_the_list_back() {
-    let mut teller = ServerList::default();
-    teller.replace(Time::ZERO, entries(5, &["a"]));
-    teller.put(at(6), server("b"));
-    let old = teller.update_since(at(5)).expect("there is news");
+fn older_delta_is_ignored() {
+    let mut sender = ServerList::default();
+    sender.replace(Time::ZERO, entries(5, &["a"]));
+    sender.put(at(6), server("b"));
+    let older = sender.update_since(at(5)).expect("receiver is behind");
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries(9, &["c"]));
 
-    list.apply_update(Time::ZERO, old);
+    list.apply_update(Time::ZERO, older);
 
     assert_eq!(names(&list), ["c"]);
 }
 
 #[test]
-fn a_server_that_went_by_a_neighbours_word_is_held_as_long_as_there() {
-    let mut teller = ServerList::default();
-    teller.replace(Time::ZERO, entries(5, &["a", "b"]));
-    let mut told = ServerList::default();
-    told.replace(Time::ZERO, entries(5, &["a", "b"]));
-    teller.remove(Time::ZERO, at(6), &ServerName::new("a"));
-
-    told.extend_hold(Time::ZERO, Duration::from_secs(1));
-    told.apply_update(
+fn removal_from_peer_is_held_as_long_as_at_peer() {
+    let mut sender = ServerList::default();
+    sender.replace(Time::ZERO, entries(5, &["a", "b"]));
+    let mut receiver = ServerList::default();
+    receiver.replace(Time::ZERO, entries(5, &["a", "b"]));
+    sender.remove(Time::ZERO, at(6), &ServerName::new("a"));
+
+    receiver.extend_hold(Time::ZERO, Duration::from_secs(1));
+    receiver.apply_update(
         Time::ZERO,
-        teller.update_since(at(5)).expect("it is behind"),
+        sender.update_since(at(5)).expect("receiver is behind"),
     );
-    let held = names(&told);
-    told.tick(Time::from_millis(1_001));
+    let held = names(&receiver);
+    receiver.tick(Time::from_millis(1_001));
 
     assert_eq!(held, ["a", "b"]);
-    assert_eq!(names(&told), ["b"]);
+    assert_eq!(names(&receiver), ["b"]);
 }
 
 #[test]
@@ -218,9 +221,9 @@
     assert!(list.servers().iter().all(|server| !server.leaving));
 }
 
-/// A store that comes back from a copy gives revisions out again.
+/// A store that is restored from a backup assigns the same revisions again.
 #[test]
-fn entries_of_a_newer_era_are_taken_though_their_revision_is_lower() {
+fn snapshot_of_newer_era_with_lower_revision_is_applied() {
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries_at(in_era(1, 56), &["a"]));
 
@@ -232,7 +235,7 @@
 }
 
 #[test]
-fn changes_of_another_era_are_ignored() {
+fn changes_of_other_era_are_ignored() {
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries_at(in_era(2, 52), &["a"]));
 
@@ -245,58 +248,58 @@
 }
 
 #[test]
-fn a_box_of_an_older_era_is_told_everything_and_none_of_a_newer_one_is_told() {
-    let mut teller = ServerList::default();
-    teller.replace(Time::ZERO, entries_at(in_era(2, 5), &["a"]));
-    teller.put(in_era(2, 6), server("b"));
+fn box_of_older_era_gets_snapshot_and_box_of_newer_era_nothing() {
+    let mut sender = ServerList::default();
+    sender.replace(Time::ZERO, entries_at(in_era(2, 5), &["a"]));
+    sender.put(in_era(2, 6), server("b"));
 
     assert!(matches!(
-        teller.update_since(in_era(1, 90)),
+        sender.update_since(in_era(1, 90)),
         Some(ServerUpdate::Snapshot(_))
     ));
-    assert_eq!(teller.update_since(in_era(3, 1)), None);
+    assert_eq!(sender.update_since(in_era(3, 1)), None);
 }
 
 #[test]
-fn a_server_that_a_copy_lacks_is_held_until_it_had_time_to_write_again() {
+fn server_missing_in_backup_is_held_after_restore() {
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries_at(in_era(1, 9), &["a", "b"]));
-    let back = Time::from_millis(5_000);
+    let recovered_at = Time::from_millis(5_000);
 
-    list.replace(back, entries_at(in_era(2, 4), &["a"]));
+    list.replace(recovered_at, entries_at(in_era(2, 4), &["a"]));
     let held = names(&list);
-    list.tick(back + HOLD_AFTER_RECOVERY);
+    list.tick(recovered_at + HOLD_AFTER_RECOVERY);
 
     assert_eq!(held, ["a", "b"]);
     assert_eq!(names(&list), ["a"]);
 }
 
 #[test]
-fn a_copy_brings_no_server_back_that_ended_or_leaves() {
+fn backup_does_not_revive_retired_servers() {
     let mut list = ServerList::default();
     list.replace(
         Time::ZERO,
-        entries_at(in_era(1, 9), &["ended", "leaves", "lives"]),
+        entries_at(in_era(1, 9), &["gone", "leaving", "alive"]),
     );
-    list.remove(Time::ZERO, in_era(1, 10), &ServerName::new("ended"));
+    list.remove(Time::ZERO, in_era(1, 10), &ServerName::new("gone"));
     let leaving = ServerEntry {
         leaving: true,
-        ..server("leaves")
+        ..server("leaving")
     };
     list.put(in_era(1, 11), leaving);
 
     list.replace(
         Time::ZERO,
-        entries_at(in_era(2, 9), &["ended", "leaves", "lives"]),
+        entries_at(in_era(2, 9), &["gone", "leaving", "alive"]),
     );
 
     let usable = list.servers().into_iter().filter(|server| !server.leaving);
     let usable: Vec<String> = usable.map(|server| server.name.to_string()).collect();
-    assert_eq!(usable, ["lives"]);
+    assert_eq!(usable, ["alive"]);
 }
 
 #[test]
-fn a_server_that_writes_its_entry_after_a_return_is_used() {
+fn server_that_writes_entry_after_restore_is_used() {
     let mut list = ServerList::default();
     list.replace(Time::ZERO, entries_at(in_era(1, 9), &["a"]));
     list.remove(Time::ZERO, in_era(1, 10), &ServerName::new("a"));
@@ -307,7 +310,7 @@
     assert!(list.servers().iter().all(|server| !server.leaving));
 }
 
-/// A box that was told by another one of the new era reads the store in that era once more.
+/// A box that got the new era from a peer reads the store again in the same era.
 #[test]
 fn a_copy_that_is_read_twice_brings_no_server_back() {
     let mut list = ServerList::default();
--- a/lib/tests/test_relay_server_tracker.rs
+++ b/lib/tests/test_relay_server_tracker.rs
@@ -1,4 +1,4 @@
-//! What a box knows of each server, and which one takes a call.
+//! Exclusion and choice of servers by one box.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +16,8 @@
 
 use crate::server_entry::server;
 
-/// Servers that say nothing of the calls they take.
-const fn open(_life: ServerLife) -> Standing {
+/// Availability of servers that state no limits.
+const fn always_open(_life: ServerLife) -> Standing {
     Standing::Open
 }
 
@@ -27,38 +27,38 @@
     tracker
 }
 
-fn picks(tracker: &ServerTracker, now: Time, tried: &[ServerName]) -> BTreeMap<String, u32> {
+fn pick_counts(tracker: &ServerTracker, now: Time, tried: &[ServerName]) -> BTreeMap<String, u32> {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut counts = BTreeMap::new();
     for _ in 0..200 {
         let hall = HallName::new("hall-a");
-        let usable = tracker.usable(now, &ServiceName::new("boards"), tried, open);
+        let usable = tracker.usable(now, &ServiceName::new("boards"), tried, always_open);
         let picked = ServerTracker::pick(now, usable, &hall, &mut rng);
-        let name = picked.expect("there are servers").info.name.to_string();
+        let name = picked.expect("a server is available").info.name.to_string();
         *counts.entry(name).or_default() += 1;
     }
     counts
 }
 
 #[test]
-fn an_unreachable_server_rests_and_is_tried_again() {
+fn unreachable_server_is_excluded_and_then_probed() {
     let mut tracker = tracker(&["a", "b"]);
     let a = ServerName::new("a");
     tracker.call_sent(Time::ZERO, &a);
     tracker.call_ended(Time::ZERO, &a, ServerOutcome::Unreachable);
 
-    let at_once = picks(&tracker, Time::from_millis(10), &[]);
+    let right_after = pick_counts(&tracker, Time::from_millis(10), &[]);
 
-    assert_eq!(at_once.keys().collect::<Vec<_>>(), ["b"]);
+    assert_eq!(right_after.keys().collect::<Vec<_>>(), ["b"]);
     assert!(
         !tracker
             .get(&a)
-            .expect("known")
+            .expect("server is listed")
             .is_excluded(Time::from_millis(5_000))
     );
 }
 
-fn server_in(name: &str, hall: &str) -> ServerEntry {
+fn server_in_hall(name: &str, hall: &str) -> ServerEntry {
     ServerEntry {
         hall: HallName::new(hall),
         address: format!("{name}:1"),
@@ -66,51 +66,54 @@
     }
 }
 
-fn silent(tracker: &mut ServerTracker, name: &str, at: u64) {
+fn connect_timeout(tracker: &mut ServerTracker, name: &str, at: u64) {
     let name = ServerName::new(name);
     tracker.call_sent(Time::from_millis(at), &name);
     tracker.call_ended(Time::from_millis(at), &name, ServerOutcome::ConnectTimeout);
 }
 
 #[test]
-fn a_hall_whose_servers_stay_silent_rests_as_a_whole_and_is_tried_by_one_call() {
+fn connect_timeouts_exclude_whole_hall_and_one_call_probes_it() {
     let names = ["b1", "b2", "b3", "b4"];
-    let mut rows: Vec<ServerEntry> = names.iter().map(|name| server_in(name, "hall-b")).collect();
-    rows.push(server_in("a1", "hall-a"));
+    let mut servers: Vec<ServerEntry> = names
+        .iter()
+        .map(|name| server_in_hall(name, "hall-b"))
+        .collect();
+    servers.push(server_in_hall("a1", "hall-a"));
     let mut tracker = ServerTracker::default();
-    tracker.set_servers(rows);
+    tracker.set_servers(servers);
     for (name, at) in [("b1", 1), ("b2", 2), ("b3", 3)] {
-        silent(&mut tracker, name, at);
+        connect_timeout(&mut tracker, name, at);
     }
 
-    let cut = picks(&tracker, Time::from_millis(10), &[]);
+    let excluded = pick_counts(&tracker, Time::from_millis(10), &[]);
     let later = Time::from_millis(1_100);
-    let usable = tracker
-        .usable(later, &ServiceName::new("boards"), &[], open)
+    let before_probe = tracker
+        .usable(later, &ServiceName::new("boards"), &[], always_open)
         .len();
     tracker.call_sent(later, &ServerName::new("b4"));
-    let while_tried = tracker
-        .usable(later, &ServiceName::new("boards"), &[], open)
+    let during_probe = tracker
+        .usable(later, &ServiceName::new("boards"), &[], always_open)
         .len();
     tracker.call_answered(later, &ServerName::new("b4"));
-    let after = tracker
-        .usable(later, &ServiceName::new("boards"), &[], open)
+    let after_probe = tracker
+        .usable(later, &ServiceName::new("boards"), &[], always_open)
         .len();
 
-    assert_eq!(cut.keys().collect::<Vec<_>>(), ["a1"]);
-    assert_eq!((usable, while_tried, after), (2, 1, 2));
+    assert_eq!(excluded.keys().collect::<Vec<_>>(), ["a1"]);
+    assert_eq!((before_probe, during_probe, after_probe), (2, 1, 2));
 }
 
 #[test]
-fn silent_servers_among_answering_ones_do_not_make_their_hall_rest() {
+fn connect_timeouts_among_responses_do_not_exclude_hall() {
     let mut tracker = ServerTracker::default();
     tracker.set_servers(
         ["b1", "b2", "b3", "b4"]
-            .map(|name| server_in(name, "hall-b"))
+            .map(|name| server_in_hall(name, "hall-b"))
             .to_vec(),
     );
     for (name, at) in [("b1", 1), ("b2", 2), ("b3", 3)] {
-        silent(&mut tracker, name, at);
+        connect_timeout(&mut tracker, name, at);
         tracker.call_answered(Time::from_millis(at), &ServerName::new("b4"));
     }
 
@@ -118,18 +121,18 @@
         Time::from_millis(10),
         &ServiceName::new("boards"),
         &[],
-        open,
+        always_open,
     );
 
     assert_eq!(usable.len(), 1);
 }
 
-fn book_of_two_halls() -> ServerTracker {
+fn tracker_of_two_halls() -> ServerTracker {
     let mut tracker = ServerTracker::default();
     tracker.set_servers(vec![
-        server_in("a1", "hall-a"),
-        server_in("b1", "hall-b"),
-        server_in("b2", "hall-b"),
+        server_in_hall("a1", "hall-a"),
+        server_in_hall("b1", "hall-b"),
+        server_in_hall("b2", "hall-b"),
     ]);
     tracker
 }
@@ -139,11 +142,11 @@
         Time::from_millis(at),
         &ServiceName::new("boards"),
         &[],
-        open,
+        always_open,
     );
     let mut names: Vec<String> = usable
         .iter()
-        .map(|(row, _)| row.info.name.to_string())
+        .map(|(record, _)| record.info.name.to_string())
         .collect();
     names.sort();
     names
@@ -152,43 +155,49 @@
 #[test]
 fn a_server_at_fault_rests_at_the_boxes_that_are_told_of_it() {
     let (here, there) = (HallName::new("hall-a"), HallName::new("hall-b"));
-    let mut teller = book_of_two_halls();
-    let mut told = book_of_two_halls();
-    let address = teller
+    let mut reporter = tracker_of_two_halls();
+    let mut receiver = tracker_of_two_halls();
+    let address = reporter
         .get(&ServerName::new("b1"))
-        .expect("known")
+        .expect("server is listed")
         .info
         .address
         .clone();
 
-    teller.record_fault(Time::ZERO, &address);
-    let faults = teller.recent_faults(Time::from_millis(100));
-    told.apply_faults(Time::from_millis(100), &here, &there, &faults);
+    reporter.record_fault(Time::ZERO, &address);
+    let faults = reporter.recent_faults(Time::from_millis(100));
+    receiver.apply_faults(Time::from_millis(100), &here, &there, &faults);
 
-    assert_eq!(usable_names(&told, 200), ["a1", "b2"]);
-    assert_eq!(usable_names(&told, 3_200), ["a1", "b1", "b2"]);
-    assert_eq!(teller.recent_faults(Time::from_millis(1_100)), []);
+    assert_eq!(usable_names(&receiver, 200), ["a1", "b2"]);
+    assert_eq!(usable_names(&receiver, 3_200), ["a1", "b1", "b2"]);
+    assert_eq!(reporter.recent_faults(Time::from_millis(1_100)), []);
 }
 
 #[test]
-fn another_halls_box_is_not_believed_about_servers_that_it_reaches_from_afar() {
+fn faults_outside_reporters_hall_are_ignored_from_other_halls() {
     let (here, there) = (HallName::new("hall-a"), HallName::new("hall-b"));
-    let mut tracker = book_of_two_halls();
-    let far = tracker.get(&ServerName::new("a1")).expect("known").key;
+    let mut tracker = tracker_of_two_halls();
+    let server_a1 = tracker
+        .get(&ServerName::new("a1"))
+        .expect("server is listed")
+        .key;
 
-    tracker.apply_faults(Time::ZERO, &here, &there, &[far]);
-    let from_afar = usable_names(&tracker, 10);
-    tracker.apply_faults(Time::ZERO, &here, &here, &[far]);
+    tracker.apply_faults(Time::ZERO, &here, &there, &[server_a1]);
+    let after_remote_report = usable_names(&tracker, 10);
+    tracker.apply_faults(Time::ZERO, &here, &here, &[server_a1]);
 
-    assert_eq!(from_afar, ["a1", "b1", "b2"]);
+    assert_eq!(after_remote_report, ["a1", "b1", "b2"]);
     assert_eq!(usable_names(&tracker, 10), ["b1", "b2"]);
 }
 
 #[test]
-fn a_server_that_is_named_again_after_its_rest_rests_longer() {
+fn repeated_fault_extends_exclusion() {
     let here = HallName::new("hall-a");
-    let mut tracker = book_of_two_halls();
-    let key = tracker.get(&ServerName::new("b1")).expect("known").key;
+    let mut tracker = tracker_of_two_halls();
+    let key = tracker
+        .get(&ServerName::new("b1"))
+        .expect("server is listed")
+        .key;
 
     tracker.apply_faults(Time::ZERO, &here, &here, &[key]);
     tracker.apply_faults(Time::from_millis(3_500), &here, &here, &[key]);
@@ -198,31 +207,31 @@
 }
 
 #[test]
-fn where_all_servers_rest_all_are_used() {
+fn all_servers_are_used_if_all_are_excluded() {
     let mut tracker = tracker(&["a", "b"]);
     for name in ["a", "b"].map(ServerName::new) {
         tracker.call_sent(Time::ZERO, &name);
         tracker.call_ended(Time::ZERO, &name, ServerOutcome::Unreachable);
     }
 
-    let picked = picks(&tracker, Time::from_millis(10), &[]);
+    let picked = pick_counts(&tracker, Time::from_millis(10), &[]);
 
     assert_eq!(picked.len(), 2);
 }
 
 #[test]
-fn a_tried_server_is_used_again_only_where_there_is_no_other() {
+fn tried_server_is_reused_only_if_no_other_is_left() {
     let tracker = tracker(&["a", "b"]);
 
-    let one_tried = picks(&tracker, Time::ZERO, &[ServerName::new("a")]);
-    let both_tried = picks(&tracker, Time::ZERO, &["a", "b"].map(ServerName::new));
+    let one_tried = pick_counts(&tracker, Time::ZERO, &[ServerName::new("a")]);
+    let both_tried = pick_counts(&tracker, Time::ZERO, &["a", "b"].map(ServerName::new));
 
     assert_eq!(one_tried.keys().collect::<Vec<_>>(), ["b"]);
     assert_eq!(both_tried.len(), 2);
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn leaving_server_gets_no_calls() {
     let mut tracker = tracker(&["a", "b"]);
     let leaving = ServerEntry {
         leaving: true,
@@ -231,12 +240,14 @@
     tracker.set_servers(vec![leaving, server("b")]);
 
     assert_eq!(
-        picks(&tracker, Time::ZERO, &[]).keys().collect::<Vec<_>>(),
+        pick_counts(&tracker, Time::ZERO, &[])
+            .keys()
+            .collect::<Vec<_>>(),
         ["b"]
     );
 }
 
-/// Found by a play: boxes chose servers that others had known to leave for 0.3 s.
+/// Boxes chose leaving servers that other boxes had known about for 0.3 s.
 #[test]
 fn what_one_box_reads_of_servers_that_leave_spares_the_others_a_try() {
     let (mut follower, mut other) = (tracker(&["a", "b", "c"]), tracker(&["a", "b", "c"]));
@@ -245,64 +256,69 @@
         ..server("a")
     };
 
-    let departs = follower.record_departures(Time::ZERO, &[leaving, server("b")]);
-    let told = follower.recent_departures(Time::from_millis(900));
-    other.apply_departures(Time::from_millis(900), &told);
+    let has_departures = follower.record_departures(Time::ZERO, &[leaving, server("b")]);
+    let departures = follower.recent_departures(Time::from_millis(900));
+    other.apply_departures(Time::from_millis(900), &departures);
 
-    assert!(departs);
-    let left = picks(&other, Time::from_millis(1_000), &[]);
-    assert_eq!(left.keys().collect::<Vec<_>>(), ["b"], "c is gone");
+    assert!(has_departures);
+    let remaining = pick_counts(&other, Time::from_millis(1_000), &[]);
+    assert_eq!(
+        remaining.keys().collect::<Vec<_>>(),
+        ["b"],
+        "c is gone from the list"
+    );
     assert_eq!(follower.recent_departures(Time::from_millis(1_000)), []);
     assert_eq!(
-        picks(&other, Time::from_millis(2_900), &[]).len(),
+        pick_counts(&other, Time::from_millis(2_900), &[]).len(),
         3,
-        "the list decides"
+        "reports expire and the list counts again"
     );
 }
 
 #[test]
-fn a_list_without_departures_tells_of_none() {
+fn list_without_departures_announces_none() {
     let mut follower = tracker(&["a", "b"]);
 
-    let departs = follower.record_departures(Time::ZERO, &[server("a"), server("b"), server("c")]);
+    let has_departures =
+        follower.record_departures(Time::ZERO, &[server("a"), server("b"), server("c")]);
 
-    assert!(!departs);
+    assert!(!has_departures);
     assert_eq!(follower.recent_departures(Time::ZERO), []);
 }
 
-/// A server may start again under the name that it had; what was seen of it before says nothing.
+/// Reports about a server's earlier run must not count against the restarted one.
 #[test]
 fn a_server_that_started_again_is_taken_as_new() {
-    let born = |at| ServerEntry {
+    let started_at = |at| ServerEntry {
         born: Some(at),
         ..server("a")
     };
     let mut tracker = ServerTracker::default();
-    tracker.set_servers(vec![born(1), server("b")]);
-    let told = tracker
+    tracker.set_servers(vec![started_at(1), server("b")]);
+    let key = tracker
         .get(&ServerName::new("a"))
-        .expect("it is listed")
+        .expect("server is listed")
         .key;
-    tracker.apply_departures(Time::ZERO, &[told]);
-    let before = picks(&tracker, Time::ZERO, &[]);
+    tracker.apply_departures(Time::ZERO, &[key]);
+    let before = pick_counts(&tracker, Time::ZERO, &[]);
 
-    tracker.set_servers(vec![born(1), server("b")]);
-    let same_life = picks(&tracker, Time::ZERO, &[]);
-    tracker.set_servers(vec![born(2), server("b")]);
-    let next_life = picks(&tracker, Time::ZERO, &[]);
+    tracker.set_servers(vec![started_at(1), server("b")]);
+    let same_run = pick_counts(&tracker, Time::ZERO, &[]);
+    tracker.set_servers(vec![started_at(2), server("b")]);
+    let next_run = pick_counts(&tracker, Time::ZERO, &[]);
 
     assert_eq!(before.keys().collect::<Vec<_>>(), ["b"]);
-    assert_eq!(same_life.keys().collect::<Vec<_>>(), ["b"]);
-    assert_eq!(next_life.len(), 2);
+    assert_eq!(same_run.keys().collect::<Vec<_>>(), ["b"]);
+    assert_eq!(next_run.len(), 2);
 }
 
 #[test]
-fn no_fallback_uses_a_server_that_leaves() {
+fn fallback_never_uses_leaving_server() {
     let mut tracker = tracker(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
-    let leaves = tracker.get(&a).expect("known").life;
+    let leaving = tracker.get(&a).expect("server is listed").life;
     let standing = |life| {
-        if life == leaves {
+        if life == leaving {
             Standing::Leaving
         } else {
             Standing::Open
@@ -313,20 +329,20 @@
     let names = |tried: &[ServerName]| {
         let at = Time::from_millis(10);
         let usable = tracker.usable(at, &ServiceName::new("boards"), tried, standing);
-        let names = usable.iter().map(|(row, _)| row.info.name.clone());
+        let names = usable.iter().map(|(record, _)| record.info.name.clone());
         names.collect::<Vec<_>>()
     };
 
-    // The other one rests after a failure, then was tried besides.
+    // Server b is excluded after a failure, and in the second case also tried before.
     assert_eq!(names(&[]), std::slice::from_ref(&b));
     assert_eq!(names(std::slice::from_ref(&b)), std::slice::from_ref(&b));
 }
 
 #[test]
-fn a_server_that_is_only_suspected_is_used_where_the_others_are_closed() {
+fn excluded_server_is_used_if_others_are_closed() {
     let mut tracker = tracker(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
-    let closed = tracker.get(&a).expect("known").life;
+    let closed = tracker.get(&a).expect("server is listed").life;
     let standing = |life| {
         if life == closed {
             Standing::Closed
@@ -344,6 +360,6 @@
         standing,
     );
 
-    let takes = usable.iter().find(|(_, standing)| standing.takes_calls());
-    assert_eq!(takes.map(|(row, _)| &row.info.name), Some(&b));
+    let accepting = usable.iter().find(|(_, standing)| standing.takes_calls());
+    assert_eq!(accepting.map(|(record, _)| &record.info.name), Some(&b));
 }
