--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -345,7 +345,9 @@
         self.take_limit(ask.limit_row);
         let patience = Duration::from_millis(ask.max_wait_ms.into());
         let decision = match self.keeper(&ask.hall) {
-            QuotaOwner::Local { shares } => self.decide(ask.limit_row.life, shares, patience),
+            QuotaOwner::Local { shares } => {
+                self.decide(ask.limit_row.incarnation, shares, patience)
+            }
             QuotaOwner::Remote(_) | QuotaOwner::Unknown => PermitDecision::NotOwner,
         };
         lock(&self.quotas).cache_response(id, decision);
@@ -355,9 +357,9 @@
     fn charged(&self, ask: &PermitRequest) {
         self.take_limit(ask.limit_row);
         let now = self.now();
-        let limit = lock(&self.notices).limits.limit(ask.limit_row.life);
+        let limit = lock(&self.notices).limits.limit(ask.limit_row.incarnation);
         if let (Some(limit), QuotaOwner::Local { shares }) = (limit, self.keeper(&ask.hall)) {
-            lock(&self.quotas).charge(now, ask.limit_row.life, limit.divided_by(shares));
+            lock(&self.quotas).charge(now, ask.limit_row.incarnation, limit.divided_by(shares));
         }
     }
 
@@ -412,9 +414,9 @@
     }
 
     fn log(&self, change: &LimitChange, source: &str) {
-        let server = lock(&self.parts.book).name_of(change.life);
+        let server = lock(&self.parts.book).name_of(change.incarnation);
         let server = server.map(tracing::field::display);
-        let life = format!("{:016x}", change.life.0);
+        let life = format!("{:016x}", change.incarnation.0);
         let before = change.before.map(CallRate::calls_per_second);
         if let Some(rate) = change.after {
             let limit = rate.calls_per_second();
--- a/lib/src/relay/call_rate.rs
+++ b/lib/src/relay/call_rate.rs
@@ -21,7 +21,7 @@
 /// A text is no number of calls a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("expected a finite number that is not negative")]
-pub struct BadCallRate;
+pub struct InvalidCallRate;
 
 impl CallRate {
     /// A rate from calls a second, kept within what can be counted.
@@ -29,9 +29,9 @@
     /// # Errors
     ///
     /// It is negative, infinite or no number.
-    pub fn per_second(calls: f64) -> Result<Self, BadCallRate> {
+    pub fn per_second(calls: f64) -> Result<Self, InvalidCallRate> {
         if !calls.is_finite() || calls < 0.0 {
-            return Err(BadCallRate);
+            return Err(InvalidCallRate);
         }
         // Converting saturates.
         let rate = Self((calls * THOUSAND) as u32);
--- a/lib/src/relay/leaving_servers.rs
+++ b/lib/src/relay/leaving_servers.rs
@@ -1,6 +1,6 @@
 //! Servers that say in their answers that they leave.
 //!
-//! It is true at every box and never over in the same life of a server, so the lives alone are kept and
+//! It is true at every box and never over in the same incarnation of a server, so the lives alone are kept and
 //! told, without an age. An entry in the store says it too, later or not at all while the store is
 //! away; that one may be changed or spoiled and belongs to [`crate::relay::server_list`].
 
@@ -35,24 +35,24 @@
 
 impl LeavingServers {
     /// Notes that a server leaves; true if that is new here.
-    pub fn insert(&mut self, now: Time, life: ServerLife) -> bool {
-        if self.learned.contains_key(&life) {
+    pub fn insert(&mut self, now: Time, incarnation: ServerLife) -> bool {
+        if self.learned.contains_key(&incarnation) {
             return false;
         }
         if self.learned.len() >= MOST_SERVERS {
             let first = self.learned.iter().min_by_key(|(_, at)| **at);
-            if let Some(life) = first.map(|(life, _)| *life) {
-                self.learned.remove(&life);
+            if let Some(incarnation) = first.map(|(incarnation, _)| *incarnation) {
+                self.learned.remove(&incarnation);
                 self.evicted += 1;
             }
         }
-        self.learned.insert(life, now);
+        self.learned.insert(incarnation, now);
         true
     }
 
     /// Whether a server leaves.
-    pub fn contains(&self, life: ServerLife) -> bool {
-        self.learned.contains_key(&life)
+    pub fn contains(&self, incarnation: ServerLife) -> bool {
+        self.learned.contains_key(&incarnation)
     }
 
     /// Servers that are remembered.
@@ -67,14 +67,19 @@
 
     /// Those to tell other boxes of now: new ones, and a few of the others in turn.
     pub fn rows(&mut self, now: Time) -> Vec<ServerLife> {
-        let all = self.learned.iter().map(|(life, at)| (*life, *at));
+        let all = self
+            .learned
+            .iter()
+            .map(|(incarnation, at)| (*incarnation, *at));
         let (fresh, others): (Vec<_>, Vec<_>) = all.partition(|(_, at)| now.since(*at) < FRESH);
         let mut rows = turns::in_turn(&fresh, self.fresh_to, MOST_FRESH_ROWS);
-        self.fresh_to = rows.last().map(|(life, _)| *life);
+        self.fresh_to = rows.last().map(|(incarnation, _)| *incarnation);
         let others = turns::in_turn(&others, self.told_to, ROWS_IN_TURN);
-        self.told_to = others.last().map(|(life, _)| *life);
+        self.told_to = others.last().map(|(incarnation, _)| *incarnation);
         rows.extend(others);
-        rows.into_iter().map(|(life, _)| life).collect()
+        rows.into_iter()
+            .map(|(incarnation, _)| incarnation)
+            .collect()
     }
 
     /// Everything, for a box that has just started.
--- a/lib/src/relay/permit_wire.rs
+++ b/lib/src/relay/permit_wire.rs
@@ -62,7 +62,7 @@
 /// It is no datagram of this kind and version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a question or an answer can't be decoded")]
-pub struct BadPermitFrame;
+pub struct PermitFrameError;
 
 impl PermitFrame {
     /// Whether a datagram is meant to be one.
@@ -84,11 +84,11 @@
     /// # Errors
     ///
     /// It is none.
-    pub fn decode(bytes: &[u8]) -> Result<Self, BadPermitFrame> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, PermitFrameError> {
         let decoded = postcard::from_bytes::<(u8, Self)>(bytes);
         match decoded {
             Ok((PERMIT_VERSION, frame)) => Ok(frame),
-            Ok(_) | Err(_) => Err(BadPermitFrame),
+            Ok(_) | Err(_) => Err(PermitFrameError),
         }
     }
 }
--- a/lib/src/relay/quota_owner.rs
+++ b/lib/src/relay/quota_owner.rs
@@ -119,16 +119,16 @@
     pub fn take(
         &mut self,
         now: Time,
-        life: ServerLife,
+        incarnation: ServerLife,
         rate: CallRate,
         patience: Duration,
     ) -> Result<Duration, QuotaExceeded> {
-        self.quota(now, life, rate).take(now, patience)
+        self.quota(now, incarnation, rate).take(now, patience)
     }
 
     /// Counts a call that goes in any case.
-    pub fn charge(&mut self, now: Time, life: ServerLife, rate: CallRate) {
-        self.quota(now, life, rate).charge(now);
+    pub fn charge(&mut self, now: Time, incarnation: ServerLife, rate: CallRate) {
+        self.quota(now, incarnation, rate).charge(now);
     }
 
     /// What a question was answered that came before: its answer was lost, or late.
@@ -147,11 +147,11 @@
         self.answers.push_back((id, decision));
     }
 
-    fn quota(&mut self, now: Time, life: ServerLife, rate: CallRate) -> &mut CallQuota {
-        if !self.quotas.contains_key(&life) && self.quotas.len() >= MOST_QUOTAS {
+    fn quota(&mut self, now: Time, incarnation: ServerLife, rate: CallRate) -> &mut CallQuota {
+        if !self.quotas.contains_key(&incarnation) && self.quotas.len() >= MOST_QUOTAS {
             self.make_room(now);
         }
-        let kept = self.quotas.entry(life).or_insert_with(|| Kept {
+        let kept = self.quotas.entry(incarnation).or_insert_with(|| Kept {
             quota: CallQuota::new(now, rate),
             asked: now,
         });
@@ -163,8 +163,8 @@
     fn make_room(&mut self, now: Time) {
         self.quotas.retain(|_, kept| now.since(kept.asked) < IDLE);
         let oldest = self.quotas.iter().min_by_key(|(_, kept)| kept.asked);
-        if let (true, Some((&life, _))) = (self.quotas.len() >= MOST_QUOTAS, oldest) {
-            self.quotas.remove(&life);
+        if let (true, Some((&incarnation, _))) = (self.quotas.len() >= MOST_QUOTAS, oldest) {
+            self.quotas.remove(&incarnation);
         }
     }
 }
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -1,6 +1,6 @@
 //! Which servers say how many calls they take from all boxes together, and which are closed here.
 //!
-//! A limit belongs to one life of a server. Boxes tell each other what answers said, with its age, and the
+//! A limit belongs to one incarnation of a server. Boxes tell each other what answers said, with its age, and the
 //! newest word wins, whoever tells it; a datagram that leaves a server out says nothing of it. A
 //! server that was denied to this box is closed to it until there is room. Who gives out the calls is
 //! [`crate::relay::quota_owner`]. Ways weighed: `docs/design/server-limits.md`.
@@ -38,8 +38,8 @@
 /// A server whose limit began, changed or ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitChange {
-    /// The server's life.
-    pub life: ServerLife,
+    /// The server's incarnation.
+    pub incarnation: ServerLife,
     /// What held before.
     pub before: Option<CallRate>,
     /// What holds now.
@@ -51,8 +51,8 @@
 /// What one box tells another of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRow {
-    /// The server's life.
-    pub life: ServerLife,
+    /// The server's incarnation.
+    pub incarnation: ServerLife,
     /// What it takes; none if its limit is over.
     pub rate: Option<CallRate>,
     /// How many milliseconds ago it said so.
@@ -85,32 +85,33 @@
     pub fn record_response(
         &mut self,
         now: Time,
-        life: ServerLife,
+        incarnation: ServerLife,
         word: ParsedHeader<CallRate>,
     ) -> Option<LimitChange> {
         let rate = match word {
             ParsedHeader::Value(rate) => Some(rate),
-            ParsedHeader::Absent if self.words.contains_key(&life) => None,
+            ParsedHeader::Absent if self.words.contains_key(&incarnation) => None,
             ParsedHeader::Absent | ParsedHeader::Unreadable => return None,
         };
-        self.take(now, life, rate, Moment::of(now))
+        self.take(now, incarnation, rate, Moment::of(now))
     }
 
     /// Takes what another box tells.
     pub fn merge_rows(&mut self, now: Time, rows: &[LimitRow]) -> Vec<LimitChange> {
-        let take =
-            |row: &LimitRow| self.take(now, row.life, row.rate, Moment::ago(now, row.age_ms));
+        let take = |row: &LimitRow| {
+            self.take(now, row.incarnation, row.rate, Moment::ago(now, row.age_ms))
+        };
         rows.iter().filter_map(take).collect()
     }
 
     fn take(
         &mut self,
         now: Time,
-        life: ServerLife,
+        incarnation: ServerLife,
         rate: Option<CallRate>,
         at: Moment,
     ) -> Option<LimitChange> {
-        let known = self.words.get(&life).copied();
+        let known = self.words.get(&incarnation).copied();
         let is_newer = known.is_none_or(|known| at > known.at);
         if !is_newer || at.since(now) >= REMEMBERED {
             return None;
@@ -124,12 +125,12 @@
             Some(at) if before == rate => at,
             _ => now,
         };
-        self.words.insert(life, Word { rate, at, changed });
+        self.words.insert(incarnation, Word { rate, at, changed });
         if rate.is_none() {
-            self.closed.remove(&life);
+            self.closed.remove(&incarnation);
         }
         (before != rate).then_some(LimitChange {
-            life,
+            incarnation,
             before,
             after: rate,
             announce_now: last_change.is_none_or(|at| now.since(at) >= CHANGE_PAUSE),
@@ -142,37 +143,37 @@
         }
         self.words.retain(|_, word| word.at.since(now) < REMEMBERED);
         let oldest = self.words.iter().min_by_key(|(_, word)| word.at);
-        if let (true, Some((&life, _))) = (self.words.len() >= MOST_SERVERS, oldest) {
-            self.words.remove(&life);
-            self.closed.remove(&life);
+        if let (true, Some((&incarnation, _))) = (self.words.len() >= MOST_SERVERS, oldest) {
+            self.words.remove(&incarnation);
+            self.closed.remove(&incarnation);
             self.evicted += 1;
         }
     }
 
     /// What a server takes, if it names a limit.
-    pub fn limit(&self, life: ServerLife) -> Option<CallRate> {
-        self.words.get(&life).and_then(|word| word.rate)
+    pub fn limit(&self, incarnation: ServerLife) -> Option<CallRate> {
+        self.words.get(&incarnation).and_then(|word| word.rate)
     }
 
     /// Whether a server takes a call of this box now.
-    pub fn availability(&self, now: Time, life: ServerLife) -> Availability {
-        match self.limit(life) {
+    pub fn availability(&self, now: Time, incarnation: ServerLife) -> Availability {
+        match self.limit(incarnation) {
             None => Availability::Open,
-            Some(_) if self.closed_for(now, life).is_zero() => Availability::Limited,
+            Some(_) if self.closed_for(now, incarnation).is_zero() => Availability::Limited,
             Some(_) => Availability::Closed,
         }
     }
 
     /// How long a server stays closed to this box.
-    pub fn closed_for(&self, now: Time, life: ServerLife) -> Duration {
-        let until = self.closed.get(&life);
+    pub fn closed_for(&self, now: Time, incarnation: ServerLife) -> Duration {
+        let until = self.closed.get(&incarnation);
         until.map_or(Duration::ZERO, |until| now.until(*until))
     }
 
     /// Closes a server to this box until there is room.
-    pub fn close(&mut self, now: Time, life: ServerLife, retry_in: Duration) {
+    pub fn close(&mut self, now: Time, incarnation: ServerLife, retry_in: Duration) {
         self.closed.retain(|_, until| *until > now);
-        self.closed.insert(life, now + retry_in);
+        self.closed.insert(incarnation, now + retry_in);
     }
 
     /// What to tell other boxes now: words that changed lately, those that changed last first, and a
@@ -186,15 +187,17 @@
         let mut fresh: Vec<_> = (self.words.iter())
             .filter(|(_, word)| is_fresh(word))
             .collect();
-        fresh.sort_by_key(|(life, word)| (Reverse(word.changed), **life));
+        fresh.sort_by_key(|(incarnation, word)| (Reverse(word.changed), **incarnation));
         fresh.truncate(MOST_FRESH_ROWS);
         let rest = self.words.iter().filter(|(_, word)| !is_fresh(word));
         let mut rest: Vec<_> = rest.collect();
-        rest.sort_by_key(|(life, _)| **life);
+        rest.sort_by_key(|(incarnation, _)| **incarnation);
         let in_turn = turns::in_turn(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
-        let told_to = in_turn.last().map(|(life, _)| **life);
+        let told_to = in_turn.last().map(|(incarnation, _)| **incarnation);
         let told = fresh.iter().chain(&in_turn);
-        let rows = told.map(|(life, word)| row(now, **life, word)).collect();
+        let rows = told
+            .map(|(incarnation, word)| row(now, **incarnation, word))
+            .collect();
         self.told_to = told_to;
         rows
     }
@@ -202,18 +205,22 @@
     /// Everything, for a box that has just started.
     pub fn all_rows(&self, now: Time) -> Vec<LimitRow> {
         let words = self.words.iter();
-        words.map(|(life, word)| row(now, *life, word)).collect()
+        words
+            .map(|(incarnation, word)| row(now, *incarnation, word))
+            .collect()
     }
 
     /// The word on one server, for whoever gives out its calls.
-    pub fn row_of(&self, now: Time, life: ServerLife) -> Option<LimitRow> {
-        self.words.get(&life).map(|word| row(now, life, word))
+    pub fn row_of(&self, now: Time, incarnation: ServerLife) -> Option<LimitRow> {
+        self.words
+            .get(&incarnation)
+            .map(|word| row(now, incarnation, word))
     }
 
     /// Servers that name a limit, and what it is.
     pub fn limited(&self) -> impl Iterator<Item = (ServerLife, CallRate)> {
         let words = self.words.iter();
-        words.filter_map(|(life, word)| word.rate.map(|rate| (*life, rate)))
+        words.filter_map(|(incarnation, word)| word.rate.map(|rate| (*incarnation, rate)))
     }
 
     /// Servers that went for want of room so far.
@@ -222,9 +229,9 @@
     }
 }
 
-fn row(now: Time, life: ServerLife, word: &Word) -> LimitRow {
+fn row(now: Time, incarnation: ServerLife, word: &Word) -> LimitRow {
     LimitRow {
-        life,
+        incarnation,
         rate: word.rate,
         age_ms: word.at.millis_ago(now) + WAY.as_millis() as u32,
     }
--- a/lib/src/relay/server_notices.rs
+++ b/lib/src/relay/server_notices.rs
@@ -22,7 +22,7 @@
 pub struct Notice {
     /// The calls a second that it takes from all boxes together.
     pub limit: ParsedHeader<CallRate>,
-    /// Whether it leaves: it finishes what it has and takes nothing new in this life.
+    /// Whether it leaves: it finishes what it has and takes nothing new in this incarnation.
     pub leaving: ParsedHeader<bool>,
     /// How long it wants nothing from the box that it turned away.
     pub retry_after: ParsedHeader<Duration>,
@@ -69,24 +69,24 @@
     pub fn record_response(
         &mut self,
         now: Time,
-        life: ServerLife,
+        incarnation: ServerLife,
         notice: &Notice,
         has_proof: bool,
     ) -> NoticeChanges {
         let mut changes = NoticeChanges::default();
         if has_proof || notice.limit != ParsedHeader::Absent {
-            let change = self.limits.record_response(now, life, notice.limit);
+            let change = self.limits.record_response(now, incarnation, notice.limit);
             changes.limits.extend(change);
         }
-        if notice.leaving == ParsedHeader::Value(true) && self.leaving.insert(now, life) {
-            changes.leaving.push(life);
+        if notice.leaving == ParsedHeader::Value(true) && self.leaving.insert(now, incarnation) {
+            changes.leaving.push(incarnation);
         }
         match notice.retry_after {
-            ParsedHeader::Value(pause) if self.shedding.record_shed(now, life, pause) => {
-                changes.shedding.push(life);
+            ParsedHeader::Value(pause) if self.shedding.record_shed(now, incarnation, pause) => {
+                changes.shedding.push(incarnation);
             }
-            ParsedHeader::Absent if self.shedding.record_accepted(now, life) => {
-                changes.recovered.push(life)
+            ParsedHeader::Absent if self.shedding.record_accepted(now, incarnation) => {
+                changes.recovered.push(incarnation)
             }
             ParsedHeader::Value(_) | ParsedHeader::Absent | ParsedHeader::Unreadable => {}
         }
@@ -99,7 +99,7 @@
         NoticeChanges {
             limits: self.limits.merge_rows(now, &rows.limits),
             leaving: leaving
-                .filter(|life| self.leaving.insert(now, *life))
+                .filter(|incarnation| self.leaving.insert(now, *incarnation))
                 .collect(),
             shedding: self.shedding.merge_rows(now, &rows.shedding),
             recovered: Vec::new(),
@@ -107,32 +107,34 @@
     }
 
     /// Whether a server takes a call of this box now.
-    pub fn availability(&self, now: Time, life: ServerLife) -> Availability {
-        if self.leaving.contains(life) {
+    pub fn availability(&self, now: Time, incarnation: ServerLife) -> Availability {
+        if self.leaving.contains(incarnation) {
             return Availability::Leaving;
         }
-        let limit = self.limits.availability(now, life);
-        limit.max(self.shedding.availability(now, life))
+        let limit = self.limits.availability(now, incarnation);
+        limit.max(self.shedding.availability(now, incarnation))
     }
 
     /// The same for a call that another server has turned away or lost: it is not the one to try a server
     /// after its pause.
-    pub fn availability_for_retry(&self, now: Time, life: ServerLife) -> Availability {
-        match self.availability(now, life) {
-            Availability::Open if self.shedding.awaits_probe(now, life) => Availability::Shedding,
+    pub fn availability_for_retry(&self, now: Time, incarnation: ServerLife) -> Availability {
+        match self.availability(now, incarnation) {
+            Availability::Open if self.shedding.awaits_probe(now, incarnation) => {
+                Availability::Shedding
+            }
             availability => availability,
         }
     }
 
-    /// How long until a server takes a call of this box; `None` if it never does in this life.
-    pub fn available_in(&self, now: Time, life: ServerLife) -> Option<Duration> {
-        match self.availability(now, life) {
+    /// How long until a server takes a call of this box; `None` if it never does in this incarnation.
+    pub fn available_in(&self, now: Time, incarnation: ServerLife) -> Option<Duration> {
+        match self.availability(now, incarnation) {
             Availability::Open | Availability::Limited | Availability::Shedding => {
                 Some(Duration::ZERO)
             }
             Availability::Closed | Availability::BackOff => {
-                let closed_for = self.limits.closed_for(now, life);
-                Some(closed_for.max(self.shedding.pause_remaining(now, life)))
+                let closed_for = self.limits.closed_for(now, incarnation);
+                Some(closed_for.max(self.shedding.pause_remaining(now, incarnation)))
             }
             Availability::Leaving => None,
         }
--- a/lib/src/relay/shedding_servers.rs
+++ b/lib/src/relay/shedding_servers.rs
@@ -36,8 +36,8 @@
 /// What one box tells another of a server that turned it away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShedRow {
-    /// The server's life.
-    pub life: ServerLife,
+    /// The server's incarnation.
+    pub incarnation: ServerLife,
     /// How much longer it wants no call of that box, in milliseconds.
     pub remaining_ms: u32,
 }
@@ -63,12 +63,17 @@
 impl SheddingServers {
     /// Notes that a server turned this box away; true where no pause was under way. Of two pauses the
     /// one that ends last holds.
-    pub fn record_shed(&mut self, now: Time, life: ServerLife, retry_after: Duration) -> bool {
+    pub fn record_shed(
+        &mut self,
+        now: Time,
+        incarnation: ServerLife,
+        retry_after: Duration,
+    ) -> bool {
         if retry_after.is_zero() {
             return false;
         }
         let until = now + retry_after.min(LONGEST_PAUSE);
-        if let Some(known) = self.own.get_mut(&life) {
+        if let Some(known) = self.own.get_mut(&incarnation) {
             let begins = known.until <= now;
             if begins || until > known.until {
                 *known = BackOff {
@@ -85,23 +90,26 @@
             until,
             tried: None,
         };
-        self.own.insert(life, back_off);
+        self.own.insert(incarnation, back_off);
         true
     }
 
     /// Notes an answer of a server that does not turn this box away; true if that ends its trial.
-    pub fn record_accepted(&mut self, now: Time, life: ServerLife) -> bool {
-        let ends = self.own.get(&life).is_some_and(|known| known.until <= now);
+    pub fn record_accepted(&mut self, now: Time, incarnation: ServerLife) -> bool {
+        let ends = self
+            .own
+            .get(&incarnation)
+            .is_some_and(|known| known.until <= now);
         if ends {
-            self.own.remove(&life);
-            self.told.remove(&life);
+            self.own.remove(&incarnation);
+            self.told.remove(&incarnation);
         }
         ends
     }
 
     /// Notes that a call goes there.
-    pub fn record_sent(&mut self, now: Time, life: ServerLife) {
-        if let Some(known) = self.own.get_mut(&life) {
+    pub fn record_sent(&mut self, now: Time, incarnation: ServerLife) {
+        if let Some(known) = self.own.get_mut(&incarnation) {
             let tries = known.until <= now && !is_on_trial(now, known);
             known.tried = if tries { Some(now) } else { known.tried };
         }
@@ -114,26 +122,29 @@
         for row in rows {
             let left = Duration::from_millis(row.remaining_ms.into()).min(LONGEST_TOLD);
             let until = now + left + AFTER_THE_TELLER;
-            let known = self.told.get(&row.life).copied();
+            let known = self.told.get(&row.incarnation).copied();
             if known.is_none() && self.told.len() < MOST_SERVERS {
-                news.push(row.life);
+                news.push(row.incarnation);
             }
             if known.is_some() || self.told.len() < MOST_SERVERS {
                 let until = known.map_or(until, |known| known.max(until));
-                self.told.insert(row.life, until);
+                self.told.insert(row.incarnation, until);
             }
         }
         news
     }
 
     /// Whether a server takes calls, by its pauses.
-    pub fn availability(&self, now: Time, life: ServerLife) -> Availability {
-        let own = match self.own.get(&life) {
+    pub fn availability(&self, now: Time, incarnation: ServerLife) -> Availability {
+        let own = match self.own.get(&incarnation) {
             Some(known) if known.until > now => return Availability::BackOff,
             Some(known) => is_on_trial(now, known),
             None => false,
         };
-        let told = self.told.get(&life).is_some_and(|until| *until > now);
+        let told = self
+            .told
+            .get(&incarnation)
+            .is_some_and(|until| *until > now);
         if own || told {
             Availability::Shedding
         } else {
@@ -143,14 +154,14 @@
 
     /// Whether a server's pause is over and no call has tried it since: a call that was turned away
     /// already is not the one to do so.
-    pub fn awaits_probe(&self, now: Time, life: ServerLife) -> bool {
-        let known = self.own.get(&life);
+    pub fn awaits_probe(&self, now: Time, incarnation: ServerLife) -> bool {
+        let known = self.own.get(&incarnation);
         known.is_some_and(|known| known.until <= now && !is_on_trial(now, known))
     }
 
     /// How much longer a server wants no call of this box.
-    pub fn pause_remaining(&self, now: Time, life: ServerLife) -> Duration {
-        let known = self.own.get(&life);
+    pub fn pause_remaining(&self, now: Time, incarnation: ServerLife) -> Duration {
+        let known = self.own.get(&incarnation);
         known.map_or(Duration::ZERO, |known| now.until(known.until))
     }
 
@@ -164,10 +175,10 @@
         let is_fresh = |known: &BackOff| known.until > now && now.since(known.began) < FRESH;
         let fresh = self.own.iter().filter(|(_, known)| is_fresh(known));
         let mut fresh: Vec<_> = fresh.collect();
-        fresh.sort_by_key(|(life, known)| (std::cmp::Reverse(known.began), **life));
+        fresh.sort_by_key(|(incarnation, known)| (std::cmp::Reverse(known.began), **incarnation));
         fresh.truncate(MOST_ROWS);
-        let row = |(life, known): &(&ServerLife, &BackOff)| ShedRow {
-            life: **life,
+        let row = |(incarnation, known): &(&ServerLife, &BackOff)| ShedRow {
+            incarnation: **incarnation,
             remaining_ms: now.until(known.until).as_millis() as u32,
         };
         fresh.iter().map(row).collect()
@@ -180,8 +191,8 @@
         let is_needed = |known: &BackOff| now.since(known.until) < REMEMBERED;
         self.own.retain(|_, known| is_needed(known));
         let first = self.own.iter().min_by_key(|(_, known)| known.until);
-        if let (true, Some((&life, _))) = (self.own.len() >= MOST_SERVERS, first) {
-            self.own.remove(&life);
+        if let (true, Some((&incarnation, _))) = (self.own.len() >= MOST_SERVERS, first) {
+            self.own.remove(&incarnation);
         }
     }
 }
--- a/lib/tests/test_relay_call_rate.rs
+++ b/lib/tests/test_relay_call_rate.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use badgerferry_lib::relay::call_rate::BadCallRate;
 use badgerferry_lib::relay::call_rate::CallRate;
+use badgerferry_lib::relay::call_rate::InvalidCallRate;
 
 #[test]
 fn a_rate_is_a_finite_number_that_is_not_negative() {
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -0.5] {
-        assert_eq!(CallRate::per_second(bad), Err(BadCallRate), "{bad}");
+        assert_eq!(CallRate::per_second(bad), Err(InvalidCallRate), "{bad}");
     }
 }
 
--- a/lib/tests/test_relay_quota_owner.rs
+++ b/lib/tests/test_relay_quota_owner.rs
@@ -162,7 +162,7 @@
         id: 1,
         hall: HallName::new("a"),
         limit_row: LimitRow {
-            life: ServerLife(2),
+            incarnation: ServerLife(2),
             rate: Some(rate(1.7)),
             age_ms: 30,
         },
--- a/lib/tests/test_relay_server_limits.rs
+++ b/lib/tests/test_relay_server_limits.rs
@@ -107,10 +107,10 @@
 #[test]
 fn thousands_of_limited_servers_stay_within_bounds_and_all_are_told_in_turn() {
     let mut limits = ServerLimits::default();
-    for life in 0..5_000 {
+    for incarnation in 0..5_000 {
         limits.record_response(
-            Time::from_millis(life),
-            ServerLife(life),
+            Time::from_millis(incarnation),
+            ServerLife(incarnation),
             ParsedHeader::Value(rate(1.0)),
         );
     }
@@ -120,7 +120,7 @@
         now = now + Duration::from_millis(100);
         let rows = limits.rows(now);
         assert!(rows.len() <= 20, "{} rows", rows.len());
-        told.extend(rows.iter().map(|row| row.life));
+        told.extend(rows.iter().map(|row| row.incarnation));
     }
 
     assert_eq!(limits.limited().count(), 2_048);
@@ -132,7 +132,7 @@
 fn a_datagram_that_leaves_a_server_out_says_nothing_of_it() {
     let mut limits = limits(Time::ZERO, 1.0);
     let other = LimitRow {
-        life: ServerLife(9),
+        incarnation: ServerLife(9),
         rate: Some(rate(4.0)),
         age_ms: 0,
     };
--- a/lib/tests/test_relay_server_notices.rs
+++ b/lib/tests/test_relay_server_notices.rs
@@ -98,8 +98,8 @@
 #[test]
 fn many_that_leave_at_once_are_all_told_within_a_few_datagrams() {
     let mut leaving = LeavingServers::default();
-    for life in 0..150 {
-        leaving.insert(Time::ZERO, ServerLife(life));
+    for incarnation in 0..150 {
+        leaving.insert(Time::ZERO, ServerLife(incarnation));
     }
     let mut told = BTreeSet::new();
     for at in 0..5 {
@@ -114,8 +114,8 @@
 #[test]
 fn boxes_that_were_cut_off_hear_of_old_ones_in_turn() {
     let mut leaving = LeavingServers::default();
-    for life in 0..40 {
-        leaving.insert(Time::ZERO, ServerLife(life));
+    for incarnation in 0..40 {
+        leaving.insert(Time::ZERO, ServerLife(incarnation));
     }
     let mut told = BTreeSet::new();
     for at in 0..10 {
@@ -130,8 +130,8 @@
 #[test]
 fn thousands_that_leave_stay_within_bounds_and_the_newest_are_kept() {
     let mut leaving = LeavingServers::default();
-    for life in 0..10_000 {
-        leaving.insert(Time::from_millis(life), ServerLife(life));
+    for incarnation in 0..10_000 {
+        leaving.insert(Time::from_millis(incarnation), ServerLife(incarnation));
     }
 
     assert_eq!(leaving.len(), 4_096);
@@ -331,9 +331,9 @@
 #[test]
 fn thousands_that_shed_stay_within_bounds() {
     let mut notices = ServerNotices::default();
-    for life in 0..5_000 {
-        let now = Time::from_millis(life);
-        notices.record_response(now, ServerLife(life), &sheds(PAUSE), false);
+    for incarnation in 0..5_000 {
+        let now = Time::from_millis(incarnation);
+        notices.record_response(now, ServerLife(incarnation), &sheds(PAUSE), false);
         assert!(notices.rows(now).shedding.len() <= 16);
     }
 
--- a/testutils/src/limit_model.rs
+++ b/testutils/src/limit_model.rs
@@ -411,7 +411,7 @@
             Trouble::KeepersGone => Disturbance::FirstsEnd,
         };
         let row = LimitRow {
-            life: SERVER,
+            incarnation: SERVER,
             rate: Some(self.rate),
             age_ms: 0,
         };
--- a/testutils/src/shed_model.rs
+++ b/testutils/src/shed_model.rs
@@ -321,7 +321,9 @@
         if self.way == Way::Shared {
             for row in &rows.shedding {
                 let left = Duration::from_millis(row.remaining_ms.into());
-                self.boxes[at].shedding.record_shed(now, row.life, left);
+                self.boxes[at]
+                    .shedding
+                    .record_shed(now, row.incarnation, left);
             }
         } else {
             self.boxes[at].merge_rows(now, rows);
