--- a/lib/src/relay/availability.rs
+++ b/lib/src/relay/availability.rs
@@ -1,29 +1,30 @@
-//! Whether a server takes a call, by what the server itself said.
+//! Whether a server accepts calls, according to its own statements.
 
-/// Whether a server takes calls; of several states the last one counts.
+/// Whether a server accepts calls. If several states apply, the greatest one takes precedence.
 ///
-/// These are the server's own statements. What a box concludes by itself, from failures or from
-/// silence, is a preference of [`crate::relay::server_book`] and gives way where nothing else is left;
-/// this never does.
+/// Only the server's own statements count here, and they are always respected. What a box infers
+/// from failures or silence is a preference of [`crate::relay::server_book`], which is ignored if
+/// no other server is left.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Availability {
-    /// It says nothing against it.
+    /// Accepts calls without restriction.
     #[default]
     Open,
-    /// It takes so many from all boxes; each asks first.
+    /// Has a call limit shared by all boxes; each call needs a permit.
     Limited,
-    /// It turned other boxes away, or one call of this box tries it again: others come first.
+    /// Turned other boxes away, or is being probed by a call of this box; other servers are
+    /// preferred.
     Shedding,
-    /// There is no room for a call of this box for a while.
+    /// Its call limit has no permit left for this box for a while.
     Closed,
-    /// It asked this box for a pause.
+    /// Asked this box to pause.
     BackOff,
-    /// It leaves: nothing new goes there in this life.
+    /// Is leaving: it gets no new work in this incarnation.
     Leaving,
 }
 
 impl Availability {
-    /// Whether a call may be sent there.
+    /// Whether a call may be sent to the server.
     pub const fn accepts_calls(self) -> bool {
         match self {
             Self::Open | Self::Limited | Self::Shedding => true,
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Whether it may have a part in another server's call: a limit counts calls alone.
+    /// Whether the server may process a part of another server's call. The call limit does not
+    /// apply to parts.
     pub const fn accepts_parts(self) -> bool {
         match self {
             Self::Open | Self::Limited | Self::Shedding | Self::Closed => true,
--- a/lib/src/relay/call_quota.rs
+++ b/lib/src/relay/call_quota.rs
@@ -1,89 +1,89 @@
-//! Gives out the calls that a server takes in a second, one by one.
+//! Rate limiter for the calls to one server.
 //!
-//! A generic cell rate algorithm. What a burst may take ahead is taken off the rate, so that in no four
-//! seconds a server gets more than two calls beyond its limit.
+//! Implements the generic cell rate algorithm (GCRA). The burst allowance is deducted from the
+//! sustained rate, so that a server gets at most two calls beyond its limit in any four seconds.
 
 use std::time::Duration;
 
 use crate::relay::call_rate::CallRate;
 use crate::time::Time;
 
-/// Calls beyond its limit that a server may get in [`WINDOW_S`].
-const BEYOND: f64 = 2.0;
-/// What a limit counts over, in seconds.
-const WINDOW_S: f64 = 4.0;
-/// After a rest the calls of so many seconds may go at once: callers come in bursts.
-const BURST_S: f64 = 0.25;
-/// Longest time for which calls that can't be held back use up what comes.
-const MOST_OWED: Duration = Duration::from_secs(4);
+/// Calls beyond its limit that a server may get within [`WINDOW_SECS`].
+const MAX_EXCESS: f64 = 2.0;
+/// Period over which the limit is enforced, in seconds.
+const WINDOW_SECS: f64 = 4.0;
+/// Burst allowance after an idle period, in seconds of calls at the limit: calls arrive in bursts.
+const BURST_SECS: f64 = 0.25;
+/// Longest time for which charged calls, which cannot be delayed, may use up the quota in advance.
+const MAX_DEBT: Duration = Duration::from_secs(4);
 
-/// There is no room now.
+/// The call would exceed the quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("there is room in {retry_in:?}")]
+#[error("call quota exceeded; next call possible in {retry_in:?}")]
 pub struct QuotaExceeded {
-    /// When there is, if nobody else takes it.
+    /// Time until the next call is possible, unless another caller takes it first.
     pub retry_in: Duration,
 }
 
-/// What one server takes.
+/// Call quota of one server.
 #[derive(Debug, Clone, Copy)]
 pub struct CallQuota {
     rate: CallRate,
-    /// When all that was given out is used up by the rate.
-    used_until: Time,
+    /// Theoretical arrival time of the GCRA: when the rate has caught up with all granted calls.
+    theoretical_arrival: Time,
 }
 
 impl CallQuota {
-    /// A quota whose server may just have had a burst from elsewhere.
+    /// Starts with the allowance used up: a previous quota owner may just have granted a burst.
     pub fn new(now: Time, rate: CallRate) -> Self {
-        let full = interval(rate).mul_f64(BEYOND + ahead(rate));
+        let full = emission_interval(rate).mul_f64(MAX_EXCESS + burst_calls(rate));
         Self {
             rate,
-            used_until: now + full,
+            theoretical_arrival: now + full,
         }
     }
 
-    /// Goes by another rate; the calls that are given out ahead stay as many.
+    /// Changes the rate. The number of calls granted in advance is preserved.
     pub fn set_rate(&mut self, now: Time, rate: CallRate) {
         if rate != self.rate {
-            let given_out = now.until(self.used_until);
-            let calls = given_out.div_duration_f64(interval(self.rate));
-            self.used_until = now + interval(rate).mul_f64(calls);
+            let backlog = now.until(self.theoretical_arrival);
+            let calls = backlog.div_duration_f64(emission_interval(self.rate));
+            self.theoretical_arrival = now + emission_interval(rate).mul_f64(calls);
             self.rate = rate;
         }
     }
 
-    /// Takes a call that can wait so long; gives back how long it must.
+    /// Grants a call and returns how long it has to wait.
     ///
     /// # Errors
     ///
-    /// It would have to wait longer.
-    pub fn take(&mut self, now: Time, patience: Duration) -> Result<Duration, QuotaExceeded> {
-        let burst = interval(self.rate).mul_f64(BEYOND + ahead(self.rate) - 1.0);
-        let wait = now.until(self.used_until).saturating_sub(burst);
-        if wait > patience {
+    /// The call would have to wait longer than `max_wait`.
+    pub fn take(&mut self, now: Time, max_wait: Duration) -> Result<Duration, QuotaExceeded> {
+        let burst = emission_interval(self.rate).mul_f64(MAX_EXCESS + burst_calls(self.rate) - 1.0);
+        let wait = now.until(self.theoretical_arrival).saturating_sub(burst);
+        if wait > max_wait {
             return Err(QuotaExceeded { retry_in: wait });
         }
-        self.used_until = self.used_until.max(now) + interval(self.rate);
+        self.theoretical_arrival = self.theoretical_arrival.max(now) + emission_interval(self.rate);
         Ok(wait)
     }
 
-    /// Counts a call that goes in any case.
+    /// Counts a call that is sent regardless of the quota.
     pub fn charge(&mut self, now: Time) {
-        let most = now + MOST_OWED;
-        let charged = self.used_until.max(now) + interval(self.rate);
-        self.used_until = charged.min(most).max(self.used_until);
+        let cap = now + MAX_DEBT;
+        let charged = self.theoretical_arrival.max(now) + emission_interval(self.rate);
+        self.theoretical_arrival = charged.min(cap).max(self.theoretical_arrival);
     }
 }
 
-/// Whole calls that a burst may take ahead of the rate.
-fn ahead(rate: CallRate) -> f64 {
-    (rate.calls_per_second() * BURST_S).floor()
+/// Size of a burst in whole calls.
+fn burst_calls(rate: CallRate) -> f64 {
+    (rate.calls_per_second() * BURST_SECS).floor()
 }
 
-/// From one call to the next.
-fn interval(rate: CallRate) -> Duration {
-    let taken_off = ahead(rate) / WINDOW_S;
-    let share = 1.0 - taken_off / rate.calls_per_second();
+/// Time between two calls at the sustained rate, which is the limit less the burst allowance.
+fn emission_interval(rate: CallRate) -> Duration {
+    let reserved_for_burst = burst_calls(rate) / WINDOW_SECS;
+    let share = 1.0 - reserved_for_burst / rate.calls_per_second();
     rate.interval().div_f64(share)
 }
--- a/lib/src/relay/call_rate.rs
+++ b/lib/src/relay/call_rate.rs
@@ -1,4 +1,4 @@
-//! How many calls a second a server says that it takes from all boxes together.
+//! Limit of calls per second that a server states for all boxes together.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,51 +6,51 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Calls a second, in thousandths.
+/// Calls per second, stored in thousandths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CallRate(u32);
 
-/// Thousandths in one.
 const THOUSAND: f64 = 1e3;
-/// A server that takes none is still tried once in ten seconds: only its answer ends the limit.
-const LEAST: CallRate = CallRate(100);
-/// More calls a second than any server gets, and no limit any more.
-const MOST: CallRate = CallRate(1_000_000_000);
+/// One call in ten seconds. A server with a limit of zero is still called that often, as only a
+/// response can lift the limit.
+const MIN_RATE: CallRate = CallRate(100);
+/// One million calls per second: more than any server gets, hence no limit in effect.
+const MAX_RATE: CallRate = CallRate(1_000_000_000);
 
-/// A text is no number of calls a second.
+/// The number is not a valid rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("expected a finite number that is not negative")]
+#[error("expected a finite, non-negative number")]
 pub struct InvalidCallRate;
 
 impl CallRate {
-    /// A rate from calls a second, kept within what can be counted.
+    /// Converts from calls per second. Clamps to the supported range.
     ///
     /// # Errors
     ///
-    /// It is negative, infinite or no number.
+    /// The number is negative, infinite or NaN.
     pub fn per_second(calls: f64) -> Result<Self, InvalidCallRate> {
         if !calls.is_finite() || calls < 0.0 {
             return Err(InvalidCallRate);
         }
-        // Converting saturates.
+        // The cast saturates.
         let rate = Self((calls * THOUSAND) as u32);
-        Ok(rate.clamp(LEAST, MOST))
+        Ok(rate.clamp(MIN_RATE, MAX_RATE))
     }
 
-    /// Calls a second.
+    /// Rate in calls per second.
     pub fn calls_per_second(self) -> f64 {
         f64::from(self.0) / THOUSAND
     }
 
-    /// Time from one call to the next.
+    /// Time between two calls.
     pub fn interval(self) -> Duration {
-        // A rate that another box told may lie outside.
-        let rate = self.clamp(LEAST, MOST);
+        // A rate decoded from a peer's datagram may be out of range.
+        let rate = self.clamp(MIN_RATE, MAX_RATE);
         Duration::from_secs(1).div_f64(rate.calls_per_second())
     }
 
-    /// What one of so many takers has of it.
+    /// One of `shares` equal shares of the rate, at least one thousandth of a call per second.
     #[must_use]
     pub fn divided_by(self, shares: usize) -> Self {
         let shares = u32::try_from(shares.max(1)).unwrap_or(u32::MAX);
--- a/lib/src/relay/leaving_servers.rs
+++ b/lib/src/relay/leaving_servers.rs
@@ -1,8 +1,9 @@
-//! Servers that say in their answers that they leave.
+//! Servers that announced in a response that they are leaving.
 //!
-//! It is true at every box and never over in the same incarnation of a server, so the lives alone are kept and
-//! told, without an age. An entry in the store says it too, later or not at all while the store is
-//! away; that one may be changed or spoiled and belongs to [`crate::relay::server_list`].
+//! The state holds for every box and is final for an incarnation of a server, so a set of
+//! incarnations without timestamps is gossiped between boxes. The server's entry in the store says
+//! the same, but later, or not at all while the store is unavailable. That entry can be changed or
+//! corrupted, and is handled by [`crate::relay::server_list`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,83 +12,84 @@
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
-/// Servers remembered, at some 40 bytes each; the one learned of first goes first.
-const MOST_SERVERS: usize = 4_096;
-/// How long one is told with each datagram: two heartbeats and a lost one.
-const FRESH: Duration = Duration::from_millis(1_200);
-/// New ones told with one datagram, at up to 10 bytes each, of 1,400.
-const MOST_FRESH_ROWS: usize = 32;
-/// Others told with one, each in turn, for boxes that were cut off.
-const ROWS_IN_TURN: usize = 4;
+/// Maximum number of entries, at about 40 bytes each; the oldest entry is evicted first.
+const MAX_SERVERS: usize = 4_096;
+/// How long a new entry is included in every datagram: two heartbeats plus a lost one.
+const ANNOUNCE_FOR: Duration = Duration::from_millis(1_200);
+/// Maximum number of new entries per datagram, at up to 10 of its 1,400 bytes each.
+const MAX_NEW_ROWS: usize = 32;
+/// Maximum number of older entries per datagram, sent round-robin for boxes that were partitioned.
+const MAX_REPEATED_ROWS: usize = 4;
 
-/// Lives of servers that leave.
+/// Set of leaving servers.
 #[derive(Debug, Default)]
 pub struct LeavingServers {
     /// When this box learned of each.
-    learned: BTreeMap<ServerLife, Time>,
-    /// Where the next datagram goes on, of the new ones.
-    fresh_to: Option<ServerLife>,
-    /// Where it goes on, of the others.
-    told_to: Option<ServerLife>,
-    /// Servers that went for want of room.
+    learned_at: BTreeMap<ServerLife, Time>,
+    /// Last new entry sent; the next datagram continues after it.
+    new_cursor: Option<ServerLife>,
+    /// Last older entry sent.
+    repeated_cursor: Option<ServerLife>,
+    /// Entries evicted because the set was full.
     evicted: u64,
 }
 
 impl LeavingServers {
-    /// Notes that a server leaves; true if that is new here.
+    /// Adds a leaving server. Returns whether it was new.
     pub fn insert(&mut self, now: Time, incarnation: ServerLife) -> bool {
-        if self.learned.contains_key(&incarnation) {
+        if self.learned_at.contains_key(&incarnation) {
             return false;
         }
-        if self.learned.len() >= MOST_SERVERS {
-            let first = self.learned.iter().min_by_key(|(_, at)| **at);
-            if let Some(incarnation) = first.map(|(incarnation, _)| *incarnation) {
-                self.learned.remove(&incarnation);
+        if self.learned_at.len() >= MAX_SERVERS {
+            let oldest = self.learned_at.iter().min_by_key(|(_, at)| **at);
+            if let Some(incarnation) = oldest.map(|(incarnation, _)| *incarnation) {
+                self.learned_at.remove(&incarnation);
                 self.evicted += 1;
             }
         }
-        self.learned.insert(incarnation, now);
+        self.learned_at.insert(incarnation, now);
         true
     }
 
-    /// Whether a server leaves.
+    /// Whether the server is leaving.
     pub fn contains(&self, incarnation: ServerLife) -> bool {
-        self.learned.contains_key(&incarnation)
+        self.learned_at.contains_key(&incarnation)
     }
 
-    /// Servers that are remembered.
+    /// Number of servers in the set.
     pub fn len(&self) -> usize {
-        self.learned.len()
+        self.learned_at.len()
     }
 
-    /// Whether none leaves.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
-        self.learned.is_empty()
+        self.learned_at.is_empty()
     }
 
-    /// Those to tell other boxes of now: new ones, and a few of the others in turn.
+    /// Entries for the next datagram to other boxes: new ones, and some older ones round-robin.
     pub fn rows(&mut self, now: Time) -> Vec<ServerLife> {
         let all = self
-            .learned
+            .learned_at
             .iter()
             .map(|(incarnation, at)| (*incarnation, *at));
-        let (fresh, others): (Vec<_>, Vec<_>) = all.partition(|(_, at)| now.since(*at) < FRESH);
-        let mut rows = turns::in_turn(&fresh, self.fresh_to, MOST_FRESH_ROWS);
-        self.fresh_to = rows.last().map(|(incarnation, _)| *incarnation);
-        let others = turns::in_turn(&others, self.told_to, ROWS_IN_TURN);
-        self.told_to = others.last().map(|(incarnation, _)| *incarnation);
-        rows.extend(others);
+        let (new, repeated): (Vec<_>, Vec<_>) =
+            all.partition(|(_, at)| now.since(*at) < ANNOUNCE_FOR);
+        let mut rows = turns::in_turn(&new, self.new_cursor, MAX_NEW_ROWS);
+        self.new_cursor = rows.last().map(|(incarnation, _)| *incarnation);
+        let repeated = turns::in_turn(&repeated, self.repeated_cursor, MAX_REPEATED_ROWS);
+        self.repeated_cursor = repeated.last().map(|(incarnation, _)| *incarnation);
+        rows.extend(repeated);
         rows.into_iter()
             .map(|(incarnation, _)| incarnation)
             .collect()
     }
 
-    /// Everything, for a box that has just started.
+    /// All entries, for a box that has just started.
     pub fn all_rows(&self) -> Vec<ServerLife> {
-        self.learned.keys().copied().collect()
+        self.learned_at.keys().copied().collect()
     }
 
-    /// Servers that went for want of room so far.
+    /// Number of entries evicted so far because the set was full.
     pub const fn evicted(&self) -> u64 {
         self.evicted
     }
--- a/lib/src/relay/limit_summary.rs
+++ b/lib/src/relay/limit_summary.rs
@@ -1,153 +1,155 @@
-//! What servers said of the calls they take, and what became of calls for it, from boxes' lines.
+//! Summary of server limits, pauses and departures, and their effects on calls, from the boxes'
+//! logs.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A line that tells of what a server said; other lines are none.
+/// Log line relevant to the summary, identified by its message. Other lines fail to deserialize.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(tag = "message")]
 pub enum LimitLogLine {
-    /// A limit began or changed.
+    /// A server stated a new or changed limit.
     #[serde(rename = "server names a limit")]
-    Named {
-        /// The server.
+    LimitStated {
+        /// Name of the server, if known to the box.
         server: Option<String>,
-        /// Calls a second.
+        /// Limit in calls per second.
         limit: f64,
-        /// When.
+        /// Time of the line.
         timestamp: String,
     },
-    /// A limit is over.
+    /// A server no longer states a limit.
     #[serde(rename = "server names no limit any more")]
-    Over {
-        /// The server.
+    LimitLifted {
+        /// Name of the server, if known to the box.
         server: Option<String>,
-        /// When.
+        /// Time of the line.
         timestamp: String,
     },
-    /// A call asked for its place there.
+    /// A permit for a call was requested.
     #[serde(rename = "limited server asked for")]
-    Asked {
-        /// The server.
+    PermitRequested {
+        /// Name of the server.
         server: String,
-        /// What it was told.
-        outcome: AskOutcome,
-        /// How long it had to wait.
+        /// Whether the permit was granted.
+        outcome: PermitOutcome,
+        /// Delay of the call in milliseconds, if granted.
         wait_ms: Option<u64>,
     },
-    /// A question got no answer.
+    /// A permit request got no response.
     #[serde(rename = "a question for a limited server got no answer")]
     Unanswered,
-    /// A server leaves.
+    /// A server is leaving.
     #[serde(rename = "server leaves")]
-    Leaves {
-        /// The server.
+    Leaving {
+        /// Name of the server, if known to the box.
         server: Option<String>,
-        /// When.
+        /// Time of the line.
         timestamp: String,
     },
-    /// A server turned a call away, perhaps with a pause that it wants.
+    /// A server rejected a call, possibly with a requested pause.
     #[serde(rename = "server declined")]
     Declined {
-        /// The server.
+        /// Name of the server.
         server: String,
-        /// The pause.
+        /// Requested pause in milliseconds.
         retry_after_ms: Option<u64>,
-        /// When.
+        /// Time of the line.
         timestamp: String,
     },
-    /// A call was chosen for a server that takes none.
+    /// A call was not sent to the selected server because the server accepts none.
     #[serde(rename = "call held back from a server")]
     HeldBack {
-        /// The server.
+        /// Name of the server.
         server: String,
     },
     /// A call ended.
     #[serde(rename = "call ended")]
-    Ended {
-        /// How.
+    CallEnded {
+        /// Outcome label of the call.
         outcome: String,
     },
 }
 
-/// What a call was told that asked for its place at a server.
+/// Outcome of a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AskOutcome {
-    /// It went there.
+pub enum PermitOutcome {
+    /// The call was sent to the server.
     Granted,
-    /// There was no room; it went elsewhere, or was refused.
+    /// The quota was used up; the call went to another server or was refused.
     Full,
 }
 
-/// Outcomes of calls for which no server was open.
+/// Outcomes of calls refused because no server accepted them.
 const REFUSED: [&str; 3] = ["servers_limited", "servers_shedding", "servers_leaving"];
 
-/// One server.
+/// Summary of one server.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ServerSummary {
-    /// Calls a second by its last word; none if that is over.
+    /// Latest limit in calls per second, `None` if lifted.
     pub limit: Option<f64>,
-    /// When it first said so.
+    /// When the latest limit was first stated.
     pub since: Option<String>,
-    /// Calls that went there.
+    /// Number of granted permits.
     pub granted: u64,
-    /// Calls that did not.
+    /// Number of denied permits.
     pub full: u64,
-    /// Longest wait of a call that went there.
+    /// Longest delay before a permitted call, in milliseconds.
     pub longest_wait_ms: u64,
-    /// When it was first told to leave.
+    /// When it was first reported as leaving.
     pub leaves_since: Option<String>,
-    /// Calls that it turned away with a pause that it wants.
+    /// Number of calls rejected with a requested pause.
     pub shed: u64,
-    /// The pause that it last named.
+    /// Last requested pause in milliseconds.
     pub pause_ms: Option<u64>,
-    /// When it last did.
+    /// Time of the last rejection with a pause.
     pub shed_at: Option<String>,
-    /// Calls that went elsewhere, since it took none when they were to be sent.
+    /// Number of calls moved to another server because this one accepted none at the time of
+    /// sending.
     pub held_back: u64,
 }
 
-/// All servers that said something.
+/// Summary of all servers that stated a limit, a pause or their departure.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct LimitSummary {
-    /// By name.
+    /// Servers by name.
     pub servers: BTreeMap<String, ServerSummary>,
-    /// Questions that got no answer.
+    /// Number of permit requests without a response.
     pub unanswered: u64,
-    /// Calls that were refused since no server took any of their box, by outcome.
+    /// Calls refused because no server accepted calls from their box, by outcome.
     pub refused: BTreeMap<String, u64>,
 }
 
 impl LimitSummary {
-    /// Takes a line; those of several boxes may come in any order.
+    /// Adds a log line. Lines of several boxes may come in any order.
     pub fn add(&mut self, line: LimitLogLine) {
         match line {
-            LimitLogLine::Named {
+            LimitLogLine::LimitStated {
                 server: Some(server),
                 limit,
                 timestamp,
-            } => self.word(server, Some(limit), timestamp),
-            LimitLogLine::Over {
+            } => self.record_limit(server, Some(limit), timestamp),
+            LimitLogLine::LimitLifted {
                 server: Some(server),
                 timestamp,
-            } => self.word(server, None, timestamp),
-            LimitLogLine::Asked {
+            } => self.record_limit(server, None, timestamp),
+            LimitLogLine::PermitRequested {
                 server,
                 outcome,
                 wait_ms,
             } => {
-                let of = self.servers.entry(server).or_default();
+                let entry = self.servers.entry(server).or_default();
                 match outcome {
-                    AskOutcome::Granted => of.granted += 1,
-                    AskOutcome::Full => of.full += 1,
+                    PermitOutcome::Granted => entry.granted += 1,
+                    PermitOutcome::Full => entry.full += 1,
                 }
-                of.longest_wait_ms = of.longest_wait_ms.max(wait_ms.unwrap_or_default());
+                entry.longest_wait_ms = entry.longest_wait_ms.max(wait_ms.unwrap_or_default());
             }
             LimitLogLine::Unanswered => self.unanswered += 1,
-            LimitLogLine::Leaves {
+            LimitLogLine::Leaving {
                 server: Some(server),
                 timestamp,
             } => {
@@ -161,36 +163,36 @@
                 retry_after_ms: Some(pause),
                 timestamp,
             } => {
-                let of = self.servers.entry(server).or_default();
-                of.shed += 1;
-                if of.shed_at.as_ref().is_none_or(|at| timestamp >= *at) {
-                    of.pause_ms = Some(pause);
-                    of.shed_at = Some(timestamp);
+                let entry = self.servers.entry(server).or_default();
+                entry.shed += 1;
+                if entry.shed_at.as_ref().is_none_or(|at| timestamp >= *at) {
+                    entry.pause_ms = Some(pause);
+                    entry.shed_at = Some(timestamp);
                 }
             }
             LimitLogLine::HeldBack { server } => {
                 self.servers.entry(server).or_default().held_back += 1;
             }
-            LimitLogLine::Ended { outcome } if REFUSED.contains(&outcome.as_str()) => {
+            LimitLogLine::CallEnded { outcome } if REFUSED.contains(&outcome.as_str()) => {
                 *self.refused.entry(outcome).or_default() += 1;
             }
-            // A box that does not list the server yet tells only its life.
-            LimitLogLine::Named { .. }
-            | LimitLogLine::Over { .. }
-            | LimitLogLine::Leaves { .. }
+            // A box that does not list the server yet logs only its incarnation, without a name.
+            LimitLogLine::LimitStated { .. }
+            | LimitLogLine::LimitLifted { .. }
+            | LimitLogLine::Leaving { .. }
             | LimitLogLine::Declined { .. }
-            | LimitLogLine::Ended { .. } => {}
+            | LimitLogLine::CallEnded { .. } => {}
         }
     }
 
-    /// The same word is heard at many boxes: its first moment counts, and the newest word.
-    fn word(&mut self, server: String, limit: Option<f64>, at: String) {
-        let of = self.servers.entry(server).or_default();
-        let is_same = of.since.is_some() && of.limit == limit;
-        let is_newer = of.since.as_ref().is_none_or(|since| at >= *since);
+    /// Many boxes log the same limit: keeps the latest one, with its earliest timestamp.
+    fn record_limit(&mut self, server: String, limit: Option<f64>, at: String) {
+        let entry = self.servers.entry(server).or_default();
+        let is_same = entry.since.is_some() && entry.limit == limit;
+        let is_newer = entry.since.as_ref().is_none_or(|since| at >= *since);
         if (is_same && !is_newer) || (!is_same && is_newer) {
-            of.limit = limit;
-            of.since = Some(at);
+            entry.limit = limit;
+            entry.since = Some(at);
         }
     }
 }
--- a/lib/src/relay/parsed_header.rs
+++ b/lib/src/relay/parsed_header.rs
@@ -1,19 +1,19 @@
-//! What a server's answer says in a header that it may carry.
+//! Result of parsing an optional response header.
 
-/// A value that a server may state.
+/// Value of an optional header in a server's response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ParsedHeader<T> {
-    /// The answer lacks the header.
+    /// The response lacks the header.
     #[default]
     Absent,
-    /// The value.
+    /// The header's value.
     Value(T),
-    /// The header is there and can't be read.
+    /// The header is present but malformed.
     Unreadable,
 }
 
 impl<T> ParsedHeader<T> {
-    /// The value, if there is one.
+    /// The value, or `None` if the header is absent or malformed.
     pub fn value(self) -> Option<T> {
         match self {
             Self::Value(value) => Some(value),
--- a/lib/src/relay/permit_wire.rs
+++ b/lib/src/relay/permit_wire.rs
@@ -1,4 +1,5 @@
-//! Datagrams in which a box asks for a call to a limited server, and is answered.
+//! Datagrams with which a box requests a permit for a call to a limited server from the box that
+//! owns the server's quota.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,71 +7,71 @@
 use crate::ids::HallName;
 use crate::relay::server_limits::LimitRow;
 
-/// First byte of such a datagram: tells it from those that tell of work, and its version.
+/// First byte of a permit datagram: protocol version, and distinguishes it from load datagrams.
 const PERMIT_VERSION: u8 = 0x81;
 
-/// A question or its answer.
+/// Message between a box and a quota owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitFrame {
-    /// May a call go to the server?
+    /// Requests a permit for a call.
     Request(PermitRequest),
-    /// A call that goes in any case: it only counts.
+    /// Reports a call that is sent regardless of the quota. No response is sent.
     Charge(PermitRequest),
-    /// The answer.
+    /// Response to a request.
     Response(PermitResponse),
 }
 
-/// What is asked.
+/// Request for a permit for one call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Drawn for the question; asked again with the same where no answer comes.
+    /// Random request ID. A retry after a lost response carries the same one.
     pub id: u64,
-    /// The server's hall.
+    /// Hall of the server.
     pub hall: HallName,
-    /// What the asking box knows of the server.
+    /// Limit of the server as known to the requesting box.
     pub limit_row: LimitRow,
-    /// How long the call can wait, in milliseconds.
+    /// Longest acceptable delay of the call, in milliseconds.
     pub max_wait_ms: u32,
 }
 
-/// What is answered.
+/// Response to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitResponse {
-    /// Of the question.
+    /// ID of the request.
     pub id: u64,
-    /// The answer.
+    /// Decision on the request.
     pub decision: PermitDecision,
 }
 
-/// Whether a call may go.
+/// Whether the call may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitDecision {
-    /// After so many microseconds.
+    /// The call may be sent after a delay.
     Granted {
-        /// Microseconds.
+        /// Delay in microseconds.
         after: u32,
     },
-    /// There is no room before so many microseconds.
+    /// The quota is used up for longer than the call can wait.
     Full {
-        /// Microseconds.
+        /// Time until the next call is possible, in microseconds.
         retry_in: u32,
     },
-    /// Another box gives out that server's calls, as far as this one knows.
+    /// The receiving box does not own the server's quota, as far as it knows.
     NotOwner,
 }
 
-/// It is no datagram of this kind and version.
+/// The bytes are not a permit datagram of this version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a question or an answer can't be decoded")]
+#[error("malformed permit datagram")]
 pub struct PermitFrameError;
 
 impl PermitFrame {
-    /// Whether a datagram is meant to be one.
+    /// Whether a datagram is marked as a permit datagram of this version.
     pub fn has_version_byte(bytes: &[u8]) -> bool {
         bytes.first() == Some(&PERMIT_VERSION)
     }
 
-    /// Encodes it.
+    /// Encodes the message as a datagram.
     ///
     /// # Panics
     ///
@@ -79,11 +80,11 @@
         postcard::to_stdvec(&(PERMIT_VERSION, self)).expect("a frame can be encoded")
     }
 
-    /// Decodes one.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// It is none.
+    /// The bytes are malformed or of another version.
     pub fn decode(bytes: &[u8]) -> Result<Self, PermitFrameError> {
         let decoded = postcard::from_bytes::<(u8, Self)>(bytes);
         match decoded {
--- a/lib/src/relay/quota_owner.rs
+++ b/lib/src/relay/quota_owner.rs
@@ -1,9 +1,11 @@
-//! One box gives out the calls that a limited server takes; the others ask it, call by call.
+//! Ownership of call quotas: one box grants the calls to a limited server, the others request a
+//! permit from it for each call.
 //!
-//! A count kept by each box would let as many boxes each send their own first call, and an even share
-//! would leave most of a small limit unused. So the first living box of the server's hall keeps the
-//! count. No box is needed for it: where that one is gone, the next one begins with nothing in hand, and
-//! a box that can ask nobody sends no call there while other servers will do.
+//! If each box counted by itself, every box could send a first call at the same time, and an even
+//! share per box would leave most of a small limit unused. So the first live box of the server's
+//! hall owns the quota. No particular box is required: if the owner fails, the next box takes over
+//! without any burst allowance, and a box that can reach no owner sends no call to the server while
+//! other servers are available.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -21,73 +23,80 @@
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
-/// Servers whose count is kept, at some 50 bytes each.
-const MOST_QUOTAS: usize = 2_048;
-/// A count that nobody asked for in this time is full again, but for the slowest servers.
-const IDLE: Duration = Duration::from_secs(30);
-/// Answers that are given again to whoever asks with the same id.
-const MOST_ANSWERS: usize = 512;
+/// Maximum number of owned quotas, at about 50 bytes each.
+const MAX_QUOTAS: usize = 2_048;
+/// Idle time after which a quota may be evicted: by then it is replenished, except for the slowest
+/// servers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Responses kept to answer repeated requests with the same ID.
+const MAX_CACHED_RESPONSES: usize = 512;
 
-/// Who gives out the calls of a server.
+/// Box that owns the quota of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaOwner {
-    /// This box, of a rate that so many takers share that may not hear each other.
+    /// This box, which grants one of `shares` equal shares of the rate: network partitions may have
+    /// that many owners at the same time.
     Local {
-        /// Takers.
+        /// Number of shares.
         shares: usize,
     },
     /// Another box.
     Remote(SocketAddr),
-    /// It isn't known yet who.
+    /// Not known yet.
     Unknown,
 }
 
 impl QuotaOwner {
-    /// The keeper for servers of a hall, as a box sees it that started `up_for` ago: the first of the
-    /// boxes there that live, or of another hall's, where none does.
+    /// Determines the owner for the servers of a hall, as seen by the box `own`, which started
+    /// `uptime` ago: the first live box of the hall, or of another hall if it has no live box.
     pub fn elect(
         boxes: &Boxes,
         own: &str,
         hall: &HallName,
-        up_for: Duration,
-        lives: impl Fn(&str) -> bool,
+        uptime: Duration,
+        is_alive: impl Fn(&str) -> bool,
     ) -> Self {
-        let hears_others = boxes.keys().any(|name| name != own && lives(name));
+        let hears_others = boxes.keys().any(|name| name != own && is_alive(name));
         if !hears_others {
             return match boxes.len() {
                 0 | 1 => Self::Local { shares: 1 },
-                _ if up_for < LIVES => Self::Unknown,
-                // It is cut off from the others, or they are gone.
+                _ if uptime < LIVES => Self::Unknown,
+                // This box is partitioned from the others, or they have all failed.
                 boxes => Self::Local { shares: boxes },
             };
         }
-        let Some(first) = cells::first_living(boxes, own, hall, &lives) else {
+        let Some(first) = cells::first_living(boxes, own, hall, &is_alive) else {
             return Self::Unknown;
         };
         if first.name != own {
             return first.load.parse().map_or(Self::Unknown, Self::Remote);
         }
-        if up_for < LIVES {
-            // It may not have heard yet who was first before.
+        if uptime < LIVES {
+            // It may not have heard from the previous owner yet.
             return Self::Unknown;
         }
         let shares = if first.hall == hall.as_str() {
-            parts_of_hall(boxes, own, hall, lives)
+            possible_partitions(boxes, own, hall, is_alive)
         } else {
-            // Each hall may believe that it is the first one left.
+            // Under a partition, each hall may consider itself the first live one.
             cells::halls(boxes)
         };
         Self::Local { shares }
     }
 }
 
-/// Into how many parts a hall may be cut: one, while most of its boxes are heard. Those that are not
-/// may only be cut off, and go on with a keeper of their own.
-fn parts_of_hall(boxes: &Boxes, own: &str, hall: &HallName, lives: impl Fn(&str) -> bool) -> usize {
+/// Upper estimate of the number of partitions of a hall: one, while most of its boxes are heard.
+/// Boxes that are not heard may be partitioned rather than failed, and have an owner of their own.
+fn possible_partitions(
+    boxes: &Boxes,
+    own: &str,
+    hall: &HallName,
+    is_alive: impl Fn(&str) -> bool,
+) -> usize {
     let known = cells::ranked(boxes, hall.as_str());
     let heard = known
         .iter()
-        .filter(|of| of.name == own || lives(&of.name))
+        .filter(|peer| peer.name == own || is_alive(&peer.name))
         .count();
     if heard * 2 > known.len() {
         1
@@ -96,74 +105,82 @@
     }
 }
 
-/// Counts of the servers whose calls this box gives out.
+/// Quotas owned by this box.
 #[derive(Debug, Default)]
 pub struct OwnedQuotas {
-    quotas: HashMap<ServerLife, Kept>,
-    /// Latest answers by the id of the question, oldest first.
-    answers: VecDeque<(u64, PermitDecision)>,
+    quotas: HashMap<ServerLife, QuotaEntry>,
+    /// Latest responses by request ID, oldest first.
+    responses: VecDeque<(u64, PermitDecision)>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct QuotaEntry {
     quota: CallQuota,
-    asked: Time,
+    requested_at: Time,
 }
 
 impl OwnedQuotas {
-    /// Takes a call that can wait so long; gives back how long it must.
+    /// Grants a call to the server and returns how long it has to wait.
     ///
     /// # Errors
     ///
-    /// It would have to wait longer.
+    /// The call would have to wait longer than `max_wait`.
     pub fn take(
         &mut self,
         now: Time,
         incarnation: ServerLife,
         rate: CallRate,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Duration, QuotaExceeded> {
-        self.quota(now, incarnation, rate).take(now, patience)
+        self.quota(now, incarnation, rate).take(now, max_wait)
     }
 
-    /// Counts a call that goes in any case.
+    /// Counts a call that is sent regardless of the quota.
     pub fn charge(&mut self, now: Time, incarnation: ServerLife, rate: CallRate) {
         self.quota(now, incarnation, rate).charge(now);
     }
 
-    /// What a question was answered that came before: its answer was lost, or late.
+    /// Response already given to the request with this ID: the request is repeated if the response
+    /// was lost or late.
     pub fn cached_response(&self, id: u64) -> Option<PermitDecision> {
-        let mut answers = self.answers.iter().rev();
-        answers
-            .find(|(of, _)| *of == id)
+        let mut responses = self.responses.iter().rev();
+        responses
+            .find(|(cached, _)| *cached == id)
             .map(|(_, decision)| *decision)
     }
 
-    /// Remembers the answer to a question.
+    /// Stores the response to a request.
     pub fn cache_response(&mut self, id: u64, decision: PermitDecision) {
-        if self.answers.len() >= MOST_ANSWERS {
-            self.answers.pop_front();
+        if self.responses.len() >= MAX_CACHED_RESPONSES {
+            self.responses.pop_front();
         }
-        self.answers.push_back((id, decision));
+        self.responses.push_back((id, decision));
     }
 
     fn quota(&mut self, now: Time, incarnation: ServerLife, rate: CallRate) -> &mut CallQuota {
-        if !self.quotas.contains_key(&incarnation) && self.quotas.len() >= MOST_QUOTAS {
-            self.make_room(now);
+        if !self.quotas.contains_key(&incarnation) && self.quotas.len() >= MAX_QUOTAS {
+            self.evict(now);
         }
-        let kept = self.quotas.entry(incarnation).or_insert_with(|| Kept {
-            quota: CallQuota::new(now, rate),
-            asked: now,
-        });
-        kept.asked = now;
-        kept.quota.set_rate(now, rate);
-        &mut kept.quota
+        let entry = self
+            .quotas
+            .entry(incarnation)
+            .or_insert_with(|| QuotaEntry {
+                quota: CallQuota::new(now, rate),
+                requested_at: now,
+            });
+        entry.requested_at = now;
+        entry.quota.set_rate(now, rate);
+        &mut entry.quota
     }
 
-    fn make_room(&mut self, now: Time) {
-        self.quotas.retain(|_, kept| now.since(kept.asked) < IDLE);
-        let oldest = self.quotas.iter().min_by_key(|(_, kept)| kept.asked);
-        if let (true, Some((&incarnation, _))) = (self.quotas.len() >= MOST_QUOTAS, oldest) {
+    fn evict(&mut self, now: Time) {
+        self.quotas
+            .retain(|_, entry| now.since(entry.requested_at) < IDLE_TIMEOUT);
+        let oldest = self
+            .quotas
+            .iter()
+            .min_by_key(|(_, entry)| entry.requested_at);
+        if let (true, Some((&incarnation, _))) = (self.quotas.len() >= MAX_QUOTAS, oldest) {
             self.quotas.remove(&incarnation);
         }
     }
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -1,9 +1,10 @@
-//! Which servers say how many calls they take from all boxes together, and which are closed here.
+//! Call limits stated by servers, and servers that are closed to this box.
 //!
-//! A limit belongs to one incarnation of a server. Boxes tell each other what answers said, with its age, and the
-//! newest word wins, whoever tells it; a datagram that leaves a server out says nothing of it. A
-//! server that was denied to this box is closed to it until there is room. Who gives out the calls is
-//! [`crate::relay::quota_owner`]. Ways weighed: `docs/design/server-limits.md`.
+//! A limit is stated for all boxes together and belongs to one incarnation of a server. Boxes
+//! gossip the statements with their ages, and the newest one wins regardless of its source. A
+//! datagram that omits a server says nothing about it. After a denied permit the server is closed
+//! to this box until the quota has recovered. See [`crate::relay::quota_owner`] for the quotas, and
+//! `docs/design/server-limits.md` for the alternatives considered.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -20,142 +21,159 @@
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
-/// How long a word is remembered: servers that nobody asks any more are gone by then.
-const REMEMBERED: Duration = Duration::from_mins(10);
-/// Servers remembered, at some 60 bytes each; the oldest word goes first.
-const MOST_SERVERS: usize = 2_048;
-/// How long a change is told with each datagram: two heartbeats and a lost one.
-const FRESH: Duration = Duration::from_millis(1_200);
-/// Changes told with one datagram, at up to 19 bytes each, of 1,400.
-const MOST_FRESH_ROWS: usize = 16;
-/// Others told with one, each in turn, for boxes that missed the change.
-const ROWS_IN_TURN: usize = 4;
-/// Added to the age of what is told: else a word would grow younger on each way there and back.
-const WAY: Duration = Duration::from_millis(5);
-/// Changes of one server within this time are told with the next heartbeat, not at once.
-const CHANGE_PAUSE: Duration = Duration::from_millis(250);
-
-/// A server whose limit began, changed or ended.
+/// How long a statement is kept. Servers that have not been called for this long are gone.
+const RETENTION: Duration = Duration::from_mins(10);
+/// Maximum number of servers, at about 60 bytes each; the oldest statement is evicted first.
+const MAX_SERVERS: usize = 2_048;
+/// How long a change is included in every datagram: two heartbeats plus a lost one.
+const ANNOUNCE_FOR: Duration = Duration::from_millis(1_200);
+/// Maximum number of changes per datagram, at up to 19 of its 1,400 bytes each.
+const MAX_CHANGED_ROWS: usize = 16;
+/// Maximum number of older statements per datagram, sent round-robin for boxes that missed the
+/// change.
+const MAX_REPEATED_ROWS: usize = 4;
+/// Added to the age of sent statements to cover the transit time: without it, a statement would get
+/// younger with each round trip between boxes.
+const TRANSIT_TIME: Duration = Duration::from_millis(5);
+/// A change within this time of the previous change of the same server is not announced at once,
+/// but with the next heartbeat.
+const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
+
+/// A new, changed or lifted limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitChange {
-    /// The server's incarnation.
+    /// Incarnation of the server.
     pub incarnation: ServerLife,
-    /// What held before.
+    /// Previous limit.
     pub before: Option<CallRate>,
-    /// What holds now.
+    /// Current limit.
     pub after: Option<CallRate>,
-    /// Whether it is worth a line and a datagram of its own: not one of many in a moment.
+    /// Whether to log the change and announce it in a datagram at once; false if it follows the
+    /// previous change too closely.
     pub announce_now: bool,
 }
 
-/// What one box tells another of a server.
+/// Statement of a server as gossiped between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRow {
-    /// The server's incarnation.
+    /// Incarnation of the server.
     pub incarnation: ServerLife,
-    /// What it takes; none if its limit is over.
+    /// Stated limit, `None` if lifted.
     pub rate: Option<CallRate>,
-    /// How many milliseconds ago it said so.
+    /// Age of the statement in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a server last said.
+/// Latest statement of a server.
 #[derive(Debug, Clone, Copy)]
-struct Word {
+struct LimitStatement {
     rate: Option<CallRate>,
     at: Moment,
-    /// When this box learned that it changed.
-    changed: Time,
+    /// When this box learned of the last change.
+    changed_at: Time,
 }
 
-/// Limits of servers by their lives.
+/// Limits by server incarnation.
 #[derive(Debug, Default)]
 pub struct ServerLimits {
-    words: HashMap<ServerLife, Word>,
-    /// Until when servers are closed to this box.
-    closed: HashMap<ServerLife, Time>,
-    /// Where the next datagram goes on, of the words that are not new.
-    told_to: Option<ServerLife>,
-    /// Servers that went for want of room.
+    statements: HashMap<ServerLife, LimitStatement>,
+    /// Servers closed to this box, and until when.
+    closed_until: HashMap<ServerLife, Time>,
+    /// Last older statement sent; the next datagram continues after it.
+    repeated_cursor: Option<ServerLife>,
+    /// Statements evicted for lack of space.
     evicted: u64,
 }
 
 impl ServerLimits {
-    /// Takes what an answer of the server says, which came now.
+    /// Records the limit header of a response received now.
     pub fn record_response(
         &mut self,
         now: Time,
         incarnation: ServerLife,
-        word: ParsedHeader<CallRate>,
+        header: ParsedHeader<CallRate>,
     ) -> Option<LimitChange> {
-        let rate = match word {
+        let rate = match header {
             ParsedHeader::Value(rate) => Some(rate),
-            ParsedHeader::Absent if self.words.contains_key(&incarnation) => None,
+            ParsedHeader::Absent if self.statements.contains_key(&incarnation) => None,
             ParsedHeader::Absent | ParsedHeader::Unreadable => return None,
         };
-        self.take(now, incarnation, rate, Moment::of(now))
+        self.apply(now, incarnation, rate, Moment::of(now))
     }
 
-    /// Takes what another box tells.
+    /// Merges statements gossiped by another box.
     pub fn merge_rows(&mut self, now: Time, rows: &[LimitRow]) -> Vec<LimitChange> {
-        let take = |row: &LimitRow| {
-            self.take(now, row.incarnation, row.rate, Moment::ago(now, row.age_ms))
+        let apply = |row: &LimitRow| {
+            self.apply(now, row.incarnation, row.rate, Moment::ago(now, row.age_ms))
         };
-        rows.iter().filter_map(take).collect()
+        rows.iter().filter_map(apply).collect()
     }
 
-    fn take(
+    fn apply(
         &mut self,
         now: Time,
         incarnation: ServerLife,
         rate: Option<CallRate>,
         at: Moment,
     ) -> Option<LimitChange> {
-        let known = self.words.get(&incarnation).copied();
+        let known = self.statements.get(&incarnation).copied();
         let is_newer = known.is_none_or(|known| at > known.at);
-        if !is_newer || at.since(now) >= REMEMBERED {
+        if !is_newer || at.since(now) >= RETENTION {
             return None;
         }
         if known.is_none() {
             self.make_room(now);
         }
         let before = known.and_then(|known| known.rate);
-        let last_change = known.map(|known| known.changed);
-        let changed = match last_change {
+        let last_change = known.map(|known| known.changed_at);
+        let changed_at = match last_change {
             Some(at) if before == rate => at,
             _ => now,
         };
-        self.words.insert(incarnation, Word { rate, at, changed });
+        self.statements.insert(
+            incarnation,
+            LimitStatement {
+                rate,
+                at,
+                changed_at,
+            },
+        );
         if rate.is_none() {
-            self.closed.remove(&incarnation);
+            self.closed_until.remove(&incarnation);
         }
         (before != rate).then_some(LimitChange {
             incarnation,
             before,
             after: rate,
-            announce_now: last_change.is_none_or(|at| now.since(at) >= CHANGE_PAUSE),
+            announce_now: last_change.is_none_or(|at| now.since(at) >= MIN_ANNOUNCE_INTERVAL),
         })
     }
 
     fn make_room(&mut self, now: Time) {
-        if self.words.len() < MOST_SERVERS {
+        if self.statements.len() < MAX_SERVERS {
             return;
         }
-        self.words.retain(|_, word| word.at.since(now) < REMEMBERED);
-        let oldest = self.words.iter().min_by_key(|(_, word)| word.at);
-        if let (true, Some((&incarnation, _))) = (self.words.len() >= MOST_SERVERS, oldest) {
-            self.words.remove(&incarnation);
-            self.closed.remove(&incarnation);
+        self.statements
+            .retain(|_, statement| statement.at.since(now) < RETENTION);
+        let oldest = self
+            .statements
+            .iter()
+            .min_by_key(|(_, statement)| statement.at);
+        if let (true, Some((&incarnation, _))) = (self.statements.len() >= MAX_SERVERS, oldest) {
+            self.statements.remove(&incarnation);
+            self.closed_until.remove(&incarnation);
             self.evicted += 1;
         }
     }
 
-    /// What a server takes, if it names a limit.
+    /// Limit of a server, if it states one.
     pub fn limit(&self, incarnation: ServerLife) -> Option<CallRate> {
-        self.words.get(&incarnation).and_then(|word| word.rate)
+        self.statements
+            .get(&incarnation)
+            .and_then(|statement| statement.rate)
     }
 
-    /// Whether a server takes a call of this box now.
+    /// Availability of a server to this box, considering only limits.
     pub fn availability(&self, now: Time, incarnation: ServerLife) -> Availability {
         match self.limit(incarnation) {
             None => Availability::Open,
@@ -164,75 +182,81 @@
         }
     }
 
-    /// How long a server stays closed to this box.
+    /// How long a server remains closed to this box.
     pub fn closed_for(&self, now: Time, incarnation: ServerLife) -> Duration {
-        let until = self.closed.get(&incarnation);
+        let until = self.closed_until.get(&incarnation);
         until.map_or(Duration::ZERO, |until| now.until(*until))
     }
 
-    /// Closes a server to this box until there is room.
+    /// Closes a server to this box for a time.
     pub fn close(&mut self, now: Time, incarnation: ServerLife, retry_in: Duration) {
-        self.closed.retain(|_, until| *until > now);
-        self.closed.insert(incarnation, now + retry_in);
+        self.closed_until.retain(|_, until| *until > now);
+        self.closed_until.insert(incarnation, now + retry_in);
     }
 
-    /// What to tell other boxes now: words that changed lately, those that changed last first, and a
-    /// few others in turn.
+    /// Statements for the next datagram to other boxes: recently changed ones, the latest change
+    /// first, and some older ones round-robin.
     pub fn rows(&mut self, now: Time) -> Vec<LimitRow> {
-        if self.words.is_empty() {
+        if self.statements.is_empty() {
             return Vec::new();
         }
-        self.words.retain(|_, word| word.at.since(now) < REMEMBERED);
-        let is_fresh = |word: &Word| now.since(word.changed) < FRESH;
-        let mut fresh: Vec<_> = (self.words.iter())
-            .filter(|(_, word)| is_fresh(word))
+        self.statements
+            .retain(|_, statement| statement.at.since(now) < RETENTION);
+        let is_recent = |statement: &LimitStatement| now.since(statement.changed_at) < ANNOUNCE_FOR;
+        let mut recent: Vec<_> = (self.statements.iter())
+            .filter(|(_, statement)| is_recent(statement))
             .collect();
-        fresh.sort_by_key(|(incarnation, word)| (Reverse(word.changed), **incarnation));
-        fresh.truncate(MOST_FRESH_ROWS);
-        let rest = self.words.iter().filter(|(_, word)| !is_fresh(word));
-        let mut rest: Vec<_> = rest.collect();
-        rest.sort_by_key(|(incarnation, _)| **incarnation);
-        let in_turn = turns::in_turn(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
-        let told_to = in_turn.last().map(|(incarnation, _)| **incarnation);
-        let told = fresh.iter().chain(&in_turn);
-        let rows = told
-            .map(|(incarnation, word)| row(now, **incarnation, word))
+        recent
+            .sort_by_key(|(incarnation, statement)| (Reverse(statement.changed_at), **incarnation));
+        recent.truncate(MAX_CHANGED_ROWS);
+        let older = self
+            .statements
+            .iter()
+            .filter(|(_, statement)| !is_recent(statement));
+        let mut older: Vec<_> = older.collect();
+        older.sort_by_key(|(incarnation, _)| **incarnation);
+        let repeated = turns::in_turn(&older, self.repeated_cursor.as_ref(), MAX_REPEATED_ROWS);
+        let repeated_cursor = repeated.last().map(|(incarnation, _)| **incarnation);
+        let selected = recent.iter().chain(&repeated);
+        let rows = selected
+            .map(|(incarnation, statement)| row(now, **incarnation, statement))
             .collect();
-        self.told_to = told_to;
+        self.repeated_cursor = repeated_cursor;
         rows
     }
 
-    /// Everything, for a box that has just started.
+    /// All statements, for a box that has just started.
     pub fn all_rows(&self, now: Time) -> Vec<LimitRow> {
-        let words = self.words.iter();
-        words
-            .map(|(incarnation, word)| row(now, *incarnation, word))
+        let statements = self.statements.iter();
+        statements
+            .map(|(incarnation, statement)| row(now, *incarnation, statement))
             .collect()
     }
 
-    /// The word on one server, for whoever gives out its calls.
+    /// Statement of one server, sent to the owner of its quota.
     pub fn row_of(&self, now: Time, incarnation: ServerLife) -> Option<LimitRow> {
-        self.words
+        self.statements
             .get(&incarnation)
-            .map(|word| row(now, incarnation, word))
+            .map(|statement| row(now, incarnation, statement))
     }
 
-    /// Servers that name a limit, and what it is.
+    /// Servers that state a limit, with their limits.
     pub fn limited(&self) -> impl Iterator<Item = (ServerLife, CallRate)> {
-        let words = self.words.iter();
-        words.filter_map(|(incarnation, word)| word.rate.map(|rate| (*incarnation, rate)))
+        let statements = self.statements.iter();
+        statements
+            .filter_map(|(incarnation, statement)| statement.rate.map(|rate| (*incarnation, rate)))
     }
 
-    /// Servers that went for want of room so far.
+    /// Number of statements evicted so far for lack of space.
     pub const fn evicted(&self) -> u64 {
         self.evicted
     }
 }
 
-fn row(now: Time, incarnation: ServerLife, word: &Word) -> LimitRow {
+fn row(now: Time, incarnation: ServerLife, statement: &LimitStatement) -> LimitRow {
     LimitRow {
         incarnation,
-        rate: word.rate,
-        age_ms: word.at.millis_ago(now) + WAY.as_millis() as u32,
+        rate: statement.rate,
+        age_ms: statement.at.millis_ago(now) + TRANSIT_TIME.as_millis() as u32,
     }
 }
--- a/lib/src/relay/server_notices.rs
+++ b/lib/src/relay/server_notices.rs
@@ -1,4 +1,4 @@
-//! What servers say of the calls they take: limits, pauses, and that they leave.
+//! Notices that servers send with their responses: call limits, requested pauses, and leaving.
 
 use std::time::Duration;
 
@@ -17,55 +17,57 @@
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
-/// What one answer says of its server.
+/// Notice in one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// The calls a second that it takes from all boxes together.
+    /// Limit of calls per second from all boxes together.
     pub limit: ParsedHeader<CallRate>,
-    /// Whether it leaves: it finishes what it has and takes nothing new in this incarnation.
+    /// Whether the server is leaving: it finishes its current work and accepts nothing new in this
+    /// incarnation.
     pub leaving: ParsedHeader<bool>,
-    /// How long it wants nothing from the box that it turned away.
+    /// Pause requested from the box whose call was rejected.
     pub retry_after: ParsedHeader<Duration>,
 }
 
-/// What one box tells another of servers.
+/// Notices as gossiped between boxes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NoticeRows {
-    /// Those that name a limit, or did.
+    /// Stated and lifted limits.
     pub limits: Vec<LimitRow>,
-    /// Those that leave.
+    /// Leaving servers.
     pub leaving: Vec<ServerLife>,
-    /// Those that turned the box away.
+    /// Pauses requested from the sending box.
     pub shedding: Vec<ShedRow>,
 }
 
-/// What is new by a notice or by rows.
+/// Changes caused by a notice or by gossiped rows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NoticeChanges {
-    /// Limits that began, changed or ended.
+    /// New, changed and lifted limits.
     pub limits: Vec<LimitChange>,
-    /// Servers that leave.
+    /// Servers that started leaving.
     pub leaving: Vec<ServerLife>,
-    /// Servers that shed load.
+    /// Servers that started to shed load.
     pub shedding: Vec<ServerLife>,
-    /// Servers that shed load and take calls again.
+    /// Servers that shed load before and accept calls again.
     pub recovered: Vec<ServerLife>,
 }
 
-/// What servers said, by their lives.
+/// State of all notices by server incarnation.
 #[derive(Debug, Default)]
 pub struct ServerNotices {
-    /// Servers that say how many calls they take.
+    /// Call limits.
     pub limits: ServerLimits,
-    /// Servers that leave.
+    /// Leaving servers.
     pub leaving: LeavingServers,
     /// Servers that shed load.
     pub shedding: SheddingServers,
 }
 
 impl ServerNotices {
-    /// Takes what an answer of the server says, which came now. An answer without the server's proof of
-    /// it may lack a limit for other reasons than that there is none.
+    /// Records the notice in a response received now. A missing limit header lifts the limit only
+    /// if the response has the server's proof (`has_proof`); otherwise the header may be missing
+    /// for other reasons.
     pub fn record_response(
         &mut self,
         now: Time,
@@ -93,7 +95,7 @@
         changes
     }
 
-    /// Takes what another box tells.
+    /// Merges notices gossiped by another box.
     pub fn merge_rows(&mut self, now: Time, rows: &NoticeRows) -> NoticeChanges {
         let leaving = rows.leaving.iter().copied();
         NoticeChanges {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Whether a server takes a call of this box now.
+    /// Availability of a server to this box.
     pub fn availability(&self, now: Time, incarnation: ServerLife) -> Availability {
         if self.leaving.contains(incarnation) {
             return Availability::Leaving;
@@ -115,8 +117,8 @@
         limit.max(self.shedding.availability(now, incarnation))
     }
 
-    /// The same for a call that another server has turned away or lost: it is not the one to try a server
-    /// after its pause.
+    /// Availability for a call that another server has already rejected or lost. Such a call does
+    /// not probe a server after its pause.
     pub fn availability_for_retry(&self, now: Time, incarnation: ServerLife) -> Availability {
         match self.availability(now, incarnation) {
             Availability::Open if self.shedding.awaits_probe(now, incarnation) => {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// How long until a server takes a call of this box; `None` if it never does in this incarnation.
+    /// Time until a server accepts a call of this box; `None` if it is leaving.
     pub fn available_in(&self, now: Time, incarnation: ServerLife) -> Option<Duration> {
         match self.availability(now, incarnation) {
             Availability::Open | Availability::Limited | Availability::Shedding => {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// What to tell other boxes now.
+    /// Notices for the next datagram to other boxes.
     pub fn rows(&mut self, now: Time) -> NoticeRows {
         NoticeRows {
             limits: self.limits.rows(now),
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Everything, for a box that has just started.
+    /// All notices, for a box that has just started.
     pub fn all_rows(&self, now: Time) -> NoticeRows {
         NoticeRows {
             limits: self.limits.all_rows(now),
--- a/lib/src/relay/shedding_servers.rs
+++ b/lib/src/relay/shedding_servers.rs
@@ -1,9 +1,10 @@
-//! Servers that shed load: they turned a call away and named a time for which they want none.
+//! Servers that shed load: they rejected a call and requested a pause.
 //!
-//! The pause binds the box that was turned away, and nothing that it concludes by itself shortens it.
-//! Other boxes are told, and prefer other servers meanwhile: a server that sheds a few calls of each
-//! box would get none at all if one pause bound everybody. After a pause one call tries the server
-//! before others follow. Ways weighed: `docs/design/server-limits.md`.
+//! The pause is binding for the box whose call was rejected, and nothing that the box infers by
+//! itself shortens it. Other boxes are notified and merely prefer other servers meanwhile: a server
+//! that sheds a few calls of each box would get no calls at all if one pause were binding for all
+//! boxes. After a pause, a single call probes the server before others follow. See
+//! `docs/design/server-limits.md` for the alternatives considered.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,54 +16,55 @@
 use crate::relay::work_key::ServerLife;
 use crate::time::Time;
 
-/// Longest pause: a server is asked again once in this time, whatever it names.
-const LONGEST_PAUSE: Duration = Duration::from_hours(1);
-/// Servers remembered, at some 60 bytes each; the pause that ends first goes first.
-const MOST_SERVERS: usize = 2_048;
-/// How long a call that tries a server again keeps others away; a server that sheds says so at once.
-const TRIAL: Duration = Duration::from_millis(500);
-/// How long a server is remembered that nobody has tried since its pause.
-const REMEMBERED: Duration = Duration::from_mins(1);
-/// How long a pause is told with each datagram: two heartbeats and a lost one.
-const FRESH: Duration = Duration::from_millis(1_200);
-/// Pauses told with one datagram, at up to 15 bytes each, of 1,400.
-const MOST_ROWS: usize = 16;
-/// Other boxes prefer other servers for so long after a pause: the box that was turned away tries
-/// first, and tells if it is turned away again.
-const AFTER_THE_TELLER: Duration = Duration::from_millis(250);
-/// Longest that other boxes go by what they were told.
-const LONGEST_TOLD: Duration = Duration::from_secs(10);
-
-/// What one box tells another of a server that turned it away.
+/// Upper bound for pauses: a server is probed at least this often, whatever pause it requests.
+const MAX_PAUSE: Duration = Duration::from_hours(1);
+/// Maximum number of servers, at about 60 bytes each; the pause that clears_pause first is evicted
+/// first.
+const MAX_SERVERS: usize = 2_048;
+/// How long an unanswered probe holds off other calls. A server that sheds load rejects at once.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a server that has not been probed is kept after its pause.
+const RETENTION: Duration = Duration::from_mins(1);
+/// How long a pause is included in every datagram: two heartbeats plus a lost one.
+const ANNOUNCE_FOR: Duration = Duration::from_millis(1_200);
+/// Maximum number of pauses per datagram, at up to 15 of its 1,400 bytes each.
+const MAX_ROWS: usize = 16;
+/// How long other boxes continue to prefer other servers after a reported pause: the reporting box
+/// probes first, and reports if it is rejected again.
+const REPORTER_HEAD_START: Duration = Duration::from_millis(250);
+/// Upper bound for pauses reported by other boxes.
+const MAX_REPORTED_PAUSE: Duration = Duration::from_secs(10);
+
+/// Pause of the sending box as gossiped between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShedRow {
-    /// The server's incarnation.
+    /// Incarnation of the server.
     pub incarnation: ServerLife,
-    /// How much longer it wants no call of that box, in milliseconds.
+    /// Remaining pause in milliseconds.
     pub remaining_ms: u32,
 }
 
-/// A pause that a server asked this box for.
+/// Pause that a server requested from this box.
 #[derive(Debug, Clone, Copy)]
-struct BackOff {
-    began: Time,
+struct Pause {
+    started_at: Time,
     until: Time,
-    /// When a call went there after it.
-    tried: Option<Time>,
+    /// When a probe was sent after the pause.
+    probed_at: Option<Time>,
 }
 
-/// Servers that shed load, by their lives.
+/// Pauses by server incarnation.
 #[derive(Debug, Default)]
 pub struct SheddingServers {
-    /// Those that turned this box away.
-    own: HashMap<ServerLife, BackOff>,
-    /// Until when others are preferred, by what other boxes told.
-    told: HashMap<ServerLife, Time>,
+    /// Pauses requested from this box.
+    own_pauses: HashMap<ServerLife, Pause>,
+    /// Until when other servers are preferred because of pauses reported by other boxes.
+    reported_until: HashMap<ServerLife, Time>,
 }
 
 impl SheddingServers {
-    /// Notes that a server turned this box away; true where no pause was under way. Of two pauses the
-    /// one that ends last holds.
+    /// Records that a server rejected a call with a requested pause. Returns whether a new pause
+    /// starts. Of overlapping pauses, the one that clears_pause last applies.
     pub fn record_shed(
         &mut self,
         now: Time,
@@ -72,132 +74,144 @@
         if retry_after.is_zero() {
             return false;
         }
-        let until = now + retry_after.min(LONGEST_PAUSE);
-        if let Some(known) = self.own.get_mut(&incarnation) {
-            let begins = known.until <= now;
-            if begins || until > known.until {
-                *known = BackOff {
-                    began: now,
+        let until = now + retry_after.min(MAX_PAUSE);
+        if let Some(known) = self.own_pauses.get_mut(&incarnation) {
+            let is_new = known.until <= now;
+            if is_new || until > known.until {
+                *known = Pause {
+                    started_at: now,
                     until: until.max(known.until),
-                    tried: None,
+                    probed_at: None,
                 };
             }
-            return begins;
+            return is_new;
         }
         self.make_room(now);
-        let back_off = BackOff {
-            began: now,
+        let pause = Pause {
+            started_at: now,
             until,
-            tried: None,
+            probed_at: None,
         };
-        self.own.insert(incarnation, back_off);
+        self.own_pauses.insert(incarnation, pause);
         true
     }
 
-    /// Notes an answer of a server that does not turn this box away; true if that ends its trial.
+    /// Records a response without a requested pause. Returns whether it clears an elapsed pause.
     pub fn record_accepted(&mut self, now: Time, incarnation: ServerLife) -> bool {
-        let ends = self
-            .own
+        let clears_pause = self
+            .own_pauses
             .get(&incarnation)
             .is_some_and(|known| known.until <= now);
-        if ends {
-            self.own.remove(&incarnation);
-            self.told.remove(&incarnation);
+        if clears_pause {
+            self.own_pauses.remove(&incarnation);
+            self.reported_until.remove(&incarnation);
         }
-        ends
+        clears_pause
     }
 
-    /// Notes that a call goes there.
+    /// Records that a call is sent to a server; the first one after a pause is the probe.
     pub fn record_sent(&mut self, now: Time, incarnation: ServerLife) {
-        if let Some(known) = self.own.get_mut(&incarnation) {
-            let tries = known.until <= now && !is_on_trial(now, known);
-            known.tried = if tries { Some(now) } else { known.tried };
+        if let Some(known) = self.own_pauses.get_mut(&incarnation) {
+            let starts_probe = known.until <= now && !is_being_probed(now, known);
+            known.probed_at = if starts_probe {
+                Some(now)
+            } else {
+                known.probed_at
+            };
         }
     }
 
-    /// Takes what another box tells.
+    /// Merges pauses reported by another box. Returns the servers that were not yet reported.
     pub fn merge_rows(&mut self, now: Time, rows: &[ShedRow]) -> Vec<ServerLife> {
-        self.told.retain(|_, until| *until > now);
-        let mut news = Vec::new();
+        self.reported_until.retain(|_, until| *until > now);
+        let mut newly_reported = Vec::new();
         for row in rows {
-            let left = Duration::from_millis(row.remaining_ms.into()).min(LONGEST_TOLD);
-            let until = now + left + AFTER_THE_TELLER;
-            let known = self.told.get(&row.incarnation).copied();
-            if known.is_none() && self.told.len() < MOST_SERVERS {
-                news.push(row.incarnation);
+            let remaining = Duration::from_millis(row.remaining_ms.into()).min(MAX_REPORTED_PAUSE);
+            let until = now + remaining + REPORTER_HEAD_START;
+            let known = self.reported_until.get(&row.incarnation).copied();
+            if known.is_none() && self.reported_until.len() < MAX_SERVERS {
+                newly_reported.push(row.incarnation);
             }
-            if known.is_some() || self.told.len() < MOST_SERVERS {
+            if known.is_some() || self.reported_until.len() < MAX_SERVERS {
                 let until = known.map_or(until, |known| known.max(until));
-                self.told.insert(row.incarnation, until);
+                self.reported_until.insert(row.incarnation, until);
             }
         }
-        news
+        newly_reported
     }
 
-    /// Whether a server takes calls, by its pauses.
+    /// Availability of a server, considering only pauses.
     pub fn availability(&self, now: Time, incarnation: ServerLife) -> Availability {
-        let own = match self.own.get(&incarnation) {
+        let probing = match self.own_pauses.get(&incarnation) {
             Some(known) if known.until > now => return Availability::BackOff,
-            Some(known) => is_on_trial(now, known),
+            Some(known) => is_being_probed(now, known),
             None => false,
         };
-        let told = self
-            .told
+        let reported = self
+            .reported_until
             .get(&incarnation)
             .is_some_and(|until| *until > now);
-        if own || told {
+        if probing || reported {
             Availability::Shedding
         } else {
             Availability::Open
         }
     }
 
-    /// Whether a server's pause is over and no call has tried it since: a call that was turned away
-    /// already is not the one to do so.
+    /// Whether a server's pause has elapsed and no probe is in flight. A call that was already
+    /// rejected elsewhere should not be the probe.
     pub fn awaits_probe(&self, now: Time, incarnation: ServerLife) -> bool {
-        let known = self.own.get(&incarnation);
-        known.is_some_and(|known| known.until <= now && !is_on_trial(now, known))
+        let known = self.own_pauses.get(&incarnation);
+        known.is_some_and(|known| known.until <= now && !is_being_probed(now, known))
     }
 
-    /// How much longer a server wants no call of this box.
+    /// Remaining pause of a server for this box.
     pub fn pause_remaining(&self, now: Time, incarnation: ServerLife) -> Duration {
-        let known = self.own.get(&incarnation);
+        let known = self.own_pauses.get(&incarnation);
         known.map_or(Duration::ZERO, |known| now.until(known.until))
     }
 
-    /// Servers that want no call of this box now.
+    /// Number of servers that requested a pause from this box which has not elapsed.
     pub fn paused_count(&self, now: Time) -> usize {
-        self.own.values().filter(|known| known.until > now).count()
+        self.own_pauses
+            .values()
+            .filter(|known| known.until > now)
+            .count()
     }
 
-    /// What to tell other boxes now.
+    /// Pauses for the next datagram to other boxes.
     pub fn rows(&self, now: Time) -> Vec<ShedRow> {
-        let is_fresh = |known: &BackOff| known.until > now && now.since(known.began) < FRESH;
-        let fresh = self.own.iter().filter(|(_, known)| is_fresh(known));
-        let mut fresh: Vec<_> = fresh.collect();
-        fresh.sort_by_key(|(incarnation, known)| (std::cmp::Reverse(known.began), **incarnation));
-        fresh.truncate(MOST_ROWS);
-        let row = |(incarnation, known): &(&ServerLife, &BackOff)| ShedRow {
+        let is_recent =
+            |known: &Pause| known.until > now && now.since(known.started_at) < ANNOUNCE_FOR;
+        let recent = self.own_pauses.iter().filter(|(_, known)| is_recent(known));
+        let mut recent: Vec<_> = recent.collect();
+        recent.sort_by_key(|(incarnation, known)| {
+            (std::cmp::Reverse(known.started_at), **incarnation)
+        });
+        recent.truncate(MAX_ROWS);
+        let row = |(incarnation, known): &(&ServerLife, &Pause)| ShedRow {
             incarnation: **incarnation,
             remaining_ms: now.until(known.until).as_millis() as u32,
         };
-        fresh.iter().map(row).collect()
+        recent.iter().map(row).collect()
     }
 
     fn make_room(&mut self, now: Time) {
-        if self.own.len() < MOST_SERVERS {
+        if self.own_pauses.len() < MAX_SERVERS {
             return;
         }
-        let is_needed = |known: &BackOff| now.since(known.until) < REMEMBERED;
-        self.own.retain(|_, known| is_needed(known));
-        let first = self.own.iter().min_by_key(|(_, known)| known.until);
-        if let (true, Some((&incarnation, _))) = (self.own.len() >= MOST_SERVERS, first) {
-            self.own.remove(&incarnation);
+        let is_needed = |known: &Pause| now.since(known.until) < RETENTION;
+        self.own_pauses.retain(|_, known| is_needed(known));
+        let first = self.own_pauses.iter().min_by_key(|(_, known)| known.until);
+        if let (true, Some((&incarnation, _))) = (self.own_pauses.len() >= MAX_SERVERS, first) {
+            self.own_pauses.remove(&incarnation);
         }
     }
 }
 
-/// Whether a call that went there after the pause has no answer yet.
-fn is_on_trial(now: Time, known: &BackOff) -> bool {
-    known.tried.is_some_and(|at| now.since(at) < TRIAL)
+/// Whether a probe was sent less than [`PROBE_TIMEOUT`] ago.
+fn is_being_probed(now: Time, known: &Pause) -> bool {
+    known
+        .probed_at
+        .is_some_and(|at| now.since(at) < PROBE_TIMEOUT)
 }
