--- a/lib/src/relay/engine_load.rs
+++ b/lib/src/relay/engine_load.rs
@@ -1,9 +1,9 @@
-//! What every engine is doing, from this box's own calls and from what other boxes tell.
+//! Load of every engine, from this box's own calls and from the tables that other boxes gossip.
 //!
-//! Engines report late, and asking them costs. A box knows its own calls exactly, and each
-//! box sends the others its whole table often; a table has a incarnation, so nothing that a dead
-//! box announced stays. Where boxes are many, those of another hall are known by one table that
-//! holds the sum of theirs. The sum over all tables is what routing goes by.
+//! Engines report their load late, and querying them is expensive. A box knows its own calls exactly
+//! and frequently sends its whole table to the others. Tables expire, so the load that a failed box
+//! announced does not persist. In a large fleet each other hall is represented by one table with its
+//! total. Routing uses the sum over all tables.
 
 use std::collections::HashMap;
 use std::hash::DefaultHasher;
@@ -18,21 +18,21 @@
 use crate::ids::ServerName;
 use crate::time::Time;
 
-/// A box's table counts this long; three of the longest intervals between two of them.
+/// Time after which a received table expires: at least three maximum gossip intervals.
 pub const TABLE_TTL: Duration = Duration::from_millis(1_500);
-/// Reading whose end was not seen counts until it is late by this many times its length, and a
-/// bit more: parts that wait behind others take several times as long, and no caller waits
-/// beyond.
-const OVERRUN: u32 = 10;
-/// What is added to that, for passes that the reading waits for.
+/// A prefill whose end was not observed counts until it is overdue by this multiple of its estimate,
+/// plus [`OVERRUN_SLACK`]. Chunks queued behind others take several times their estimate; no caller
+/// waits longer than this.
+const OVERRUN_FACTOR: u32 = 10;
+/// Added to the overrun limit for passes that the prefill waits for.
 const OVERRUN_SLACK: Duration = Duration::from_secs(5);
 
-/// Short stable key of an engine, the same at every box.
+/// Hash of an engine's server name, the same at every box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineKey(pub u32);
 
 impl EngineKey {
-    /// The key of a server.
+    /// Key of the server with this name.
     pub fn of(name: &ServerName) -> Self {
         let mut hasher = DefaultHasher::new();
         name.as_str().hash(&mut hasher);
@@ -40,25 +40,25 @@
     }
 }
 
-/// Work at one engine.
+/// Load of one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Reading still to do, in milliseconds of that engine alone.
+    /// Remaining prefill, in milliseconds of this engine's time.
     pub prefill_ms: u32,
-    /// Long prompts of which it reads a part, until the first event shows that all parts are
-    /// over: an engine reads the part that came last first, so a second one would hold up both
-    /// that part and all others of the first prompt.
+    /// Long prompts of which it prefills a chunk, counted until the first event shows that all
+    /// chunks are done. Engines prefill the most recent chunk first, so a second long prompt would
+    /// delay this chunk and with it all others of the first prompt.
     pub long_prefills: u16,
-    /// Short calls there, whether they read, wait or write.
+    /// Short calls that it leads, whether queued, in prefill or in decode.
     pub short_calls: u16,
-    /// Long calls that are led there.
+    /// Long calls that it leads.
     pub long_calls: u16,
-    /// Memory of the calls that are led there, in kilotokens.
+    /// Memory taken by calls and prefill chunks, in kilotokens.
     pub memory_kilotokens: u32,
 }
 
 impl EngineLoad {
-    /// Adds another box's work.
+    /// Adds load reported by another box.
     pub const fn add(&mut self, other: Self) {
         self.prefill_ms += other.prefill_ms;
         self.long_prefills += other.long_prefills;
@@ -67,7 +67,7 @@
         self.memory_kilotokens += other.memory_kilotokens;
     }
 
-    /// Whether there is any.
+    /// Whether all values are zero.
     pub const fn is_idle(&self) -> bool {
         self.prefill_ms == 0
             && self.long_prefills == 0
@@ -77,22 +77,22 @@
     }
 }
 
-/// Identifies a piece of own work until it ends.
+/// Identifies work of this box until it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineWorkId(u64);
 
-/// What a call does at one engine.
+/// Share of a call that one engine executes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineWork {
-    /// Reading there.
+    /// Estimated prefill time.
     pub prefill: Duration,
-    /// Until the engine begins with it.
+    /// Estimated time until the prefill starts.
     pub delay: Duration,
-    /// Memory that it takes there, in tokens.
+    /// Memory that it takes at the engine, in tokens.
     pub memory_tokens: u64,
-    /// Whether the engine leads the call, or only reads a part.
+    /// Whether the engine leads the call; otherwise it only prefills a chunk.
     pub is_lead: bool,
-    /// Whether the call is long.
+    /// Whether the call counts as long.
     pub is_long: bool,
 }
 
@@ -100,9 +100,9 @@
 struct Entry {
     engine: EngineKey,
     work: EngineWork,
-    /// When its reading should be over.
+    /// Estimated end of the prefill.
     prefill_ends_at: Time,
-    /// When it no longer counts as reading even if its end was not seen.
+    /// When it no longer counts as in prefill, even if the end was not observed.
     expires_at: Time,
     is_prefilling: bool,
 }
@@ -115,17 +115,17 @@
     rows: Vec<(EngineKey, EngineLoad)>,
 }
 
-/// All work that this box knows of.
+/// Engine load known to this box: its own calls and the tables of other boxes and halls.
 #[derive(Debug, Default)]
 pub struct EngineLoadTracker {
-    next: u64,
+    next_id: u64,
     own: HashMap<EngineWorkId, Entry>,
     peers: HashMap<String, PeerTable>,
     halls: HashMap<HallName, PeerTable>,
 }
 
 impl PeerTable {
-    /// Takes a newer table; false if it is older, and ignored.
+    /// Replaces the table if `newer` is newer; returns false and ignores it otherwise.
     fn update(&mut self, newer: Self) -> bool {
         let is_newer = self.incarnation != newer.incarnation || newer.sequence > self.sequence;
         if is_newer {
@@ -138,7 +138,7 @@
         now.since(self.received_at) < TABLE_TTL
     }
 
-    /// Adds its work as it is by now.
+    /// Adds its load to `table`, less the prefill done since it was received.
     fn add_to(&self, now: Time, table: &mut HashMap<EngineKey, EngineLoad>) {
         for &(engine, row) in &self.rows {
             let row = row.after(now.since(self.received_at));
@@ -148,35 +148,35 @@
 }
 
 impl EngineLoadTracker {
-    /// Records own work sent to an engine.
+    /// Records work that this box sends to an engine.
     pub fn begin(&mut self, now: Time, engine: EngineKey, work: EngineWork) -> EngineWorkId {
-        let id = EngineWorkId(self.next);
-        self.next += 1;
+        let id = EngineWorkId(self.next_id);
+        self.next_id += 1;
         let prefill_ends_at = now + work.delay + work.prefill;
         let entry = Entry {
             engine,
             work,
             prefill_ends_at,
-            expires_at: prefill_ends_at + work.prefill * OVERRUN + OVERRUN_SLACK,
+            expires_at: prefill_ends_at + work.prefill * OVERRUN_FACTOR + OVERRUN_SLACK,
             is_prefilling: true,
         };
         self.own.insert(id, entry);
         id
     }
 
-    /// Records that its reading is over: the first token has come.
+    /// Records the end of the prefill: the first token has arrived.
     pub fn prefill_done(&mut self, id: EngineWorkId) {
         if let Some(entry) = self.own.get_mut(&id) {
             entry.is_prefilling = false;
         }
     }
 
-    /// Records its end.
+    /// Removes work that has ended.
     pub fn end(&mut self, id: EngineWorkId) {
         self.own.remove(&id);
     }
 
-    /// Takes another box's table; false if it is older than the last, and ignored.
+    /// Stores another box's table; returns false and ignores it if it is older than the last one.
     pub fn update_peer_table(
         &mut self,
         now: Time,
@@ -194,8 +194,8 @@
         self.peers.entry(from.to_owned()).or_default().update(table)
     }
 
-    /// Takes the table of all boxes of another hall, whichever box speaks for it; false if it is
-    /// older than the last of the same box, and ignored.
+    /// Stores the total of another hall, whichever of its delegates sent it; returns false and
+    /// ignores it if it is older than the last one from the same delegate.
     pub fn update_hall_table(
         &mut self,
         now: Time,
@@ -213,7 +213,7 @@
         self.halls.entry(hall.clone()).or_default().update(table)
     }
 
-    /// Own work by engine, for the other boxes.
+    /// Load by engine from this box's calls, to send to other boxes.
     pub fn own_table(&self, now: Time) -> HashMap<EngineKey, EngineLoad> {
         let mut table: HashMap<EngineKey, EngineLoad> = HashMap::new();
         for entry in self.own.values() {
@@ -224,7 +224,7 @@
         table
     }
 
-    /// All work by engine.
+    /// Total load by engine.
     pub fn table(&self, now: Time) -> HashMap<EngineKey, EngineLoad> {
         let mut table = self.own_table(now);
         let peers = self.peers.values().chain(self.halls.values());
@@ -234,15 +234,16 @@
         table
     }
 
-    /// Work of this box and of those that are in its hall, for the other halls.
+    /// Load by engine from this box's hall, to send to other halls. `is_local` tells whether the
+    /// named box is in this hall.
     pub fn hall_table(
         &self,
         now: Time,
-        is_near: impl Fn(&str) -> bool,
+        is_local: impl Fn(&str) -> bool,
     ) -> HashMap<EngineKey, EngineLoad> {
         let mut table = self.own_table(now);
         for (name, peer) in &self.peers {
-            if peer.is_live(now) && is_near(name) {
+            if peer.is_live(now) && is_local(name) {
                 peer.add_to(now, &mut table);
             }
         }
@@ -252,41 +253,42 @@
 }
 
 impl EngineLoad {
-    /// The same work a while later: reading goes on meanwhile.
-    const fn after(self, passed: Duration) -> Self {
+    /// The load after some time: prefill has progressed meanwhile.
+    const fn after(self, elapsed: Duration) -> Self {
         Self {
-            prefill_ms: self.prefill_ms.saturating_sub(passed.as_millis() as u32),
+            prefill_ms: self.prefill_ms.saturating_sub(elapsed.as_millis() as u32),
             ..self
         }
     }
 }
 
 impl Entry {
-    /// By the estimate; past it, as long again as it is late, up to the whole part.
+    /// Remaining prefill by the estimate. Once overdue, the time by which it is overdue, up to the
+    /// whole chunk.
     ///
-    /// Never more than the part itself: what is read before it has entries of its own, and
-    /// counting that again in each one told of 300 s of reading in a jam of two seconds.
+    /// Never more than the chunk itself: chunks queued ahead have entries of their own. Counting
+    /// them again in each entry reported 300 s of prefill for a backlog of 2 s.
     fn remaining_prefill(&self, now: Time) -> Duration {
-        let late = now.since(self.prefill_ends_at);
-        let left = if late.is_zero() {
+        let overdue = now.since(self.prefill_ends_at);
+        let remaining = if overdue.is_zero() {
             now.until(self.prefill_ends_at)
         } else {
-            late
+            overdue
         };
-        left.min(self.work.prefill)
+        remaining.min(self.work.prefill)
     }
 
     fn load_at(&self, now: Time) -> EngineLoad {
-        let reads = self.is_prefilling && now < self.expires_at;
-        let left = if reads {
+        let is_prefilling = self.is_prefilling && now < self.expires_at;
+        let remaining = if is_prefilling {
             self.remaining_prefill(now)
         } else {
             Duration::ZERO
         };
         let is_lead = self.work.is_lead;
         EngineLoad {
-            prefill_ms: left.as_millis() as u32,
-            long_prefills: u16::from(reads && self.work.is_long),
+            prefill_ms: remaining.as_millis() as u32,
+            long_prefills: u16::from(is_prefilling && self.work.is_long),
             short_calls: u16::from(is_lead && !self.work.is_long),
             long_calls: u16::from(is_lead && self.work.is_long),
             memory_kilotokens: (self.work.memory_tokens / 1_000) as u32,
--- a/lib/src/relay/engine_utilization.rs
+++ b/lib/src/relay/engine_utilization.rs
@@ -1,10 +1,10 @@
-//! What engines did from moment to moment, by the lines that boxes leave of calls.
+//! Computes engine utilization over time from the call log lines of the boxes.
 //!
-//! A line says when a call was sent to which engines, what each was to read, and how long it had
-//! waited; others say when its first event came and when it ended. From these follows, for each
-//! engine and moment, whether it read, was held by a prompt whose other parts were not over,
-//! only wrote, or was unused, and how much of that while prompts waited. What an engine reads is
-//! taken as the operators' figures state it, from the moment on at which it was sent.
+//! One line records when a call was sent to which engines, the prefill time of each chunk and the
+//! time it was queued; others record its first event and its end. From these follows what each
+//! engine did at any time: prefill, blocked by a prompt whose other chunks were not done, only
+//! decode, or idle, and how much of that while prompts were queued. A prefill is assumed to start
+//! when the call is sent and to take the time that follows from the configured engine figures.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,217 +13,217 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Between two looks at all engines; parts take some tens of milliseconds at least.
+/// Sampling interval; a prefill chunk takes at least some tens of milliseconds.
 const STEP_MS: u64 = 20;
-/// Milliseconds of a row.
+/// Length of a row of the report.
 const ROW_MS: u64 = 1_000;
-/// Calls after which an engine's first events say something of it.
-const LEAST_CALLS: usize = 3;
+/// Minimum number of calls for an engine's estimate to be reported.
+const MIN_CALLS: usize = 3;
 
-/// A line of a call that was sent to engines.
+/// Log line of a call that was sent to engines.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct RoutedLine {
-    /// The call's id.
+    /// Id of the call.
     pub call: String,
-    /// The engine that leads.
+    /// Address of the lead engine.
     pub address: String,
-    /// Engines that read parts, where there are several.
+    /// Addresses of the engines that prefill chunks, separated by spaces, if there are several.
     pub read_at: Option<String>,
-    /// What each reads, in milliseconds.
+    /// Prefill time of each engine in milliseconds; absent for plain calls.
     pub part_ms: Option<u64>,
-    /// Whether it is a long prompt: its engines read for no other one until its first event.
+    /// Whether the prompt is long. Its engines prefill no other long prompt until its first event.
     pub long: bool,
-    /// How long it waited for engines.
+    /// Time it was queued for engines, in milliseconds.
     pub waited_ms: u64,
-    /// What its first event was expected to take from now.
+    /// Expected time to its first event, in milliseconds.
     pub expected_ms: u64,
 }
 
-/// What a line tells.
+/// Log line that concerns engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineLine {
-    /// A call was sent.
+    /// A call was sent to engines.
     Routed(RoutedLine),
-    /// Its first event came.
+    /// The first event of a call arrived.
     FirstEvent {
-        /// The call's id.
+        /// Id of the call.
         call: String,
     },
-    /// It ended.
+    /// A call ended.
     Ended {
-        /// The call's id.
+        /// Id of the call.
         call: String,
     },
 }
 
 #[derive(Debug)]
-struct Run {
+struct Attempt {
     engines: Vec<String>,
-    sent: u64,
-    part_ms: u64,
+    sent_at: u64,
+    chunk_ms: u64,
     is_long: bool,
     waited_ms: u64,
     expected_ms: u64,
-    first_event: Option<u64>,
-    ended: Option<u64>,
+    first_event_at: Option<u64>,
+    ended_at: Option<u64>,
 }
 
-impl Run {
-    fn held_until(&self) -> u64 {
-        let known = self.first_event.or(self.ended);
-        known.unwrap_or(self.sent + self.part_ms)
+impl Attempt {
+    fn blocked_until(&self) -> u64 {
+        let observed = self.first_event_at.or(self.ended_at);
+        observed.unwrap_or(self.sent_at + self.chunk_ms)
     }
 
     fn phase(&self, at: u64) -> Phase {
         match at {
-            at if at < self.sent => Phase::Elsewhere,
-            at if at < self.held_until().min(self.sent + self.part_ms) => Phase::Reads,
-            at if at < self.held_until() => Phase::Held,
-            at if self.ended.is_some_and(|ended| at < ended) => Phase::Writes,
-            _ => Phase::Elsewhere,
+            at if at < self.sent_at => Phase::Inactive,
+            at if at < self.blocked_until().min(self.sent_at + self.chunk_ms) => Phase::Prefill,
+            at if at < self.blocked_until() => Phase::Blocked,
+            at if self.ended_at.is_some_and(|ended_at| at < ended_at) => Phase::Decode,
+            _ => Phase::Inactive,
         }
     }
 
-    fn is_waiting(&self, at: u64) -> bool {
-        (self.sent.saturating_sub(self.waited_ms)..self.sent).contains(&at)
+    fn is_queued(&self, at: u64) -> bool {
+        (self.sent_at.saturating_sub(self.waited_ms)..self.sent_at).contains(&at)
     }
 }
 
-/// Where a run is at one moment.
+/// Phase of an attempt at some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Not sent yet, or over.
-    Elsewhere,
-    /// Its parts are read, as the operators' figures state it.
-    Reads,
-    /// They should be over, but the first event is not here.
-    Held,
-    /// Its events come.
-    Writes,
+    /// Not sent yet, or ended.
+    Inactive,
+    /// Its chunks are in prefill, by the estimated prefill time.
+    Prefill,
+    /// Its chunks should be done, but the first event has not arrived.
+    Blocked,
+    /// Its events are streamed.
+    Decode,
 }
 
-/// What an engine does at one moment.
+/// Activity of an engine at some time. Later variants take precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Doing {
-    Unused,
-    Writes,
-    Held,
-    Reads,
+enum Activity {
+    Idle,
+    Decode,
+    Blocked,
+    Prefill,
 }
 
-/// Shares of the engines' time.
+/// Shares of engine time by activity.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct EngineUtilization {
-    /// Reading.
+    /// Prefill.
     pub reads: f64,
-    /// Read its part, but the first event of that prompt is not here.
+    /// Done with its chunk of a long prompt, but blocked until the prompt's first event.
     pub held: f64,
-    /// Only writing.
+    /// Only decode.
     pub writes: f64,
-    /// Unused.
+    /// Idle.
     pub unused: f64,
 }
 
-/// To three decimals, which is more than the steps tell.
+/// Rounds to three decimals, which exceeds the accuracy of the sampling.
 fn rounded(value: f64) -> f64 {
     (value * 1e3).round() / 1e3
 }
 
 impl EngineUtilization {
-    fn scaled(self, by: f64) -> Self {
+    fn scaled(self, factor: f64) -> Self {
         Self {
-            reads: rounded(self.reads * by),
-            held: rounded(self.held * by),
-            writes: rounded(self.writes * by),
-            unused: rounded(self.unused * by),
+            reads: rounded(self.reads * factor),
+            held: rounded(self.held * factor),
+            writes: rounded(self.writes * factor),
+            unused: rounded(self.unused * factor),
         }
     }
 
-    fn add(&mut self, doing: Doing, share: f64) {
-        let part = match doing {
-            Doing::Reads => &mut self.reads,
-            Doing::Held => &mut self.held,
-            Doing::Writes => &mut self.writes,
-            Doing::Unused => &mut self.unused,
+    fn add(&mut self, activity: Activity, share: f64) {
+        let total = match activity {
+            Activity::Prefill => &mut self.reads,
+            Activity::Blocked => &mut self.held,
+            Activity::Decode => &mut self.writes,
+            Activity::Idle => &mut self.unused,
         };
-        *part += share;
+        *total += share;
     }
 }
 
-/// One second.
+/// Engine utilization within one second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct EngineSecond {
-    /// Seconds since the first line.
+    /// Seconds since the first call was queued.
     pub second: u64,
-    /// What the engines did.
+    /// Shares of the time of all engines.
     #[serde(flatten)]
     pub time: EngineUtilization,
-    /// Prompts that waited, in the mean.
+    /// Mean number of queued prompts.
     pub waiting: f64,
 }
 
-/// An engine's first events against their estimates.
+/// Accuracy of the time-to-first-event estimates of one engine.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EngineEstimate {
-    /// The engine.
+    /// Address of the engine.
     pub engine: String,
-    /// Calls that it read for.
+    /// Number of calls of which it had a prefill chunk.
     pub calls: usize,
-    /// Time to the first event, as a multiple of the estimate, in the median.
+    /// Median time to the first event, as a multiple of the estimate.
     pub over_expected: f64,
 }
 
-/// What all lines tell.
+/// Report over all recorded lines.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EngineReport {
-    /// Engines that any line names.
+    /// Number of engines that the lines name.
     pub engines: usize,
-    /// By second.
+    /// Utilization by second.
     pub seconds: Vec<EngineSecond>,
-    /// Over the moments at which prompts waited; none if they never did.
+    /// Utilization while prompts were queued; `None` if none ever were.
     pub while_waiting: Option<EngineUtilization>,
-    /// Engines, those that are furthest over their estimates first.
+    /// Estimates by engine, worst first.
     pub estimates: Vec<EngineEstimate>,
 }
 
-/// Adds lines up.
+/// Collects log lines for a report.
 #[derive(Debug, Default)]
 pub struct EngineLog {
-    runs: Vec<Run>,
-    last_of: HashMap<String, usize>,
+    attempts: Vec<Attempt>,
+    last_attempts: HashMap<String, usize>,
 }
 
 impl EngineLog {
-    /// Takes a line that was written at a time, in milliseconds of any epoch. Lines of one box come
-    /// in the order of their times; those of several may be mixed.
+    /// Records a line written at time `at`, in milliseconds since any epoch. Lines of one box must be
+    /// in order of time; those of several boxes may be interleaved.
     pub fn record(&mut self, at: u64, line: EngineLine) {
         match line {
-            EngineLine::Routed(line) => self.routed(at, line),
+            EngineLine::Routed(line) => self.record_routed(at, line),
             EngineLine::FirstEvent { call } => {
-                if let Some(run) = self.last_run(&call) {
-                    run.first_event.get_or_insert(at);
+                if let Some(attempt) = self.last_attempt(&call) {
+                    attempt.first_event_at.get_or_insert(at);
                 }
             }
             EngineLine::Ended { call } => {
-                if let Some(run) = self.last_run(&call) {
-                    run.ended = Some(at);
+                if let Some(attempt) = self.last_attempt(&call) {
+                    attempt.ended_at = Some(at);
                 }
             }
         }
     }
 
-    fn last_run(&mut self, call: &str) -> Option<&mut Run> {
-        let at = *self.last_of.get(call)?;
-        self.runs.get_mut(at)
+    fn last_attempt(&mut self, call: &str) -> Option<&mut Attempt> {
+        let at = *self.last_attempts.get(call)?;
+        self.attempts.get_mut(at)
     }
 
-    fn routed(&mut self, at: u64, line: RoutedLine) {
-        let Some(part_ms) = line.part_ms else {
-            // A plain call: no engine reads for it.
+    fn record_routed(&mut self, at: u64, line: RoutedLine) {
+        let Some(chunk_ms) = line.part_ms else {
+            // A plain call: it has no prefill chunks.
             return;
         };
-        if let Some(before) = self.last_run(&line.call) {
-            before.ended.get_or_insert(at);
+        if let Some(previous) = self.last_attempt(&line.call) {
+            previous.ended_at.get_or_insert(at);
         }
         let others = line.read_at.as_deref().unwrap_or_default();
         let mut engines = vec![line.address];
@@ -232,27 +232,27 @@
                 engines.push(other.to_owned());
             }
         }
-        self.last_of.insert(line.call, self.runs.len());
-        self.runs.push(Run {
+        self.last_attempts.insert(line.call, self.attempts.len());
+        self.attempts.push(Attempt {
             engines,
-            sent: at,
-            part_ms,
+            sent_at: at,
+            chunk_ms,
             is_long: line.long,
             waited_ms: line.waited_ms,
             expected_ms: line.expected_ms,
-            first_event: None,
-            ended: None,
+            first_event_at: None,
+            ended_at: None,
         });
     }
 
-    /// What the lines tell together.
+    /// Evaluates all lines recorded so far.
     pub fn report(&self) -> EngineReport {
-        let names = self.runs.iter().flat_map(|run| &run.engines);
+        let names = self.attempts.iter().flat_map(|attempt| &attempt.engines);
         let names: BTreeSet<&str> = names.map(String::as_str).collect();
-        let numbers: HashMap<&str, usize> = (names.iter().enumerate())
+        let indices: HashMap<&str, usize> = (names.iter().enumerate())
             .map(|(at, name)| (*name, at))
             .collect();
-        let (seconds, while_waiting) = self.seconds(&numbers);
+        let (seconds, while_waiting) = self.seconds(&indices);
         EngineReport {
             engines: names.len(),
             seconds,
@@ -263,41 +263,42 @@
 
     fn seconds(
         &self,
-        numbers: &HashMap<&str, usize>,
+        indices: &HashMap<&str, usize>,
     ) -> (Vec<EngineSecond>, Option<EngineUtilization>) {
-        let begins = self
-            .runs
+        let starts = self
+            .attempts
             .iter()
-            .map(|run| run.sent - run.waited_ms.min(run.sent));
-        let Some(from) = begins.min() else {
+            .map(|attempt| attempt.sent_at - attempt.waited_ms.min(attempt.sent_at));
+        let Some(from) = starts.min() else {
             return (Vec::new(), None);
         };
         let ends = self
-            .runs
+            .attempts
             .iter()
-            .map(|run| run.ended.unwrap_or(run.held_until()));
+            .map(|attempt| attempt.ended_at.unwrap_or(attempt.blocked_until()));
         let until = ends.max().unwrap_or(from);
         let mut seconds: BTreeMap<u64, EngineSecond> = BTreeMap::new();
         let mut while_waiting = EngineUtilization::default();
-        let mut waiting_steps = 0_u64;
-        let mut doing = vec![Doing::Unused; numbers.len()];
+        let mut queued_steps = 0_u64;
+        let mut activities = vec![Activity::Idle; indices.len()];
         for at in (from..=until).step_by(STEP_MS as usize) {
-            let waiting = self.look(at, numbers, &mut doing);
+            let queued = self.sample(at, indices, &mut activities);
             let second = (at - from) / ROW_MS;
             let row = seconds.entry(second).or_default();
             row.second = second;
-            row.waiting += waiting as f64 * STEP_MS as f64 / ROW_MS as f64;
-            waiting_steps += u64::from(waiting > 0);
-            for &doing in &doing {
-                let share = 1.0 / numbers.len() as f64;
-                row.time.add(doing, share * STEP_MS as f64 / ROW_MS as f64);
-                if waiting > 0 {
-                    while_waiting.add(doing, share);
+            row.waiting += queued as f64 * STEP_MS as f64 / ROW_MS as f64;
+            queued_steps += u64::from(queued > 0);
+            for &activity in &activities {
+                let share = 1.0 / indices.len() as f64;
+                row.time
+                    .add(activity, share * STEP_MS as f64 / ROW_MS as f64);
+                if queued > 0 {
+                    while_waiting.add(activity, share);
                 }
             }
         }
-        let mean = 1.0 / waiting_steps as f64;
-        let while_waiting = (waiting_steps > 0).then(|| while_waiting.scaled(mean));
+        let factor = 1.0 / queued_steps as f64;
+        let while_waiting = (queued_steps > 0).then(|| while_waiting.scaled(factor));
         let rounded = |row: EngineSecond| EngineSecond {
             time: row.time.scaled(1.0),
             waiting: rounded(row.waiting),
@@ -306,38 +307,47 @@
         (seconds.into_values().map(rounded).collect(), while_waiting)
     }
 
-    /// What each engine does at a moment; gives back how many prompts wait.
-    fn look(&self, at: u64, numbers: &HashMap<&str, usize>, doing: &mut [Doing]) -> usize {
-        doing.fill(Doing::Unused);
-        let mut note = |engine: &str, what: Doing| {
-            let engine = &mut doing[numbers[engine]];
-            *engine = (*engine).max(what);
+    /// Sets the activity of each engine at time `at`; returns the number of queued prompts.
+    fn sample(
+        &self,
+        at: u64,
+        indices: &HashMap<&str, usize>,
+        activities: &mut [Activity],
+    ) -> usize {
+        activities.fill(Activity::Idle);
+        let mut set = |engine: &str, activity: Activity| {
+            let current = &mut activities[indices[engine]];
+            *current = (*current).max(activity);
         };
-        for run in &self.runs {
-            let (first, all) = (&run.engines[..1], &run.engines[..]);
-            let (engines, what) = match run.phase(at) {
-                Phase::Reads => (all, Doing::Reads),
-                Phase::Held if run.is_long => (all, Doing::Held),
-                Phase::Held | Phase::Writes => (first, Doing::Writes),
-                Phase::Elsewhere => continue,
+        for attempt in &self.attempts {
+            let (lead, all) = (&attempt.engines[..1], &attempt.engines[..]);
+            let (engines, activity) = match attempt.phase(at) {
+                Phase::Prefill => (all, Activity::Prefill),
+                Phase::Blocked if attempt.is_long => (all, Activity::Blocked),
+                Phase::Blocked | Phase::Decode => (lead, Activity::Decode),
+                Phase::Inactive => continue,
             };
             for engine in engines {
-                note(engine, what);
+                set(engine, activity);
             }
         }
-        self.runs.iter().filter(|run| run.is_waiting(at)).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.is_queued(at))
+            .count()
     }
 
     fn estimates(&self) -> Vec<EngineEstimate> {
         let mut ratios: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-        for run in &self.runs {
-            let Some(first_event) = run.first_event.filter(|_| run.expected_ms > 0) else {
+        for attempt in &self.attempts {
+            let Some(first_event_at) = attempt.first_event_at.filter(|_| attempt.expected_ms > 0)
+            else {
                 continue;
             };
-            let took = first_event.saturating_sub(run.sent) as f64;
-            for engine in &run.engines {
-                let of = ratios.entry(engine).or_default();
-                of.push(took / run.expected_ms as f64);
+            let took = first_event_at.saturating_sub(attempt.sent_at) as f64;
+            for engine in &attempt.engines {
+                let engine_ratios = ratios.entry(engine).or_default();
+                engine_ratios.push(took / attempt.expected_ms as f64);
             }
         }
         let median = |(engine, mut ratios): (&str, Vec<f64>)| {
@@ -349,7 +359,7 @@
             }
         };
         let mut estimates: Vec<EngineEstimate> = (ratios.into_iter())
-            .filter(|(_, ratios)| ratios.len() >= LEAST_CALLS)
+            .filter(|(_, ratios)| ratios.len() >= MIN_CALLS)
             .map(median)
             .collect();
         estimates.sort_by(|one, other| other.over_expected.total_cmp(&one.over_expected));
--- a/lib/src/relay/hall_reachability.rs
+++ b/lib/src/relay/hall_reachability.rs
@@ -1,9 +1,9 @@
-//! Which data halls can be reached, by what is heard from the boxes there.
+//! Detects data halls that are unreachable, by the heartbeats of their boxes.
 //!
-//! Boxes tell each other of their work several times a second, so a cut between two halls shows
-//! as the silence of all boxes in the other one, long before each box would have found it out
-//! by calls of its own. An answer from any server there speaks against it: then the boxes are
-//! gone, and not the way. A box that hears nobody at all says nothing about halls.
+//! Boxes gossip several times a second, so a network partition between two halls shows as silence of
+//! all boxes in the other hall, long before each box would detect it by failing calls. An answer from
+//! any server there is evidence against a partition: then the boxes have failed, not the link. A box
+//! that hears no other box at all draws no conclusion about halls.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,105 +11,105 @@
 use crate::ids::HallName;
 use crate::time::Time;
 
-/// Longest time between two datagrams of one box.
+/// Maximum interval between two datagrams of one box.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Silence that is borne whatever the number of boxes: datagrams are lost or late now and then.
-const SILENCE: Duration = Duration::from_millis(250);
-/// A box counts as one that would be heard if it was heard this long before the last one.
-const LIVES: Duration = Duration::from_millis(1_500);
-/// After the last datagram, or a call that tried it, until a call tries a silent hall; its boxes
-/// are heard again as soon as the way is back.
-const TRIAL: Duration = Duration::from_secs(3);
+/// Silence tolerated regardless of the number of boxes, since datagrams can be lost or late.
+const SILENCE_MARGIN: Duration = Duration::from_millis(250);
+/// A box counts as live if it was heard less than this before the last datagram of its hall.
+const LIVE_WINDOW: Duration = Duration::from_millis(1_500);
+/// Time after the last datagram or probe until a call may probe a silent hall. It can be long: boxes
+/// of the hall are heard again as soon as the link is restored.
+const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
-struct Reach {
-    /// When each box there was last heard.
+struct HallState {
+    /// When each of its boxes was last heard.
     boxes: HashMap<String, Time>,
-    /// When any of them was.
-    heard: Time,
-    /// When a server there last answered.
-    answered: Time,
-    /// When a call may try it although it is silent.
-    next_trial: Time,
-    /// Whether it was silent when that was last asked for.
+    /// When any of its boxes was last heard.
+    heard_at: Time,
+    /// When one of its servers last answered.
+    answered_at: Time,
+    /// When a call may next probe it while it is silent.
+    next_probe: Time,
+    /// Whether it was silent at the last call of [`HallReachability::take_changes`].
     was_silent: bool,
 }
 
-/// A hall that fell silent, or is heard again.
+/// A hall that became silent or is heard again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HallReachabilityChange {
-    /// The hall.
+    /// Name of the hall.
     pub hall: HallName,
     /// Whether it is silent now.
     pub is_silent: bool,
-    /// How long ago its boxes were last heard.
+    /// Time since any of its boxes was last heard.
     pub heard_ago: Duration,
-    /// How long ago a server there last answered.
+    /// Time since one of its servers last answered.
     pub answered_ago: Duration,
 }
 
-impl Reach {
-    /// How long all of its boxes are silent before that says something.
-    fn patience(&self) -> Duration {
-        let lives = |heard: &&Time| self.heard.since(**heard) < LIVES;
-        let boxes = self.boxes.values().filter(lives).count();
-        SILENCE + HEARTBEAT_INTERVAL * 2 / boxes.max(1) as u32
+impl HallState {
+    /// Silence of all boxes after which the hall counts as silent. Shorter if more boxes are live.
+    fn silence_timeout(&self) -> Duration {
+        let is_live = |heard_at: &&Time| self.heard_at.since(**heard_at) < LIVE_WINDOW;
+        let boxes = self.boxes.values().filter(is_live).count();
+        SILENCE_MARGIN + HEARTBEAT_INTERVAL * 2 / boxes.max(1) as u32
     }
 
     fn is_silent(&self, now: Time) -> bool {
-        let patience = self.patience();
+        let timeout = self.silence_timeout();
         !self.boxes.is_empty()
-            && now.since(self.heard) > patience
-            && now.since(self.answered) > patience
+            && now.since(self.heard_at) > timeout
+            && now.since(self.answered_at) > timeout
     }
 }
 
-/// What is heard from each hall.
+/// Reachability of each hall, as seen by this box.
 #[derive(Debug, Default)]
 pub struct HallReachability {
-    halls: HashMap<HallName, Reach>,
-    /// When another box of this box's own hall was last heard; that hall is never cut off.
-    near: Option<Time>,
+    halls: HashMap<HallName, HallState>,
+    /// When another box of the own hall was last heard. The own hall never counts as silent.
+    own_hall_heard_at: Option<Time>,
 }
 
 impl HallReachability {
-    /// Records a datagram of another box of the same hall.
+    /// Records a datagram from another box of the own hall.
     pub fn record_own_hall_heartbeat(&mut self, now: Time) {
-        self.near = Some(now);
+        self.own_hall_heard_at = Some(now);
     }
 
-    /// Records a datagram of a box of another hall.
+    /// Records a datagram from a box of another hall.
     pub fn record_heartbeat(&mut self, now: Time, hall: &HallName, from: &str) {
-        let reach = self.of(hall);
-        reach.heard = now;
-        reach.next_trial = now + TRIAL;
-        match reach.boxes.get_mut(from) {
+        let state = self.state_mut(hall);
+        state.heard_at = now;
+        state.next_probe = now + PROBE_INTERVAL;
+        match state.boxes.get_mut(from) {
             Some(at) => *at = now,
             None => {
-                reach.boxes.insert(from.to_owned(), now);
+                state.boxes.insert(from.to_owned(), now);
             }
         }
     }
 
-    /// Records an answer of a server.
+    /// Records an answer of a server in `hall`.
     pub fn record_answer(&mut self, now: Time, hall: &HallName) {
-        self.of(hall).answered = now;
+        self.state_mut(hall).answered_at = now;
     }
 
-    /// Records a call sent there.
+    /// Records a call sent to `hall`. If the hall is silent, the call counts as its probe.
     pub fn record_call(&mut self, now: Time, hall: &HallName) {
         if self.is_silent(now, hall) {
-            self.of(hall).next_trial = now + TRIAL;
+            self.state_mut(hall).next_probe = now + PROBE_INTERVAL;
         }
     }
 
-    /// Whether calls may go there.
+    /// Whether calls may be sent to `hall`: it is not silent, or a probe is due.
     pub fn allows_calls(&self, now: Time, hall: &HallName) -> bool {
-        let trial = self.halls.get(hall).map(|reach| reach.next_trial);
-        !self.is_silent(now, hall) || trial.is_some_and(|trial| now >= trial)
+        let next_probe = self.halls.get(hall).map(|state| state.next_probe);
+        !self.is_silent(now, hall) || next_probe.is_some_and(|next_probe| now >= next_probe)
     }
 
-    /// What changed since this was last asked for.
+    /// Halls that became silent or were heard again since the last call.
     pub fn take_changes(&mut self, now: Time) -> Vec<HallReachabilityChange> {
         let silent: Vec<bool> = self
             .halls
@@ -117,38 +117,39 @@
             .map(|hall| self.is_silent(now, hall))
             .collect();
         let rows = self.halls.iter_mut().zip(silent);
-        let changed = rows.filter(|((_, reach), is_silent)| reach.was_silent != *is_silent);
-        let change = |((hall, reach), is_silent): ((&HallName, &mut Reach), bool)| {
-            reach.was_silent = is_silent;
+        let changed = rows.filter(|((_, state), is_silent)| state.was_silent != *is_silent);
+        let change = |((hall, state), is_silent): ((&HallName, &mut HallState), bool)| {
+            state.was_silent = is_silent;
             HallReachabilityChange {
                 hall: hall.clone(),
                 is_silent,
-                heard_ago: now.since(reach.heard),
-                answered_ago: now.since(reach.answered),
+                heard_ago: now.since(state.heard_at),
+                answered_ago: now.since(state.answered_at),
             }
         };
         changed.map(change).collect()
     }
 
     fn is_silent(&self, now: Time, hall: &HallName) -> bool {
-        let hears_near = || {
-            let lately = |near: Time| now.since(near) <= SILENCE + HEARTBEAT_INTERVAL * 2;
-            self.near.is_some_and(lately)
+        let hears_own_hall = || {
+            let is_recent =
+                |heard_at: Time| now.since(heard_at) <= SILENCE_MARGIN + HEARTBEAT_INTERVAL * 2;
+            self.own_hall_heard_at.is_some_and(is_recent)
         };
-        let hears_others = || {
+        let hears_other_halls = || {
             let others = self.halls.iter().filter(|(name, _)| *name != hall);
-            others.into_iter().any(|(_, reach)| {
-                !reach.boxes.is_empty() && now.since(reach.heard) <= reach.patience()
+            others.into_iter().any(|(_, state)| {
+                !state.boxes.is_empty() && now.since(state.heard_at) <= state.silence_timeout()
             })
         };
-        let reach = self.halls.get(hall);
-        reach.is_some_and(|reach| reach.is_silent(now)) && (hears_near() || hears_others())
+        let state = self.halls.get(hall);
+        state.is_some_and(|state| state.is_silent(now)) && (hears_own_hall() || hears_other_halls())
     }
 
-    fn of(&mut self, hall: &HallName) -> &mut Reach {
+    fn state_mut(&mut self, hall: &HallName) -> &mut HallState {
         if !self.halls.contains_key(hall) {
-            self.halls.insert(hall.clone(), Reach::default());
+            self.halls.insert(hall.clone(), HallState::default());
         }
-        self.halls.get_mut(hall).expect("it was just put in")
+        self.halls.get_mut(hall).expect("hall was inserted above")
     }
 }
--- a/lib/src/relay/load_datagram.rs
+++ b/lib/src/relay/load_datagram.rs
@@ -1,4 +1,4 @@
-//! The datagram in which a box tells the others what it has at the engines.
+//! Datagram by which a box gossips its engine load to other boxes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,98 +12,100 @@
 use crate::relay::state_pull::FRAME_VERSION;
 use crate::relay::state_pull::KnownState;
 
-/// Largest datagram; stays under the usual packet size.
+/// Maximum size of a datagram, below the usual MTU of 1500 bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Whose work a datagram tells.
+/// Whose load a datagram carries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadSource {
-    /// That of the box which sends it.
+    /// The sending box's own.
     Box,
-    /// That of all boxes of its hall, for another hall.
+    /// The total of the sender's hall, for other halls.
     Hall {
-        /// The hall.
+        /// Hall of the sender.
         hall: HallName,
-        /// Whether a box of the hall that is told passes it on to the others there.
+        /// Whether a box of the receiving hall forwarded it to its peers.
         is_forwarded: bool,
     },
 }
 
-/// Work at the engines, and which state the box that tells it has.
+/// Engine load, with the state that the sender has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDatagram {
     /// [`FRAME_VERSION`].
     pub version: u8,
-    /// The box.
+    /// Name of the sending box.
     pub from: String,
-    /// Drawn anew at each start of the box.
+    /// Random number drawn at each start of the box.
     pub incarnation: u64,
-    /// Rises with each datagram of a lifetime, for each [`LoadSource`] by itself.
+    /// Increases with each datagram of an incarnation, separately for each [`LoadSource`].
     pub sequence: u64,
-    /// Whose work it tells.
+    /// Whose load it carries.
     pub source: LoadSource,
-    /// Whether what can't wait has changed, as what long prompts do; other halls are told at once, too.
+    /// Whether it carries an urgent change, such as of long prompts, which is sent to other halls at
+    /// once.
     pub is_urgent: bool,
-    /// The state that it has.
+    /// State that the sender has.
     pub known_state: KnownState,
-    /// Whether the store answered it lately, so that others may follow it in place of the store.
+    /// Whether the store answered the sender recently, so that others may follow it instead of the
+    /// store.
     pub follows_store: bool,
-    /// The long prompt that would be sent next of those that wait there, if any.
+    /// Next long prompt in the sender's queue, if any.
     pub queue_head: Option<QueueHead>,
-    /// Servers that others named to it as being at fault lately.
+    /// Servers that were recently named to the sender as being at fault.
     pub faults: Vec<EngineKey>,
-    /// Servers that leave or are gone, as the store told it lately.
+    /// Servers that the store recently listed as leaving or gone.
     pub departures: Vec<EngineKey>,
-    /// Engines that told it, or a box of the hall that it tells of, of being slow lately.
+    /// Engines that recently reported to be slow, to the sender or to a box of its hall.
     pub slow_engines: Vec<EngineKey>,
-    /// Pieces of work under which servers ended.
+    /// Suspect work: requests during which server processes ended.
     pub suspects: Vec<WorkRow>,
-    /// What servers say of the calls they take.
+    /// Notices of servers about the calls they accept.
     pub notices: NoticeRows,
-    /// The work.
+    /// Load by engine.
     pub rows: Vec<(EngineKey, EngineLoad)>,
 }
 
-/// Why a datagram was dropped.
+/// Reason for dropping a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// It can't be decoded.
-    #[error("it can't be decoded")]
+    /// The bytes do not decode.
+    #[error("datagram cannot be decoded")]
     Malformed,
-    /// It has another version.
-    #[error("it has version {0}, this box has {FRAME_VERSION}")]
+    /// The version differs from [`FRAME_VERSION`].
+    #[error("datagram has version {0}, this box uses {FRAME_VERSION}")]
     Version(u8),
 }
 
 impl LoadDatagram {
-    /// Encodes it.
+    /// Serializes the datagram.
     ///
     /// # Panics
     ///
-    /// Never: every value of the type can be encoded.
+    /// Never: every value of the type is serializable.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("a datagram can be encoded")
+        postcard::to_stdvec(self).expect("datagram is serializable")
     }
 
-    /// Leaves out rows until it fits into a packet; gives back how many.
+    /// Drops rows until the datagram fits into [`MAX_DATAGRAM_BYTES`]; returns how many.
     pub fn truncate_rows(&mut self) -> usize {
         let before = self.rows.len();
         while self.encode().len() > MAX_DATAGRAM_BYTES && !self.rows.is_empty() {
-            let most = self.rows.len() * 4 / 5;
-            self.rows.truncate(most);
+            let limit = self.rows.len() * 4 / 5;
+            self.rows.truncate(limit);
         }
         before - self.rows.len()
     }
 
-    /// Decodes one.
+    /// Deserializes a datagram.
     ///
     /// # Errors
     ///
-    /// It is not a datagram of this version.
+    /// The bytes are not a datagram of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         match bytes.first() {
             Some(&FRAME_VERSION) => {}
-            Some(&other) => return Err(DatagramError::Version(other)),
+            Some(&version) => return Err(DatagramError::Version(version)),
             None => return Err(DatagramError::Malformed),
         }
         postcard::from_bytes(bytes).map_err(|_undecodable| DatagramError::Malformed)
--- a/lib/src/relay/peer_liveness.rs
+++ b/lib/src/relay/peer_liveness.rs
@@ -1,8 +1,8 @@
-//! Which other boxes are heard, and what state they say they known_state.
+//! Which other boxes are live, and which state each of them has.
 //!
-//! Newer state spreads by pulls, of which a box answers a few at a time. One that is turned away asks
-//! another box that has said it is ahead: by then there are more of them, so the state spreads in a
-//! time that grows with the logarithm of the boxes.
+//! Newer state spreads by pulls, of which a box answers only a few at a time. A box whose pull is
+//! rejected asks another one that announced newer state. More boxes have it by then, so the time
+//! until all have it grows with the logarithm of their number.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,50 +10,57 @@
 use crate::relay::state_pull::KnownState;
 use crate::time::Time;
 
-/// A box that was heard within this time lives: two of its longest pauses, and a lost datagram.
+/// A box that was heard within this time is live: two maximum heartbeat intervals and one lost
+/// datagram.
 pub(crate) const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 #[derive(Debug, Clone, Copy)]
-struct Heard {
-    at: Time,
+struct Peer {
+    heard_at: Time,
     known_state: KnownState,
 }
 
-/// Other boxes by name.
+/// Last datagram of each other box.
 #[derive(Debug, Default)]
 pub struct PeerLiveness {
-    rows: HashMap<String, Heard>,
+    peers: HashMap<String, Peer>,
 }
 
 impl PeerLiveness {
-    /// Records what a box said of its state.
-    pub fn record(&mut self, at: Time, name: &str, known_state: KnownState) {
-        self.rows.insert(name.to_owned(), Heard { at, known_state });
+    /// Records a datagram of a box, with the state that it announces.
+    pub fn record(&mut self, heard_at: Time, name: &str, known_state: KnownState) {
+        self.peers.insert(
+            name.to_owned(),
+            Peer {
+                heard_at,
+                known_state,
+            },
+        );
     }
 
-    /// How long a box has not been heard; since the start if it never was.
+    /// Time since a box was last heard, or since the start of the clock if it never was.
     pub fn silent_for(&self, now: Time, name: &str) -> Duration {
-        let heard = self.rows.get(name).map(|row| row.at);
-        now.since(heard.unwrap_or(Time::ZERO))
+        let heard_at = self.peers.get(name).map(|peer| peer.heard_at);
+        now.since(heard_at.unwrap_or(Time::ZERO))
     }
 
-    /// Whether a box was heard lately.
+    /// Whether a box was heard within `LIVENESS_TIMEOUT`.
     pub fn is_live(&self, now: Time, name: &str) -> bool {
-        let heard = self.rows.get(name);
-        heard.is_some_and(|row| now.since(row.at) < LIVENESS_TIMEOUT)
+        let peer = self.peers.get(name);
+        peer.is_some_and(|peer| now.since(peer.heard_at) < LIVENESS_TIMEOUT)
     }
 
-    /// Whether any box was heard lately.
+    /// Whether any other box was heard within `LIVENESS_TIMEOUT`.
     pub fn has_live_peer(&self, now: Time) -> bool {
-        let mut heard = self.rows.values();
-        heard.any(|row| now.since(row.at) < LIVENESS_TIMEOUT)
+        let mut peers = self.peers.values();
+        peers.any(|peer| now.since(peer.heard_at) < LIVENESS_TIMEOUT)
     }
 
-    /// Living boxes that said they known_state newer state than this.
+    /// Live boxes that announced newer state than `known_state`.
     pub fn ahead_of(&self, now: Time, known_state: KnownState) -> Vec<&str> {
-        let rows = self.rows.iter();
-        let ahead = rows.filter(|(_, row)| {
-            now.since(row.at) < LIVENESS_TIMEOUT && known_state.is_behind(row.known_state)
+        let peers = self.peers.iter();
+        let ahead = peers.filter(|(_, peer)| {
+            now.since(peer.heard_at) < LIVENESS_TIMEOUT && known_state.is_behind(peer.known_state)
         });
         ahead.map(|(name, _)| name.as_str()).collect()
     }
--- a/lib/src/relay/round_robin.rs
+++ b/lib/src/relay/round_robin.rs
@@ -1,13 +1,12 @@
-//! Rows that are told a few at a time, each in its turn.
+//! Sends a long table a few rows at a time, in rotation.
 
-/// The next few of rows that are sorted by their keys, after the one that was told last; from the end it
-/// goes on at the beginning.
+/// The next `limit` rows after `last_sent`, wrapping around at the end. `rows` must be sorted by key.
 pub(crate) fn next_in_rotation<K: Ord + Copy, V: Copy>(
     rows: &[(K, V)],
-    told_to: Option<K>,
-    most: usize,
+    last_sent: Option<K>,
+    limit: usize,
 ) -> Vec<(K, V)> {
-    let after = rows.partition_point(|(key, _)| Some(*key) <= told_to);
-    let turned = rows[after..].iter().chain(&rows[..after]);
-    turned.take(most).copied().collect()
+    let after = rows.partition_point(|(key, _)| Some(*key) <= last_sent);
+    let rotated = rows[after..].iter().chain(&rows[..after]);
+    rotated.take(limit).copied().collect()
 }
--- a/lib/src/relay/signed_time.rs
+++ b/lib/src/relay/signed_time.rs
@@ -1,10 +1,12 @@
-//! Moments that other boxes tell of, by their age.
+//! Times reported by other boxes, which may predate the start of this one.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// A moment on this box's time line, which may lie before its own start: other boxes tell of those.
+/// Time on this box's monotonic clock in microseconds, negative before the start of the clock.
+///
+/// Other boxes report a time as its age, so it may lie before this box started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SignedTime(i64);
 
@@ -17,7 +19,7 @@
         Self(now.as_micros().cast_signed() - millis as i64 * 1_000)
     }
 
-    /// How long ago it was; zero if it lies ahead.
+    /// Time elapsed since then; zero if it lies in the future.
     pub(crate) const fn age(self, now: Time) -> Duration {
         let micros = now.as_micros().cast_signed() - self.0;
         Duration::from_micros(if micros > 0 { micros as u64 } else { 0 })
--- a/lib/src/relay/slow_engine_tracker.rs
+++ b/lib/src/relay/slow_engine_tracker.rs
@@ -1,11 +1,11 @@
-//! Which engines are slow, by their own word.
+//! Tracks which engines report that they are slow.
 //!
-//! An engine that is slow holds up each long prompt that it reads a part of, and the other engines
-//! of the group with it. Who is late can't be told from outside: a late first event speaks against
-//! all that read for it. So a box then asks each of them for its pace, which they report, and
-//! leaves the slow ones out while others are not. It tells the other boxes, and one of them asks
-//! again now and then until the engine has its usual pace; without that the word lapses.
-//! What streams show would not do: engines that only read parts write none.
+//! A slow engine delays every long prompt of which it prefills a chunk, and with it the other engines
+//! of the group. A late first event does not show which of them is the slow one, and streams don't
+//! either, since engines that only prefill chunks produce none. So after a late first event a box
+//! queries each engine for its pace and excludes the slow ones while enough others remain. The result
+//! is gossiped, and one box repeats the query until the engine is back at its usual pace. Without
+//! renewal a report expires.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,136 +13,151 @@
 use crate::relay::engine_load::EngineKey;
 use crate::time::Time;
 
-/// A first event is late from this many times its estimate on, and the slack below. The estimate
-/// is exceeded about as often as it is not; from half as much on, the model asks five times as
-/// often and gains 0.005.
-const LATE: u32 = 2;
-/// What is added to that: a pass that was not foreseen, and the way of the answer.
+/// A first event is late after this multiple of its estimate, plus [`LATE_SLACK`]. Estimates are
+/// exceeded about half of the time; in the simulation, half this factor causes five times as many
+/// queries for a gain of only 0.005.
+const LATE_FACTOR: u32 = 2;
+/// Allows for an unforeseen pass and for the network latency of the answer.
 const LATE_SLACK: Duration = Duration::from_millis(300);
-/// Pace, as a multiple of the usual time, from which an engine is slow. Those that the users name take
-/// about five times as long; other bounds were not tried.
-const SLOW: f64 = 2.0;
-/// Least time until a box asks the same engine again; each report is paid for.
+/// Pace, as a multiple of the usual time, from which an engine counts as slow. Slow engines seen in
+/// operation take about five times as long.
+const SLOW_PACE: f64 = 2.0;
+/// Minimum interval between queries by one box to the same engine; each query has a cost.
 pub const QUERY_INTERVAL: Duration = Duration::from_secs(1);
-/// What is added to that before an engine is asked again, at most, as a part of it: of the boxes that
-/// asked at once one asks first, and tells the others.
+/// Maximum jitter of a repeated query, as a fraction of [`QUERY_INTERVAL`]. It lets one of the boxes
+/// that queried at the same time go first and inform the others.
 pub const QUERY_JITTER: f64 = 0.25;
-/// How long a box tells of its own sign; datagrams go several times in that time.
-const TOLD: Duration = Duration::from_millis(500);
-/// How long a sign counts: until it has been asked for and told again.
-const LIFETIME: Duration = Duration::from_millis(1_500);
-/// Engines told of at once; the rest follows when their signs are newer.
-const MOST_TOLD: usize = 32;
-/// One in so many engines may be left out; if more are slow, the others would be overrun.
-const LEAST_OF_SLOW: usize = 3;
-
-/// When a first event that is expected after some time is late.
+/// How long a report is gossiped; several datagrams are sent in that time.
+const GOSSIP_WINDOW: Duration = Duration::from_millis(500);
+/// How long a report is valid: long enough to query the engine again and gossip the result.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
+/// Maximum number of engines per datagram; the others follow once their reports are renewed.
+const MAX_GOSSIPED: usize = 32;
+/// At most one in this many engines is excluded; beyond that the others would be overloaded.
+const ENGINES_PER_EXCLUDED: usize = 3;
+
+/// Time after which a first event that was expected after `expected` is late.
 pub fn late_after(expected: Duration) -> Duration {
-    expected * LATE + LATE_SLACK
+    expected * LATE_FACTOR + LATE_SLACK
 }
 
-/// Who says that an engine is slow.
+/// Origin of a gossiped report that an engine is slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOrigin {
-    /// Another box of this box's hall.
+    /// Another box of the same hall.
     OwnHall,
     /// A box of another hall.
     OtherHall,
 }
 
-/// When an engine was last said to be slow.
+/// When an engine was last reported as slow.
 #[derive(Debug, Clone, Copy, Default)]
 struct SlowReports {
-    /// By itself, to this box.
+    /// By the engine, to this box.
     own: Option<Time>,
+    /// By another box of this hall.
     own_hall: Option<Time>,
+    /// By a box of another hall.
     other_hall: Option<Time>,
 }
 
 impl SlowReports {
-    fn told(&self) -> Option<Time> {
+    fn last_gossip(&self) -> Option<Time> {
         self.own_hall.max(self.other_hall)
     }
 }
 
-/// What a box knows of slow engines.
+/// Reports of slow engines and the queries that this box made.
 #[derive(Debug, Default)]
 pub struct SlowEngineTracker {
-    signs: HashMap<EngineKey, SlowReports>,
-    asked: HashMap<EngineKey, Time>,
+    reports: HashMap<EngineKey, SlowReports>,
+    queried: HashMap<EngineKey, Time>,
 }
 
-fn is_newer(at: Option<Time>, now: Time, than: Duration) -> bool {
-    at.is_some_and(|at| now.since(at) < than)
+fn is_recent(at: Option<Time>, now: Time, window: Duration) -> bool {
+    at.is_some_and(|at| now.since(at) < window)
 }
 
 impl SlowEngineTracker {
-    /// Whether an engine that a late call is read at should be asked now; it then counts as asked.
+    /// Whether to query an engine that prefills a late call. If so, records the query.
     pub fn should_query(&mut self, now: Time, engine: EngineKey) -> bool {
-        let lately = is_newer(self.asked.get(&engine).copied(), now, QUERY_INTERVAL);
-        let asks = !lately && !self.is_slow(now, engine);
-        if asks {
-            self.asked.insert(engine, now);
+        let was_queried = is_recent(self.queried.get(&engine).copied(), now, QUERY_INTERVAL);
+        let should_query = !was_queried && !self.is_slow(now, engine);
+        if should_query {
+            self.queried.insert(engine, now);
         }
-        asks
+        should_query
     }
 
-    /// Whether an engine that told this box of being slow should be asked again: unless another box
-    /// did so lately.
+    /// Whether to repeat the query of an engine that reported to this box that it is slow: unless
+    /// another box has done so recently. If so, records the query.
     pub fn should_query_again(&mut self, now: Time, engine: EngineKey) -> bool {
-        let signs = self.signs.get(&engine);
-        let asks = signs.is_some_and(|signs| !is_newer(signs.told(), now, TOLD));
-        if asks {
-            self.asked.insert(engine, now);
+        let reports = self.reports.get(&engine);
+        let should_query =
+            reports.is_some_and(|reports| !is_recent(reports.last_gossip(), now, GOSSIP_WINDOW));
+        if should_query {
+            self.queried.insert(engine, now);
         }
-        asks
+        should_query
     }
 
-    /// Takes what an engine reports, as a multiple of the usual time; true if it is slow.
+    /// Records the pace that an engine reports, as a multiple of the usual time. Returns whether it
+    /// is slow.
     pub fn record_pace(&mut self, now: Time, engine: EngineKey, pace: f64) -> bool {
-        let is_slow = pace >= SLOW;
+        let is_slow = pace >= SLOW_PACE;
         if is_slow {
-            self.signs.entry(engine).or_default().own = Some(now);
+            self.reports.entry(engine).or_default().own = Some(now);
         } else {
-            self.signs.remove(&engine);
+            self.reports.remove(&engine);
         }
         is_slow
     }
 
-    /// Takes what another box tells.
-    pub fn record_gossip(&mut self, now: Time, by: ReportOrigin, engines: &[EngineKey]) {
+    /// Records slow engines gossiped by another box.
+    pub fn record_gossip(&mut self, now: Time, origin: ReportOrigin, engines: &[EngineKey]) {
         for &engine in engines {
-            let signs = self.signs.entry(engine).or_default();
-            match by {
-                ReportOrigin::OwnHall => signs.own_hall = Some(now),
-                ReportOrigin::OtherHall => signs.other_hall = Some(now),
+            let reports = self.reports.entry(engine).or_default();
+            match origin {
+                ReportOrigin::OwnHall => reports.own_hall = Some(now),
+                ReportOrigin::OtherHall => reports.other_hall = Some(now),
             }
         }
     }
 
-    /// Engines that told this box of being slow, for the other boxes.
+    /// Engines that recently reported to this box that they are slow, to gossip to other boxes.
     pub fn own_reports(&self, now: Time) -> Vec<EngineKey> {
-        self.recent(now, |signs| signs.own)
+        self.recent_reports(now, |reports| reports.own)
     }
 
-    /// Engines that told a box of this hall, for the other halls.
+    /// Engines that recently reported to any box of this hall, to gossip to other halls.
     pub fn hall_reports(&self, now: Time) -> Vec<EngineKey> {
-        self.recent(now, |signs| signs.own.max(signs.own_hall))
+        self.recent_reports(now, |reports| reports.own.max(reports.own_hall))
     }
 
-    fn recent(&self, now: Time, at: impl Fn(&SlowReports) -> Option<Time>) -> Vec<EngineKey> {
-        let newer = |(_, signs): &(&EngineKey, &SlowReports)| is_newer(at(signs), now, TOLD);
-        let newer = self.signs.iter().filter(newer);
-        newer.map(|(engine, _)| *engine).take(MOST_TOLD).collect()
+    fn recent_reports(
+        &self,
+        now: Time,
+        at: impl Fn(&SlowReports) -> Option<Time>,
+    ) -> Vec<EngineKey> {
+        let is_in_window =
+            |(_, reports): &(&EngineKey, &SlowReports)| is_recent(at(reports), now, GOSSIP_WINDOW);
+        let recent = self.reports.iter().filter(is_in_window);
+        recent
+            .map(|(engine, _)| *engine)
+            .take(MAX_GOSSIPED)
+            .collect()
     }
 
-    /// Whether an engine is slow, as far as this box knows.
+    /// Whether an engine counts as slow: a report from any source is still valid.
     pub fn is_slow(&self, now: Time, engine: EngineKey) -> bool {
-        let signs = self.signs.get(&engine);
-        signs.is_some_and(|signs| is_newer(signs.own.max(signs.told()), now, LIFETIME))
+        let reports = self.reports.get(&engine);
+        reports.is_some_and(|reports| {
+            is_recent(reports.own.max(reports.last_gossip()), now, REPORT_TTL)
+        })
     }
 
-    /// Leaves the slow ones of some engines out, unless they are too many.
+    /// Removes slow engines from `engines`, unless that would exclude more than one in
+    /// `ENGINES_PER_EXCLUDED`.
     pub fn without_slow<T>(
         &self,
         now: Time,
@@ -151,15 +166,15 @@
     ) -> Vec<T> {
         let is_slow = |engine: &T| self.is_slow(now, key(engine));
         let slow = engines.iter().filter(|engine| is_slow(engine)).count();
-        if slow * LEAST_OF_SLOW <= engines.len() {
+        if slow * ENGINES_PER_EXCLUDED <= engines.len() {
             engines.retain(|engine| !is_slow(engine));
         }
         engines
     }
 
-    /// Forgets engines that are not listed any more.
+    /// Removes the state of engines that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(EngineKey) -> bool) {
-        self.signs.retain(|engine, _| is_listed(*engine));
-        self.asked.retain(|engine, _| is_listed(*engine));
+        self.reports.retain(|engine, _| is_listed(*engine));
+        self.queried.retain(|engine, _| is_listed(*engine));
     }
 }
--- a/lib/src/relay/state_pull.rs
+++ b/lib/src/relay/state_pull.rs
@@ -1,4 +1,4 @@
-//! How a box takes newer state from another one.
+//! Wire types of pulls, by which a box fetches newer state from another one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,77 +12,79 @@
 use crate::relay::server_notices::NoticeRows;
 use crate::relay::store_position::StorePosition;
 
-/// Version of the frames between boxes; a frame of another version is dropped.
+/// Version of the frames between boxes. Frames of other versions are dropped.
 pub const FRAME_VERSION: u8 = 9;
-/// Largest frame, in bytes; tables are at most a megabyte in the store.
+/// Maximum frame size. Tables in the store are at most one megabyte.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// What of the store's state a box has.
+/// Which state of the store a box has.
 ///
-/// Route tables are ordered by their own version, which operators only raise, wherever the store stands
-/// in its history. Server entries have none, and are ordered by where they were read.
+/// Route tables are ordered by their own version, which operators only ever raise, independent of
+/// the store's era and revision. Server entries have no version and are ordered by the store
+/// position at which they were read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownState {
-    /// Version of the route table in force, if there is one.
+    /// Version of the route table in force, if any.
     pub routes: Option<u64>,
-    /// Up to where server entries are known.
+    /// Store position up to which server entries are known.
     pub servers: StorePosition,
 }
 
 impl KnownState {
-    /// Whether another box that has this is ahead of it in anything.
+    /// Whether `other` is newer in the route table or the server entries.
     pub fn is_behind(self, other: Self) -> bool {
         other.routes > self.routes || other.servers > self.servers
     }
 }
 
-/// Asks for what is newer.
+/// Requests newer state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullRequest {
     /// [`FRAME_VERSION`].
     pub version: u8,
-    /// What the asking box has.
+    /// State of the requesting box.
     pub known_state: KnownState,
-    /// Whether it lacks boxes: it knows hardly any, or heard of one that it does not know.
+    /// Whether to include known boxes: the requester knows few, or has heard an unknown one.
     pub wants_boxes: bool,
 }
 
-/// What is newer.
+/// State newer than that of the requester.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PullResponse {
-    /// Whether the route table is newer: it follows in a frame of its own, which is encoded once for
-    /// all boxes that ask.
+    /// Whether a newer route table follows. It has a frame of its own, which is encoded once for all
+    /// requesters.
     pub table_follows: bool,
-    /// Server entries, if newer.
+    /// Newer server entries, if any.
     pub servers: Option<ServerNews>,
-    /// How much longer entries that are missing now are to be held.
+    /// Remaining time for which entries missing from the store are kept.
     pub hold_left: Duration,
-    /// What servers say of the calls they take.
+    /// Notices of servers about the calls they accept.
     pub notices: NoticeRows,
-    /// Other boxes that are known, if they were asked for.
+    /// Other known boxes, if requested.
     pub boxes: Vec<BoxAddresses>,
 }
 
-/// Where a box is reached by other boxes.
+/// Addresses and rank of a box, as other boxes know it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BoxAddresses {
-    /// Its name.
+    /// Name of the box.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of the box.
     pub hall: String,
-    /// Where it answers pulls, as `ip:port` over TCP.
+    /// TCP address for pulls, as `ip:port`.
     pub pull: String,
-    /// Where it takes load datagrams, as `ip:port` over UDP.
+    /// UDP address for load datagrams, as `ip:port`.
     pub load: String,
-    /// Processor time that it has, in thousandths of a core; 0 where it is not told.
+    /// Available processor time in thousandths of a core; 0 if not announced.
     #[serde(default)]
     pub processor: u16,
 }
 
-/// Where a box that has no state yet may ask for it: the seeds and the boxes that it knows, each
-/// once. Never itself, though it knows itself from the start: that pull would be lost.
+/// Addresses from which a box without state may pull: seeds and known boxes, without duplicates.
+///
+/// Excludes `own`: a box knows its own entry from the start, and a pull from itself is wasted.
 pub fn bootstrap_sources(own: SocketAddr, seeds: &[SocketAddr], boxes: &Boxes) -> Vec<SocketAddr> {
-    let known = boxes.values().filter_map(|of| of.pull.parse().ok());
+    let known = boxes.values().filter_map(|info| info.pull.parse().ok());
     let all: BTreeSet<SocketAddr> = known.chain(seeds.iter().copied()).collect();
     all.into_iter().filter(|address| *address != own).collect()
 }
