--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -1,14 +1,16 @@
-//! Pieces of work that end the servers which run them, and what is done with calls that ask for them.
+//! Quarantine of requests that crash the servers which run them.
 //!
-//! A request may bring down each server that begins to run it. Bounds by try, by box or by service
-//! don't hold it: its caller comes again at any box. So boxes keep a set of pairs, a piece of work and
-//! a life of a server that ended under it, which only grows and joins in any order, whoever tells it.
+//! A request may crash each server that starts to run it. Retry limits per call, box or service do
+//! not contain it, because its caller sends it again through any box. So boxes replicate a grow-only
+//! set of pairs of a request fingerprint and a server incarnation that crashed during a run of it.
+//! The set can be merged in any order and from any source.
 //!
-//! From the first life on the work is suspect: one run of it at a time over all boxes that hear each
-//! other, apart from other calls. After three lives it is held: refused at once, for ten minutes from
-//! the last of them, and for as long again it is suspect. A run that ends well speaks for the work:
-//! whatever ended under it until a little later had other causes. So many equal calls of one caller
-//! are not blamed while servers end by themselves. Ways weighed: `docs/design/quarantine.md`.
+//! From the first crash on the request is suspect: over all boxes that reach each other one run of
+//! it is in progress at a time, and it is isolated from other calls once it has
+//! [`ISOLATION_MIN_CRASHES`]. After three crashes it is quarantined: refused at once until ten minutes
+//! after the last of them, and suspect for as long again. A successful run clears the request: all
+//! crashes up to shortly after that run are attributed to other causes. So many equal calls of one
+//! caller are not blamed while servers crash by themselves. Alternatives: `docs/design/quarantine.md`.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -25,123 +27,126 @@
 use crate::relay::moment::Moment;
 use crate::relay::request_fingerprint::RequestFingerprint;
 use crate::relay::request_fingerprint::ServerIncarnation;
+use crate::relay::suspect_request::Crash;
 use crate::relay::suspect_request::CrashRow;
-use crate::relay::suspect_request::End;
-use crate::relay::suspect_request::Hold;
+use crate::relay::suspect_request::CrashSpan;
 use crate::relay::suspect_request::QUARANTINE_PERIOD;
 use crate::relay::suspect_request::RUN_REPORT_TTL;
 use crate::relay::suspect_request::RequestStatus;
-use crate::relay::suspect_request::Work;
+use crate::relay::suspect_request::SuspectRequest;
 use crate::relay::turns;
 use crate::time::Time;
 
-/// Between the turns of boxes that wait for the same verdict; news takes a few milliseconds between
-/// halls, so the first one's run is known before the next begins.
-const TURN: Duration = Duration::from_millis(20);
-/// How long a call that lost its run waits for news of others that did: those are about to go again, too.
-const OTHERS_HEARD: Duration = TURN;
-/// Turns; more boxes share one.
-const TURNS: usize = 16;
-/// Works that are remembered, at some 200 bytes each.
-const MOST_WORKS: usize = 512;
-/// Works of one workspace that are, so that it can't push out others'.
-const MOST_OF_OWNER: usize = 64;
-/// Works told with one datagram that are new or run here: some 60 bytes each, of 1,400.
-const MOST_ROWS: usize = 6;
-/// Works told with one that are neither, for boxes that missed the news: each in turn.
-const ROWS_IN_TURN: usize = 1;
-/// Lives told of each: enough to hold it, though some ended together.
-const MOST_LIVES_TOLD: usize = 5;
-
-/// What is to be done with a call.
+/// Delay between the start slots of boxes that wait to run the same request. Reports take a few
+/// milliseconds between halls, so the run of one slot is known before the next slot.
+const SLOT_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a call that lost its run waits for reports of other lost runs, whose calls are about to be
+/// retried as well.
+const REPORT_WAIT: Duration = SLOT_INTERVAL;
+/// Number of start slots; boxes share them if there are more boxes.
+const SLOTS: usize = 16;
+/// Requests with a record, at some 200 bytes each.
+const MAX_REQUESTS: usize = 512;
+/// Requests with a record per workspace, so that one workspace can't evict those of others.
+const MAX_REQUESTS_PER_OWNER: usize = 64;
+/// Rows per datagram for requests that changed recently or run here: some 60 bytes each, of 1,400.
+const MAX_FRESH_ROWS: usize = 6;
+/// Rows per datagram for the other requests, in rotation, for boxes that missed earlier reports.
+const ROTATED_ROWS: usize = 1;
+/// Crashes per row: enough to quarantine the request though some were simultaneous.
+const MAX_CRASHES_PER_ROW: usize = 5;
+
+/// Whether a call may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs; the run counts as begun.
+    /// The call may run; the run is counted as in progress.
     Run {
-        /// Lives of servers that ended under its work.
+        /// Crashes that count against the request.
         crashes: usize,
     },
-    /// Another run of the work is under way: it will tell.
+    /// Another run of the request is in progress or goes first, and its end decides.
     Wait,
-    /// It is held.
+    /// The request is quarantined.
     Quarantined {
-        /// For how long.
+        /// Remaining time of the quarantine.
         left: Duration,
-        /// Lives of servers that ended under it.
+        /// Crashes that count against the request.
         crashes: usize,
     },
 }
 
-/// A change of what is known of a work.
+/// A change of a request's status or crash count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineChange {
-    /// The work.
+    /// The request.
     pub fingerprint: RequestFingerprint,
-    /// What is known now.
+    /// Status after the change.
     pub status: RequestStatus,
-    /// Lives that ended under it.
+    /// Crashes that count against the request after the change.
     pub crashes: usize,
 }
 
-/// What the store holds of a work.
+/// A fact about a request that is kept in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredFact {
-    /// A life of a server ended under it.
+    /// This server incarnation crashed during a run.
     Crashed(ServerIncarnation),
-    /// Enough had to hold it, on the time line of the box that says so. Told by itself: whoever
-    /// reads it later knows no more whether they ended in one moment.
+    /// The box that wrote it saw enough crashes for a quarantine. Stored separately because the
+    /// stored crashes have no times: a box that reads them later can't tell whether they were
+    /// simultaneous.
     Quarantined,
-    /// An operator released it: one run decides.
+    /// An operator released the request; the next run decides.
     Released,
 }
 
-/// What one box tells another of a work.
+/// What a box or hall reports to others about a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRow {
-    /// The work.
+    /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Lives that ended under it.
+    /// Latest crashes that count against it.
     pub crashes: Vec<CrashRow>,
-    /// How many milliseconds ago the first and the last of the lives ended that hold it, if it is.
+    /// Milliseconds since the first and the last crash of the latest quarantine, if that counts.
     pub quarantined: Option<(u32, u32)>,
-    /// How many milliseconds ago an operator released it, if one did.
+    /// Milliseconds since an operator released it.
     pub released: Option<u32>,
-    /// How many milliseconds ago it last ran well, if it did.
+    /// Milliseconds since its latest successful run.
     pub succeeded: Option<u32>,
-    /// Whether a run of it is under way there.
+    /// Whether the sender has a run in progress.
     pub running: bool,
 }
 
-/// Whose runs are told.
+/// Whose runs a report covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunScope {
-    /// Those of one box.
+    /// Runs of the sending box.
     Box,
-    /// Those of all boxes of a hall, to another one.
+    /// Runs of all boxes of the sender's hall, reported to another hall.
     Hall,
 }
 
-/// What a box knows of such works.
+/// Crash records of requests, as known to one box.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
-    works: BTreeMap<RequestFingerprint, Work>,
-    /// Own runs under way, of all works that are told apart.
+    requests: BTreeMap<RequestFingerprint, SuspectRequest>,
+    /// Own runs in progress, of all requests with a known fingerprint.
     runs: HashMap<RequestFingerprint, u32>,
-    /// Where the next datagram goes on, of the works that are not new.
-    told_to: Option<RequestFingerprint>,
-    /// Works that went for want of room.
+    /// Last request of the rotation that the latest datagram held.
+    last_rotated: Option<RequestFingerprint>,
     evicted: u64,
 }
 
 impl Quarantine {
-    /// Whether nothing is known of any work: then no body need be read for its key.
+    /// Whether no request has a record, so that no body has to be read for its fingerprint.
     pub fn is_empty(&self) -> bool {
-        self.works.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Decides on a call that is about to be sent; `saw_crash` if its own last run ended a server: it
-    /// goes before the boxes that wait for a verdict, unless another run was lost as well. `rank` is
-    /// this box's in the order of [`rank`].
+    /// Decides whether a call may be sent.
+    ///
+    /// `saw_crash` tells that the call's own last run ended with a server crash. Such a call goes
+    /// before the boxes that wait, unless another run was lost as well. `rank` is this box's position
+    /// as given by [`rank`].
     pub fn admit(
         &mut self,
         now: Time,
@@ -150,22 +155,23 @@
         rank: impl FnOnce() -> usize,
     ) -> Admission {
         let runs_here = self.runs.get(&fingerprint).is_some_and(|runs| *runs > 0);
-        let Some(known) = self.works.get(&fingerprint) else {
+        let Some(request) = self.requests.get(&fingerprint) else {
             return self.begin(fingerprint, 0);
         };
-        let verdict = known.verdict(now);
-        let runs = runs_here || known.runs_elsewhere(now);
-        let crashes = known.crashes(now);
-        let is_only_end = known.counting(now).count() == 1;
-        let goes_first = saw_crash && is_only_end && known.last_end(now) >= OTHERS_HEARD;
-        match verdict {
+        let status = request.status(now);
+        let runs = runs_here || request.runs_elsewhere(now);
+        let crashes = request.crash_count(now);
+        let is_only_crash = request.counted_crashes(now).count() == 1;
+        let goes_first = saw_crash && is_only_crash && request.since_last_crash(now) >= REPORT_WAIT;
+        match status {
             RequestStatus::Cleared => self.begin(fingerprint, 0),
             RequestStatus::Quarantined if !runs => Admission::Quarantined {
-                left: QUARANTINE_PERIOD.saturating_sub(known.last_end(now)),
+                left: QUARANTINE_PERIOD.saturating_sub(request.since_last_crash(now)),
                 crashes,
             },
             RequestStatus::Suspect
-                if !runs && (goes_first || known.last_end(now) >= turn(rank())) =>
+                if !runs
+                    && (goes_first || request.since_last_crash(now) >= start_delay(rank())) =>
             {
                 self.begin(fingerprint, crashes)
             }
@@ -178,21 +184,22 @@
         Admission::Run { crashes }
     }
 
-    /// Whether a run that [`Self::admit`] let begin may still be sent, after what it has waited for: its
-    /// work may be held by now, or run elsewhere.
+    /// Whether a run admitted by [`Self::admit`] may still be sent after the call has waited: the
+    /// request may have been quarantined meanwhile, or may run elsewhere.
     pub fn may_send(&self, now: Time, fingerprint: RequestFingerprint) -> bool {
-        let Some(known) = self.works.get(&fingerprint) else {
+        let Some(request) = self.requests.get(&fingerprint) else {
             return true;
         };
-        let is_only_run = self.runs.get(&fingerprint) == Some(&1) && !known.runs_elsewhere(now);
-        match known.verdict(now) {
+        let is_only_run = self.runs.get(&fingerprint) == Some(&1) && !request.runs_elsewhere(now);
+        match request.status(now) {
             RequestStatus::Cleared => true,
             RequestStatus::Suspect => is_only_run,
             RequestStatus::Quarantined => false,
         }
     }
 
-    /// Ends a run that [`Self::admit`] let begin; true if others wait for that news.
+    /// Ends a run admitted by [`Self::admit`]. Returns true if the request has a record, so that
+    /// others may be waiting for the end of the run.
     pub fn end_run(&mut self, now: Time, fingerprint: RequestFingerprint) -> bool {
         if let Some(runs) = self.runs.get_mut(&fingerprint) {
             *runs -= 1;
@@ -200,52 +207,54 @@
                 self.runs.remove(&fingerprint);
             }
         }
-        let known = self.works.get_mut(&fingerprint);
-        // That it is over is told as long as that it ran would be believed.
-        known.map(|known| known.changed = now).is_some()
+        let request = self.requests.get_mut(&fingerprint);
+        // The end is reported for RUN_REPORT_TTL, as long as others assume that the run continues.
+        request.map(|request| request.changed = now).is_some()
     }
 
-    /// Records that a server's life ended under a run of this box that began then.
+    /// Records that a server crashed during a run of this box that was sent at `run_started`.
     pub fn record_crash(
         &mut self,
         now: Time,
         fingerprint: RequestFingerprint,
-        life: ServerIncarnation,
-        began: Time,
+        incarnation: ServerIncarnation,
+        run_started: Time,
     ) -> Option<QuarantineChange> {
         let at = Moment::of(now);
-        let end = End {
-            life,
+        let crash = Crash {
+            incarnation,
             at,
-            began: Moment::of(began),
+            run_started: Moment::of(run_started),
             needs_store: true,
         };
-        self.change(now, fingerprint, |known| {
-            known.is_own = true;
-            // It was held until lately: this run has decided.
-            if known.held_at(now).is_some() {
-                known.held = Some(Hold {
+        self.change(now, fingerprint, |request| {
+            request.is_own = true;
+            // The run after an earlier quarantine decides: its crash starts the quarantine again.
+            if request.quarantined_at(now).is_some() {
+                request.quarantine = Some(CrashSpan {
                     first: at,
                     last: at,
                 });
             }
-            known.add(end);
+            request.add(crash);
         })
     }
 
-    /// Records that a run ended well.
+    /// Records that a run succeeded.
     pub fn record_success(
         &mut self,
         now: Time,
         fingerprint: RequestFingerprint,
     ) -> Option<QuarantineChange> {
-        if !self.works.contains_key(&fingerprint) {
+        if !self.requests.contains_key(&fingerprint) {
             return None;
         }
-        self.change(now, fingerprint, |known| known.good = Some(Moment::of(now)))
+        self.change(now, fingerprint, |request| {
+            request.succeeded = Some(Moment::of(now))
+        })
     }
 
-    /// Takes what the store holds.
+    /// Applies a fact read from the store or written to it.
     pub fn apply_fact(
         &mut self,
         now: Time,
@@ -254,72 +263,72 @@
     ) -> Option<QuarantineChange> {
         let at = Moment::of(now);
         match fact {
-            StoredFact::Crashed(life) => self.change(now, fingerprint, |known| {
-                known.add(End {
-                    life,
+            StoredFact::Crashed(incarnation) => self.change(now, fingerprint, |request| {
+                request.add(Crash {
+                    incarnation,
                     at,
-                    // Nothing is known of the run.
-                    began: at,
+                    // The store does not hold when the run started.
+                    run_started: at,
                     needs_store: false,
                 });
-                let mut ends = known.ends.iter_mut();
-                if let Some(end) = ends.find(|end| end.life == life) {
-                    end.needs_store = false;
+                let mut crashes = request.crashes.iter_mut();
+                if let Some(crash) = crashes.find(|crash| crash.incarnation == incarnation) {
+                    crash.needs_store = false;
                 }
             }),
-            StoredFact::Quarantined => self.change(now, fingerprint, |known| {
-                known.is_held_in_store = true;
-                if known.held_at(now).is_none() {
-                    known.held = Some(Hold {
+            StoredFact::Quarantined => self.change(now, fingerprint, |request| {
+                request.is_quarantine_stored = true;
+                if request.quarantined_at(now).is_none() {
+                    request.quarantine = Some(CrashSpan {
                         first: at,
                         last: at,
                     });
                 }
             }),
-            StoredFact::Released => self.change(now, fingerprint, |known| {
-                known.released = known.released.max(Some(at));
-                known.is_held_in_store = false;
-                known.is_release_lost = false;
+            StoredFact::Released => self.change(now, fingerprint, |request| {
+                request.released = request.released.max(Some(at));
+                request.is_quarantine_stored = false;
+                request.is_release_lost = false;
             }),
         }
     }
 
-    /// Takes what another box, or a hall, tells.
+    /// Merges rows reported by another box or hall, named `from`.
     pub fn merge_rows(
         &mut self,
         now: Time,
-        of: RunScope,
+        scope: RunScope,
         from: &str,
         rows: &[QuarantineRow],
     ) -> Vec<QuarantineChange> {
         let ago = |millis: u32| Moment::ago(now, millis);
-        let take = |row: &QuarantineRow| {
-            self.change(now, row.fingerprint, |known| {
-                // The other box missed the good run that this one knows of.
-                let blames = !row.crashes.is_empty() || row.quarantined.is_some();
-                let is_behind = blames && known.good > row.succeeded.map(ago);
-                if is_behind && known.verdict(now) == RequestStatus::Cleared {
-                    known.changed = now;
+        let merge = |row: &QuarantineRow| {
+            self.change(now, row.fingerprint, |request| {
+                // The sender missed the successful run known here, which is reported again.
+                let has_crashes = !row.crashes.is_empty() || row.quarantined.is_some();
+                let is_behind = has_crashes && request.succeeded > row.succeeded.map(ago);
+                if is_behind && request.status(now) == RequestStatus::Cleared {
+                    request.changed = now;
                 }
-                for end in &row.crashes {
-                    known.add(End {
-                        life: end.incarnation,
-                        at: ago(end.age_ms),
-                        began: ago(end.age_ms.saturating_add(end.run_ms)),
+                for crash in &row.crashes {
+                    request.add(Crash {
+                        incarnation: crash.incarnation,
+                        at: ago(crash.age_ms),
+                        run_started: ago(crash.age_ms.saturating_add(crash.run_ms)),
                         needs_store: false,
                     });
                 }
-                let held = row.quarantined.map(|(first, last)| Hold {
+                let quarantine = row.quarantined.map(|(first, last)| CrashSpan {
                     first: ago(first),
                     last: ago(last),
                 });
-                known.held = known.held.max(held);
-                known.released = known.released.max(row.released.map(ago));
-                known.good = known.good.max(row.succeeded.map(ago));
-                // A row that is left out says nothing: a datagram holds few of many.
-                let running = match of {
-                    RunScope::Box => &mut known.boxes,
-                    RunScope::Hall => &mut known.halls,
+                request.quarantine = request.quarantine.max(quarantine);
+                request.released = request.released.max(row.released.map(ago));
+                request.succeeded = request.succeeded.max(row.succeeded.map(ago));
+                // A missing row does not end a run: a datagram holds only a few of many rows.
+                let running = match scope {
+                    RunScope::Box => &mut request.running_boxes,
+                    RunScope::Hall => &mut request.running_halls,
                 };
                 if row.running {
                     running.insert(from.to_owned(), now);
@@ -328,27 +337,27 @@
                 }
             })
         };
-        rows.iter().filter_map(take).collect()
+        rows.iter().filter_map(merge).collect()
     }
 
     fn change(
         &mut self,
         now: Time,
         fingerprint: RequestFingerprint,
-        f: impl FnOnce(&mut Work),
+        f: impl FnOnce(&mut SuspectRequest),
     ) -> Option<QuarantineChange> {
-        if !self.works.contains_key(&fingerprint) {
+        if !self.requests.contains_key(&fingerprint) {
             self.make_room(now, fingerprint.owner);
         }
-        let known = self.works.entry(fingerprint).or_default();
-        let before = (known.verdict(now), known.crashes(now));
-        f(known);
-        known.judge(now);
-        let after = (known.verdict(now), known.crashes(now));
+        let request = self.requests.entry(fingerprint).or_default();
+        let before = (request.status(now), request.crash_count(now));
+        f(request);
+        request.update_quarantine(now);
+        let after = (request.status(now), request.crash_count(now));
         if before == after {
             return None;
         }
-        known.changed = now;
+        request.changed = now;
         let (status, crashes) = after;
         Some(QuarantineChange {
             fingerprint,
@@ -357,157 +366,171 @@
         })
     }
 
-    /// Lets go of works that are forgotten, and of one more where there is no room: the one with the
-    /// fewest lives, the oldest of those, of the workspace that has most.
+    /// Drops expired records and, at a limit, evicts one more: the record with the fewest crashes, the
+    /// oldest of those, preferring ones that are not quarantined. It is taken from `owner` if that
+    /// workspace is at its own limit, otherwise from the workspace with the most records.
     fn make_room(&mut self, now: Time, owner: u32) {
-        self.works.retain(|_, known| !known.is_forgotten(now));
+        self.requests.retain(|_, request| !request.is_expired(now));
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
-        for fingerprint in self.works.keys() {
+        for fingerprint in self.requests.keys() {
             *counts.entry(fingerprint.owner).or_default() += 1;
         }
-        let of_owner = counts.get(&owner).copied().unwrap_or_default();
-        let pays = match () {
-            () if of_owner >= MOST_OF_OWNER => Some(owner),
-            () if self.works.len() >= MOST_WORKS => {
+        let owner_count = counts.get(&owner).copied().unwrap_or_default();
+        let evict_from = match () {
+            () if owner_count >= MAX_REQUESTS_PER_OWNER => Some(owner),
+            () if self.requests.len() >= MAX_REQUESTS => {
                 let most = counts.iter().max_by_key(|(_, count)| **count);
                 most.map(|(owner, _)| *owner)
             }
             () => None,
         };
-        let Some(pays) = pays else { return };
-        let of = self
-            .works
+        let Some(evict_from) = evict_from else { return };
+        let candidates = self
+            .requests
             .iter()
-            .filter(|(fingerprint, _)| fingerprint.owner == pays);
-        let worth = |known: &Work| {
-            let is_held = known.held_at(now).is_some();
-            (is_held, known.crashes(now), Reverse(known.last_end(now)))
+            .filter(|(fingerprint, _)| fingerprint.owner == evict_from);
+        let priority = |request: &SuspectRequest| {
+            let is_quarantined = request.quarantined_at(now).is_some();
+            (
+                is_quarantined,
+                request.crash_count(now),
+                Reverse(request.since_last_crash(now)),
+            )
         };
-        let first = of.min_by_key(|(_, known)| worth(known));
+        let first = candidates.min_by_key(|(_, request)| priority(request));
         if let Some((&fingerprint, _)) = first {
-            self.works.remove(&fingerprint);
+            self.requests.remove(&fingerprint);
             self.evicted += 1;
         }
     }
 
-    /// What to tell other boxes now: works that run here or changed lately, those that changed last
-    /// first, and of the others that are not cleared one in turn.
-    pub fn rows(&mut self, now: Time, of: RunScope) -> Vec<QuarantineRow> {
-        if self.works.is_empty() {
+    /// Rows for the next datagram: requests that run here or changed recently, running ones and then
+    /// the latest changes first, and one of the other requests that are not cleared, in rotation.
+    pub fn rows(&mut self, now: Time, scope: RunScope) -> Vec<QuarantineRow> {
+        if self.requests.is_empty() {
             return Vec::new();
         }
-        self.works.retain(|_, known| !known.is_forgotten(now));
-        let runs = |fingerprint: &RequestFingerprint, known: &Work| {
-            self.runs_of(now, of, *fingerprint, known)
+        self.requests.retain(|_, request| !request.is_expired(now));
+        let runs = |fingerprint: &RequestFingerprint, request: &SuspectRequest| {
+            self.runs_in(now, scope, *fingerprint, request)
         };
-        let is_fresh = |fingerprint: &RequestFingerprint, known: &Work| {
-            runs(fingerprint, known) || now.since(known.changed) < RUN_REPORT_TTL
+        let is_fresh = |fingerprint: &RequestFingerprint, request: &SuspectRequest| {
+            runs(fingerprint, request) || now.since(request.changed) < RUN_REPORT_TTL
         };
-        let (mut fresh, mut rest): (Vec<_>, Vec<_>) = (self.works.iter())
-            .partition::<Vec<_>, _>(|(fingerprint, known)| is_fresh(fingerprint, known));
-        rest.retain(|(_, known)| known.verdict(now) != RequestStatus::Cleared);
-        fresh.sort_by_key(|(fingerprint, known)| {
-            (!runs(fingerprint, known), now.since(known.changed))
+        let (mut fresh, mut rest): (Vec<_>, Vec<_>) = (self.requests.iter())
+            .partition::<Vec<_>, _>(|(fingerprint, request)| is_fresh(fingerprint, request));
+        rest.retain(|(_, request)| request.status(now) != RequestStatus::Cleared);
+        fresh.sort_by_key(|(fingerprint, request)| {
+            (!runs(fingerprint, request), now.since(request.changed))
         });
-        fresh.truncate(MOST_ROWS);
-        let in_turn = turns::in_turn(&rest, self.told_to.as_ref(), ROWS_IN_TURN);
-        let told = fresh.iter().chain(&in_turn);
-        let rows = told.map(|(fingerprint, known)| self.row(now, of, **fingerprint, known));
+        fresh.truncate(MAX_FRESH_ROWS);
+        let rotated = turns::in_turn(&rest, self.last_rotated.as_ref(), ROTATED_ROWS);
+        let selected = fresh.iter().chain(&rotated);
+        let rows =
+            selected.map(|(fingerprint, request)| self.row(now, scope, **fingerprint, request));
         let rows = rows.collect();
-        self.told_to = in_turn.last().map(|(fingerprint, _)| **fingerprint);
+        self.last_rotated = rotated.last().map(|(fingerprint, _)| **fingerprint);
         rows
     }
 
-    fn runs_of(
+    fn runs_in(
         &self,
         now: Time,
-        of: RunScope,
+        scope: RunScope,
         fingerprint: RequestFingerprint,
-        known: &Work,
+        request: &SuspectRequest,
     ) -> bool {
-        let runs_near = of == RunScope::Hall && known.runs_at_boxes(now);
-        runs_near || self.runs.contains_key(&fingerprint)
+        let runs_in_hall = scope == RunScope::Hall && request.runs_at_boxes(now);
+        runs_in_hall || self.runs.contains_key(&fingerprint)
     }
 
     fn row(
         &self,
         now: Time,
-        of: RunScope,
+        scope: RunScope,
         fingerprint: RequestFingerprint,
-        known: &Work,
+        request: &SuspectRequest,
     ) -> QuarantineRow {
-        let counting = known.counting(now).collect::<Vec<_>>();
-        let newest = counting.iter().rev().take(MOST_LIVES_TOLD);
+        let counted = request.counted_crashes(now).collect::<Vec<_>>();
+        let newest = counted.iter().rev().take(MAX_CRASHES_PER_ROW);
         QuarantineRow {
             fingerprint,
-            crashes: newest.map(|end| end.told(now)).collect(),
-            quarantined: (known.held.filter(|_| known.held_at(now).is_some()))
-                .map(|held| (held.first.millis_ago(now), held.last.millis_ago(now))),
-            released: known.released.map(|at| at.millis_ago(now)),
-            succeeded: known.good.map(|at| at.millis_ago(now)),
-            running: self.runs_of(now, of, fingerprint, known),
+            crashes: newest.map(|crash| crash.to_row(now)).collect(),
+            quarantined: (request
+                .quarantine
+                .filter(|_| request.quarantined_at(now).is_some()))
+            .map(|span| (span.first.millis_ago(now), span.last.millis_ago(now))),
+            released: request.released.map(|at| at.millis_ago(now)),
+            succeeded: request.succeeded.map(|at| at.millis_ago(now)),
+            running: self.runs_in(now, scope, fingerprint, request),
         }
     }
 
-    /// What this box saw and the store is to hold: that a work is held, and each life that ended where
-    /// more than one did, or where this box hears no other one (`is_alone`). The others are told by
-    /// datagrams, and most are cleared within a second.
+    /// Facts observed by this box that the store should hold but does not yet: quarantines, and
+    /// crashes of requests with more than one, or with any if this box hears no other (`is_alone`).
+    /// The remaining crashes are reported by datagram only, and most are cleared within a second.
     pub fn unstored_facts(
         &self,
         now: Time,
         is_alone: bool,
     ) -> Vec<(RequestFingerprint, StoredFact)> {
-        let own = self.works.iter().filter(|(_, known)| known.is_own);
-        let facts = own.flat_map(|(fingerprint, known)| {
-            let verdict = known.verdict(now);
-            let is_due = verdict != RequestStatus::Cleared && (is_alone || known.crashes(now) > 1);
-            let ends = known
-                .ends
+        let own = self.requests.iter().filter(|(_, request)| request.is_own);
+        let facts = own.flat_map(|(fingerprint, request)| {
+            let status = request.status(now);
+            let is_due =
+                status != RequestStatus::Cleared && (is_alone || request.crash_count(now) > 1);
+            let crashes = request
+                .crashes
                 .iter()
-                .filter(move |end| is_due && end.needs_store);
-            let ends = ends.map(|end| StoredFact::Crashed(end.life));
-            let is_held = verdict == RequestStatus::Quarantined && !known.is_held_in_store;
-            let held = is_held.then_some(StoredFact::Quarantined);
-            // A work that came to be held after its release is not released again.
-            let is_released = known.is_release_lost && verdict != RequestStatus::Quarantined;
+                .filter(move |crash| is_due && crash.needs_store);
+            let crashes = crashes.map(|crash| StoredFact::Crashed(crash.incarnation));
+            let is_quarantined =
+                status == RequestStatus::Quarantined && !request.is_quarantine_stored;
+            let quarantined = is_quarantined.then_some(StoredFact::Quarantined);
+            // A lost release is not written again once the request is quarantined anew.
+            let is_released = request.is_release_lost && status != RequestStatus::Quarantined;
             let released = is_released.then_some(StoredFact::Released);
-            let facts = ends.chain(held).chain(released);
+            let facts = crashes.chain(quarantined).chain(released);
             facts.map(|fact| (*fingerprint, fact))
         });
         facts.collect()
     }
 
-    /// The store came back from a copy: what it held of works that this box saw is to be written again.
+    /// Marks the facts observed by this box to be written again, after the store was restored from a
+    /// copy that may lack them.
     pub fn on_store_restored(&mut self) {
-        for known in self.works.values_mut().filter(|known| known.is_own) {
-            known.ends.iter_mut().for_each(|end| end.needs_store = true);
-            known.is_held_in_store = false;
-            known.is_release_lost = known.released.is_some();
+        for request in self.requests.values_mut().filter(|request| request.is_own) {
+            request
+                .crashes
+                .iter_mut()
+                .for_each(|crash| crash.needs_store = true);
+            request.is_quarantine_stored = false;
+            request.is_release_lost = request.released.is_some();
         }
     }
 
-    /// Works that are held now.
+    /// Number of requests that are quarantined now.
     pub fn quarantined_count(&self, now: Time) -> usize {
-        let mut verdicts = self.works.values().map(|known| known.verdict(now));
-        verdicts
+        let mut statuses = self.requests.values().map(|request| request.status(now));
+        statuses
             .by_ref()
             .filter(|it| *it == RequestStatus::Quarantined)
             .count()
     }
 
-    /// Works that went for want of room so far.
+    /// Number of records evicted for capacity so far.
     pub const fn evicted(&self) -> u64 {
         self.evicted
     }
 }
 
-/// From how many lives on a call goes apart from others. Each server that ends makes all its calls
-/// suspect for a moment, and those are best placed as any.
+/// Crashes from which on a call is isolated. A server crash makes all calls of that server suspect
+/// for a moment, and those are best placed like any other.
 pub const ISOLATION_MIN_CRASHES: usize = 2;
 
-/// Where such a call goes: to one of the quieter half of the servers, drawn. The calls that were
-/// lost with a server are all suspect for a moment; together on the quietest server they would meet
-/// the one among them that ends it.
+/// Draws the server for an isolated call from the half of the servers with the fewest calls. The
+/// calls lost with a server are all suspect for a moment; if they went together to the quietest
+/// server they would meet the one among them that crashes it.
 pub fn pick_isolated<T>(
     mut servers: Vec<T>,
     calls: impl Fn(&T) -> u32,
@@ -519,13 +542,14 @@
     servers.into_iter().skip(drawn).take(1).collect()
 }
 
-/// How long a box waits after a verdict, so that all don't begin at once.
-fn turn(rank: usize) -> Duration {
-    TURN * (1 + rank % TURNS) as u32
+/// How long after a crash a box of this rank waits to run the request, so that the boxes don't all
+/// start at once.
+fn start_delay(rank: usize) -> Duration {
+    SLOT_INTERVAL * (1 + rank % SLOTS) as u32
 }
 
-/// A box's rank among all that are known, in an order that each work has for itself: up to as many
-/// boxes as there are turns, no two take the same one.
+/// Rank of a box among all known boxes, in an order specific to the request. With no more boxes than
+/// start slots, no two take the same slot.
 pub fn rank<'a>(
     fingerprint: RequestFingerprint,
     own: &str,
--- a/lib/src/relay/suspect_request.rs
+++ b/lib/src/relay/suspect_request.rs
@@ -1,4 +1,4 @@
-//! What is known of one piece of work that may end servers, and what follows from it.
+//! Crash record of one suspect request, and the status that follows from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,194 +10,213 @@
 use crate::relay::request_fingerprint::ServerIncarnation;
 use crate::time::Time;
 
-/// Lives of servers that one piece of work may end: with two, a call that did nothing and lost its
-/// run twice where many servers end would be held; with four, each such work costs a server more.
+/// Server crashes after which a request is quarantined. With two, an innocent call that lost its
+/// run twice during mass server crashes would be quarantined; with four, each crashing request costs
+/// one more server.
 pub const QUARANTINE_MIN_CRASHES: usize = 3;
-/// Lives that end within so long of each other count as one, unless the later run began when the
-/// earlier life had ended: what ends many servers in one moment is something else, and equal calls of
-/// one caller run on many of them.
-const SAME_MOMENT: Duration = Duration::from_millis(70);
-/// How long a work is held after the last life that ended under it: the longest lease of the store,
-/// where it is kept for boxes that start later.
+/// Crashes within this time of each other count as one, unless the later run started after the
+/// earlier crash. Servers that crash together have a common cause other than the request, and equal
+/// calls of one caller may be running on many of them.
+const SIMULTANEOUS_CRASH_WINDOW: Duration = Duration::from_millis(70);
+/// How long a request stays quarantined after the last crash. Equals the longest lease of the store,
+/// where the record is kept for boxes that start later.
 pub const QUARANTINE_PERIOD: Duration = Duration::from_mins(10);
-/// How long it is remembered: after it was held, it is suspect for as long again, so that a single
-/// run decides.
-const REMEMBERED: Duration = Duration::from_mins(20);
-/// How long after a good run an end says nothing: servers that end together are heard of for some
-/// seconds, while equal calls end well elsewhere.
-const GOOD_FOR: Duration = Duration::from_secs(10);
-/// How long another box's run counts after it was last told: two heartbeats and a lost datagram.
+/// How long a crash is remembered. After the quarantine the request is suspect for as long again, so
+/// that a single run decides.
+const CRASH_RETENTION: Duration = Duration::from_mins(20);
+/// How long after a successful run crashes are ignored. Reports of servers that crashed together
+/// keep arriving for some seconds, while equal calls succeed elsewhere.
+const SUCCESS_GRACE: Duration = Duration::from_secs(10);
+/// How long a reported run of another box is assumed to continue: two heartbeats and one lost
+/// datagram.
 pub(super) const RUN_REPORT_TTL: Duration = Duration::from_millis(1_200);
-/// Lives remembered for one work.
-const MOST_REMEMBERED: usize = 8;
+/// Crashes kept per request.
+const MAX_KEPT_CRASHES: usize = 8;
 
-/// What became known of a work.
+/// Status of a request, derived from the crashes during its runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Servers ended under it, fewer than [`QUARANTINE_MIN_CRASHES`].
+    /// Servers crashed during its runs, fewer than [`QUARANTINE_MIN_CRASHES`], or its quarantine is
+    /// over or was released.
     Suspect,
-    /// [`QUARANTINE_MIN_CRASHES`] or more did.
+    /// At least [`QUARANTINE_MIN_CRASHES`] servers crashed; calls are refused.
     Quarantined,
-    /// It ran well.
+    /// No crash counts against it, for example since a run succeeded.
     Cleared,
 }
 
-/// A life that ended under a work, as one box tells another.
+/// A server crash as reported to other boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashRow {
-    /// The life.
+    /// The incarnation that crashed.
     pub incarnation: ServerIncarnation,
-    /// How many milliseconds ago it ended.
+    /// Milliseconds since the crash.
     pub age_ms: u32,
-    /// How many milliseconds the run had taken.
+    /// Milliseconds from the start of the run to the crash.
     pub run_ms: u32,
 }
 
-/// A life that ended.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct End {
-    pub(super) life: ServerIncarnation,
+pub(super) struct Crash {
+    pub(super) incarnation: ServerIncarnation,
     pub(super) at: Moment,
-    /// When the run began that it ended under.
-    pub(super) began: Moment,
-    /// Whether this box saw it and the store does not hold it yet.
+    /// Start of the run during which the server crashed.
+    pub(super) run_started: Moment,
+    /// Whether this box observed the crash and the store does not hold it yet.
     pub(super) needs_store: bool,
 }
 
-impl End {
-    pub(super) const fn told(&self, now: Time) -> CrashRow {
+impl Crash {
+    pub(super) const fn to_row(&self, now: Time) -> CrashRow {
         let age_ms = self.at.millis_ago(now);
         CrashRow {
-            incarnation: self.life,
+            incarnation: self.incarnation,
             age_ms,
-            run_ms: self.began.millis_ago(now).saturating_sub(age_ms),
+            run_ms: self.run_started.millis_ago(now).saturating_sub(age_ms),
         }
     }
 }
 
-/// Between which lives it came to be held. A good run that speaks for the first of them speaks for
-/// all: so it matters not what becomes known first.
+/// First and last of the crashes that caused a quarantine. A successful run that clears the first
+/// one clears the quarantine, so the result does not depend on the order in which a box learns of
+/// the run and the crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Hold {
+pub(super) struct CrashSpan {
     pub(super) first: Moment,
     pub(super) last: Moment,
 }
 
 #[derive(Debug, Clone, Default)]
-pub(super) struct Work {
-    pub(super) ends: Vec<End>,
-    pub(super) held: Option<Hold>,
+pub(super) struct SuspectRequest {
+    pub(super) crashes: Vec<Crash>,
+    /// Crashes that caused the latest quarantine.
+    pub(super) quarantine: Option<CrashSpan>,
     /// When an operator released it.
     pub(super) released: Option<Moment>,
-    /// Whether the store lost the release, and is to hold it again.
+    /// Whether the store lost the release, which has to be written again.
     pub(super) is_release_lost: bool,
-    /// Whether the store says that it is held.
-    pub(super) is_held_in_store: bool,
-    /// Whether a server ended under a run of this box.
+    /// Whether the store holds the quarantine.
+    pub(super) is_quarantine_stored: bool,
+    /// Whether a server crashed during a run of this box.
     pub(super) is_own: bool,
-    pub(super) good: Option<Moment>,
-    /// When boxes of this hall, or of all where there are few, last said that they run it.
-    pub(super) boxes: BTreeMap<String, Time>,
-    /// When other halls did.
-    pub(super) halls: BTreeMap<String, Time>,
-    /// When something was last learned of it.
+    /// End of the latest successful run.
+    pub(super) succeeded: Option<Moment>,
+    /// When boxes of this hall, or all boxes of a small fleet, last reported a run in progress.
+    pub(super) running_boxes: BTreeMap<String, Time>,
+    /// When other halls last reported a run in progress.
+    pub(super) running_halls: BTreeMap<String, Time>,
+    /// Last change of the record.
     pub(super) changed: Time,
 }
 
-impl Work {
-    /// Whether what happened then counts: no good run speaks against it, and it is not too long ago.
+impl SuspectRequest {
+    /// Whether a crash at this time counts: no later successful run clears it, and it has not
+    /// expired.
     pub(super) fn counts(&self, now: Time, at: Moment) -> bool {
-        let is_cleared = self.good.is_some_and(|good| at <= good.plus(GOOD_FOR));
-        !is_cleared && at.since(now) < REMEMBERED
+        let is_cleared = self
+            .succeeded
+            .is_some_and(|succeeded| at <= succeeded.plus(SUCCESS_GRACE));
+        !is_cleared && at.since(now) < CRASH_RETENTION
     }
 
-    /// Lives that count.
-    pub(super) fn counting(&self, now: Time) -> impl Iterator<Item = &End> + Clone {
-        let ends = self.ends.iter();
-        ends.filter(move |end| self.counts(now, end.at))
+    pub(super) fn counted_crashes(&self, now: Time) -> impl Iterator<Item = &Crash> + Clone {
+        let crashes = self.crashes.iter();
+        crashes.filter(move |crash| self.counts(now, crash.at))
     }
 
-    /// When it was last known to be held, if that counts.
-    pub(super) fn held_at(&self, now: Time) -> Option<Moment> {
-        let held = self.held.filter(|held| self.counts(now, held.first));
-        held.map(|held| held.last)
+    /// The last crash of the latest quarantine, if that still counts.
+    pub(super) fn quarantined_at(&self, now: Time) -> Option<Moment> {
+        let quarantine = self
+            .quarantine
+            .filter(|quarantine| self.counts(now, quarantine.first));
+        quarantine.map(|quarantine| quarantine.last)
     }
 
-    /// Lives that ended at moments of their own.
-    pub(super) fn crashes(&self, now: Time) -> usize {
+    /// Number of crashes that count, where simultaneous ones count as one.
+    pub(super) fn crash_count(&self, now: Time) -> usize {
         let mut last: Option<Moment> = None;
-        let mut crashes = 0;
-        for end in self.counting(now) {
-            let is_apart = |last: Moment| end.began > last || end.at > last.plus(SAME_MOMENT);
-            if last.is_none_or(is_apart) {
-                crashes += 1;
-                last = Some(end.at);
+        let mut count = 0;
+        for crash in self.counted_crashes(now) {
+            let is_separate = |last: Moment| {
+                crash.run_started > last || crash.at > last.plus(SIMULTANEOUS_CRASH_WINDOW)
+            };
+            if last.is_none_or(is_separate) {
+                count += 1;
+                last = Some(crash.at);
             }
         }
-        crashes
+        count
     }
 
-    pub(super) fn verdict(&self, now: Time) -> RequestStatus {
-        match self.held_at(now) {
+    pub(super) fn status(&self, now: Time) -> RequestStatus {
+        match self.quarantined_at(now) {
             Some(at) if at.since(now) < QUARANTINE_PERIOD && self.released < Some(at) => {
                 RequestStatus::Quarantined
             }
             Some(_) => RequestStatus::Suspect,
-            None if self.crashes(now) > 0 => RequestStatus::Suspect,
+            None if self.crash_count(now) > 0 => RequestStatus::Suspect,
             None => RequestStatus::Cleared,
         }
     }
 
-    /// How long ago the last life that counts ended.
-    pub(super) fn last_end(&self, now: Time) -> Duration {
-        let ends = self.counting(now).map(|end| end.at);
-        let last = ends.chain(self.held_at(now)).max();
+    /// Time since the last crash that counts.
+    pub(super) fn since_last_crash(&self, now: Time) -> Duration {
+        let crashes = self.counted_crashes(now).map(|crash| crash.at);
+        let last = crashes.chain(self.quarantined_at(now)).max();
         last.map_or(Duration::MAX, |at| at.since(now))
     }
 
-    /// Holds it if enough lives ended.
-    pub(super) fn judge(&mut self, now: Time) {
-        if self.crashes(now) >= QUARANTINE_MIN_CRASHES {
-            let ends = self.counting(now).map(|end| end.at);
-            let hold = ends.clone().min().zip(ends.max());
-            let hold = hold.map(|(first, last)| Hold { first, last });
-            self.held = self.held.max(hold);
+    /// Starts or extends the quarantine if enough crashes count.
+    pub(super) fn update_quarantine(&mut self, now: Time) {
+        if self.crash_count(now) >= QUARANTINE_MIN_CRASHES {
+            let crashes = self.counted_crashes(now).map(|crash| crash.at);
+            let span = crashes.clone().min().zip(crashes.max());
+            let span = span.map(|(first, last)| CrashSpan { first, last });
+            self.quarantine = self.quarantine.max(span);
         }
     }
 
     pub(super) fn runs_elsewhere(&self, now: Time) -> bool {
-        self.runs_at_boxes(now) || is_believed(now, &self.halls)
+        self.runs_at_boxes(now) || has_fresh_report(now, &self.running_halls)
     }
 
-    /// Whether another box runs it, of those that this one hears by themselves.
+    /// Whether a box that reports to this one directly runs it.
     pub(super) fn runs_at_boxes(&self, now: Time) -> bool {
-        is_believed(now, &self.boxes)
+        has_fresh_report(now, &self.running_boxes)
     }
 
-    /// Adds a life; the earliest word of it counts, and the newest lives stay.
-    pub(super) fn add(&mut self, end: End) {
-        match self.ends.iter_mut().find(|known| known.life == end.life) {
-            Some(known) => known.at = known.at.min(end.at),
-            None => self.ends.push(end),
+    /// Adds a crash. The earliest reported time of an incarnation's crash stands, and the oldest
+    /// crash is dropped where there are too many.
+    pub(super) fn add(&mut self, crash: Crash) {
+        match self
+            .crashes
+            .iter_mut()
+            .find(|known| known.incarnation == crash.incarnation)
+        {
+            Some(known) => known.at = known.at.min(crash.at),
+            None => self.crashes.push(crash),
         }
-        self.ends.sort_by_key(|end| (end.at, end.life));
-        if self.ends.len() > MOST_REMEMBERED {
-            self.ends.remove(0);
+        self.crashes
+            .sort_by_key(|crash| (crash.at, crash.incarnation));
+        if self.crashes.len() > MAX_KEPT_CRASHES {
+            self.crashes.remove(0);
         }
     }
 
-    /// What a good run speaks for is remembered as long as the lives: another box, which missed it,
-    /// may still tell of those.
-    pub(super) fn is_forgotten(&self, now: Time) -> bool {
-        let ends = self.ends.iter().map(|end| end.at);
-        let mut ends = ends.chain(self.held.map(|held| held.last));
-        let ends_count = ends.any(|at| at.since(now) < REMEMBERED);
-        let good_counts = self.good.is_some_and(|at| at.since(now) < GOOD_FOR);
-        !ends_count && !good_counts
+    /// Whether the record can be dropped. Cleared crashes are kept until they expire, with the
+    /// successful run: a box that missed the run may still report them.
+    pub(super) fn is_expired(&self, now: Time) -> bool {
+        let crashes = self.crashes.iter().map(|crash| crash.at);
+        let mut crashes = crashes.chain(self.quarantine.map(|quarantine| quarantine.last));
+        let has_recent_crash = crashes.any(|at| at.since(now) < CRASH_RETENTION);
+        let has_recent_success = self
+            .succeeded
+            .is_some_and(|at| at.since(now) < SUCCESS_GRACE);
+        !has_recent_crash && !has_recent_success
     }
 }
 
-fn is_believed(now: Time, told: &BTreeMap<String, Time>) -> bool {
-    let mut told = told.values();
-    told.any(|at| now.since(*at) < RUN_REPORT_TTL)
+fn has_fresh_report(now: Time, reports: &BTreeMap<String, Time>) -> bool {
+    let mut reports = reports.values();
+    reports.any(|at| now.since(*at) < RUN_REPORT_TTL)
 }
