--- a/cli/src/commands/lost.rs
+++ b/cli/src/commands/lost.rs
@@ -7,7 +7,7 @@
 use badgerferry_lib::relay::lost_calls::CallRecord;
 use badgerferry_lib::relay::lost_calls::LostCalls;
 use badgerferry_lib::relay::lost_calls::LostRow;
-use badgerferry_lib::relay::lost_calls::ReadTimeRatios;
+use badgerferry_lib::relay::lost_calls::PrefillRatios;
 use badgerferry_lib::relay::served_shares::ServedShares;
 use serde::Serialize;
 
@@ -48,7 +48,7 @@
 struct SizeRow {
     size: String,
     calls: u64,
-    read_over_expected: Option<ReadTimeRatios>,
+    read_over_expected: Option<PrefillRatios>,
 }
 
 #[derive(Serialize)]
@@ -97,7 +97,7 @@
 }
 
 fn report(all: &LostCalls) -> Report<'_> {
-    let estimates = all.estimates();
+    let estimates = all.prefill_ratios();
     let sizes = all.calls.iter().map(|(size, &calls)| SizeRow {
         size: size.to_string(),
         calls,
--- a/lib/src/relay/attempts.rs
+++ b/lib/src/relay/attempts.rs
@@ -1,9 +1,9 @@
-//! The tries of one call: what follows when one ends.
+//! Attempts of one call, and the next step when an attempt ends.
 //!
-//! A try ends in one of six ways. Three of them prove that nothing ran: no connection
-//! was made, or the server said so itself, perhaps with a pause that it wants. The proof is the [`Unsent`] token of
-//! [`crate::outcome`]; a call that may not be repeated is sent again only with it in hand,
-//! and "not run" is told only with it.
+//! Three of the ways in which an attempt ends prove that the call did not run: no connection was
+//! made, or the server declined the call, with or without a pause for later calls. The proof is the
+//! [`Unsent`] token of [`crate::outcome`]. Without it, a call that is not repeatable is not sent
+//! again, and the caller is not told that its call did not run.
 
 use std::time::Duration;
 
@@ -14,156 +14,161 @@
 use crate::outcome::Refused;
 use crate::outcome::Unsent;
 
-/// Connections tried for one call: each server in a row may be gone, the caller still waits.
+/// Failed connections per call. Several servers in a row may be gone while the caller still waits.
 const MAX_CONNECT_TRIES: u32 = 4;
-/// Servers in a row that may turn one call away while they shed load. None of them is asked again in
-/// its pause, and each repeat is paid for from the retry budget.
-const MAX_SHED: u32 = 4;
+/// Servers that may reject one call because they shed load. None of them is tried again during its
+/// pause, and each further attempt spends from the retry budget.
+const MAX_SHED_ATTEMPTS: u32 = 4;
 
-/// How one try ended.
+/// How one attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// No connection was made; nothing was sent.
     NoConnection,
-    /// The server answered that it did not run the call.
+    /// The server responded that it did not run the call.
     Declined,
-    /// The same, and it wants no call for a while.
+    /// The server did not run the call and accepts no calls for a pause.
     Shed,
-    /// It broke, or its answer can't be used; the call may have run.
+    /// The connection broke or the response is unusable; the call may have run.
     Lost,
-    /// The server ran the call and answered with a failure of its own.
+    /// The server ran the call and responded with an error of its own.
     ServerError,
 }
 
-/// What to do after a try ended.
+/// What to do after an attempt ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send it to another server.
+    /// Send the call to another server.
     TryElsewhere,
-    /// Give the caller the server's own failure.
+    /// Forward the server's own error to the caller.
     PassOn,
-    /// It has not run; tell the caller so.
+    /// Tell the caller that the call did not run.
     Refuse(Refused),
-    /// It may have run; tell the caller that it failed.
+    /// Tell the caller that the call failed and may have run.
     Fail(FailureReason),
 }
 
 #[derive(Debug)]
-enum Claim {
+enum ExecutionState {
     Unsent(Unsent),
     Sent(InFlight),
     MayHaveRun,
 }
 
-/// The tries of one call.
+/// Attempts of one call.
 #[derive(Debug)]
 pub struct Attempts {
     repeatable: bool,
     max_sent: u32,
     sent: u32,
-    shed: u32,
-    connects: u32,
-    claim: Option<Claim>,
+    shed_attempts: u32,
+    failed_connects: u32,
+    state: Option<ExecutionState>,
 }
 
 impl Attempts {
-    /// A call that may go to `max_sent` servers.
+    /// A call that may be sent to `max_sent` servers, not counting those that shed it.
     pub const fn new(repeatable: bool, max_sent: u32) -> Self {
         Self {
             repeatable,
             max_sent,
             sent: 0,
-            shed: 0,
-            connects: 0,
-            claim: Some(Claim::Unsent(Unsent::new())),
+            shed_attempts: 0,
+            failed_connects: 0,
+            state: Some(ExecutionState::Unsent(Unsent::new())),
         }
     }
 
-    /// Servers that the call was sent to.
+    /// Number of servers that the call was sent to.
     pub const fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Whether the next send repeats one that a server has received.
+    /// Whether a server has received the call before, so that the next send is a retry.
     pub const fn is_retry(&self) -> bool {
         self.sent > 0
     }
 
     /// Whether the call certainly has not run.
     pub const fn is_unsent(&self) -> bool {
-        matches!(self.claim, Some(Claim::Unsent(_)))
+        matches!(self.state, Some(ExecutionState::Unsent(_)))
     }
 
-    /// Whether another server may be tried, as far as the call itself goes.
+    /// Whether the call may be sent again after it may have run. The retry budget is not
+    /// considered.
     pub const fn may_retry(&self) -> bool {
         self.repeatable && self.has_attempt_left()
     }
 
-    /// Whether it may go to another server. One that turned it away in need took no attempt.
+    /// Whether an attempt is left. Attempts that ended with load shedding count against their own
+    /// limit.
     const fn has_attempt_left(&self) -> bool {
-        self.sent - self.shed < self.max_sent && self.shed < MAX_SHED
+        self.sent - self.shed_attempts < self.max_sent && self.shed_attempts < MAX_SHED_ATTEMPTS
     }
 
     /// Records that the call is being sent.
     ///
     /// # Panics
     ///
-    /// A call that may not be repeated is sent while it may have run.
+    /// Panics if the call is not repeatable and may have run.
     pub fn send(&mut self) {
         self.sent += 1;
-        self.claim = if let Some(Claim::Unsent(proof)) = self.claim.take() {
-            Some(Claim::Sent(proof.dispatch()))
+        self.state = if let Some(ExecutionState::Unsent(proof)) = self.state.take() {
+            Some(ExecutionState::Sent(proof.dispatch()))
         } else {
             assert!(
                 self.repeatable,
-                "a call that may not be repeated is sent only while it has not run"
+                "a call that may not be repeated is sent again only if it did not run"
             );
-            Some(Claim::MayHaveRun)
+            Some(ExecutionState::MayHaveRun)
         };
     }
 
-    /// Takes the end of a try; `may_repeat` asks the retry budget, once, if it matters.
+    /// Records the end of an attempt and decides on the next step. `may_retry` spends from the
+    /// retry budget and is called at most once, only if the next attempt needs it.
     pub fn on_attempt_end(
         &mut self,
         end: AttemptEnd,
         retry_after: Duration,
-        may_repeat: impl FnOnce() -> bool,
+        may_retry: impl FnOnce() -> bool,
     ) -> NextStep {
         match end {
             AttemptEnd::NoConnection => {
-                // The try never reached the server, so it is not counted as sent.
+                // The attempt did not reach the server, so it is not counted as sent.
                 self.sent = self.sent.saturating_sub(1);
-                self.connects += 1;
-                self.take_back(NotStarted::NoConnection);
+                self.failed_connects += 1;
+                self.mark_not_started(NotStarted::NoConnection);
             }
-            AttemptEnd::Declined => self.take_back(NotStarted::ServerSaidSo),
+            AttemptEnd::Declined => self.mark_not_started(NotStarted::ServerSaidSo),
             AttemptEnd::Shed => {
-                self.shed += 1;
-                self.take_back(NotStarted::ServerSaidSo);
+                self.shed_attempts += 1;
+                self.mark_not_started(NotStarted::ServerSaidSo);
+            }
+            AttemptEnd::Lost | AttemptEnd::ServerError => {
+                self.state = Some(ExecutionState::MayHaveRun)
             }
-            AttemptEnd::Lost | AttemptEnd::ServerError => self.claim = Some(Claim::MayHaveRun),
         }
-        let allowed = self.repeatable || self.is_unsent();
-        let left = self.has_attempt_left() && self.connects < MAX_CONNECT_TRIES;
-        if allowed && left && (!self.is_retry() || may_repeat()) {
+        let may_resend = self.repeatable || self.is_unsent();
+        let has_left = self.has_attempt_left() && self.failed_connects < MAX_CONNECT_TRIES;
+        if may_resend && has_left && (!self.is_retry() || may_retry()) {
             return NextStep::TryElsewhere;
         }
-        match (end, self.claim.take()) {
+        match (end, self.state.take()) {
             (AttemptEnd::ServerError, _) => NextStep::PassOn,
-            (_, Some(Claim::Unsent(proof))) => NextStep::Refuse(Refused::new(
+            (_, Some(ExecutionState::Unsent(proof))) => NextStep::Refuse(Refused::new(
                 proof,
                 RefusalReason::NoServer,
                 Some(retry_after),
             )),
-            _ if allowed => NextStep::Fail(FailureReason::AttemptsUsed),
+            _ if may_resend => NextStep::Fail(FailureReason::AttemptsUsed),
             _ => NextStep::Fail(FailureReason::ServerLost),
         }
     }
 
-    /// Ends a call that no server can take now.
+    /// Ends a call that no server can accept now.
     pub fn give_up(&mut self, reason: RefusalReason, retry_after: Duration) -> NextStep {
-        match self.claim.take() {
-            Some(Claim::Unsent(proof)) => {
+        match self.state.take() {
+            Some(ExecutionState::Unsent(proof)) => {
                 NextStep::Refuse(Refused::new(proof, reason, Some(retry_after)))
             }
             _ if reason == RefusalReason::DeadlineWhileWaiting => {
@@ -173,9 +178,11 @@
         }
     }
 
-    fn take_back(&mut self, evidence: NotStarted) {
-        self.claim = match self.claim.take() {
-            Some(Claim::Sent(in_flight)) => Some(Claim::Unsent(in_flight.not_started(evidence))),
+    fn mark_not_started(&mut self, evidence: NotStarted) {
+        self.state = match self.state.take() {
+            Some(ExecutionState::Sent(in_flight)) => {
+                Some(ExecutionState::Unsent(in_flight.not_started(evidence)))
+            }
             other => other,
         };
     }
--- a/lib/src/relay/event_join.rs
+++ b/lib/src/relay/event_join.rs
@@ -1,44 +1,45 @@
-//! Joins the event streams of one or more runs into one answer.
+//! Joins the event streams of one or more attempts into one response.
 //!
-//! Only whole events are passed on. When a run breaks, its unfinished event is dropped, and
-//! the next run continues after the last whole one. Ids must rise by one: anything else is an
-//! event lost or repeated by the server, and the run can't be used any more.
+//! Only complete events are forwarded. When an attempt breaks off, its incomplete event is
+//! discarded, and the next attempt continues after the last complete one. Event ids must increase
+//! by one: any other id means that the server lost or repeated an event, and the attempt is no
+//! longer usable.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Largest event, in bytes; the users' hold a few hundred.
+/// Size limit of an event, in bytes. Usual events have a few hundred.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why a run can't be continued.
+/// Why the stream of an attempt is unusable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EventJoinError {
-    /// An event skips others or comes a second time.
-    #[error("event {found} follows event {last}")]
+    /// An event was skipped or repeated.
+    #[error("event ids out of order: {found} after {last}")]
     OutOfOrder {
-        /// Id of the last event passed on.
+        /// Id of the last accepted event.
         last: u64,
-        /// Id that came.
+        /// Id of the event received.
         found: u64,
     },
-    /// An event has no id that is a number.
-    #[error("an event has no id")]
+    /// An event has no numeric id.
+    #[error("event without a numeric id")]
     MissingId,
-    /// An event is larger than any that is sent.
-    #[error("an event has over {MAX_EVENT_BYTES} bytes")]
+    /// An event exceeds the size limit.
+    #[error("event larger than {MAX_EVENT_BYTES} bytes")]
     EventTooLarge,
 }
 
-/// The joined answer of one call.
+/// Joined event stream of one call.
 #[derive(Debug, Clone, Default)]
 pub struct EventJoin {
     partial: BytesMut,
     last: Option<u64>,
-    passed: u64,
+    event_count: u64,
 }
 
 impl EventJoin {
-    /// A join that begins after this event, where the caller resumes an earlier answer.
+    /// A stream that starts after this event id, for a caller that resumes an earlier response.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             last,
@@ -46,31 +47,31 @@
         }
     }
 
-    /// Id of the last whole event, from which another run may continue.
+    /// Id of the last complete event, after which another attempt may continue.
     pub const fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Events passed on in this answer.
-    pub const fn passed(&self) -> u64 {
-        self.passed
+    /// Number of complete events received so far.
+    pub const fn event_count(&self) -> u64 {
+        self.event_count
     }
 
-    /// Forgets the unfinished event of a run that broke.
+    /// Discards the incomplete event of an attempt that broke off.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Whether the run stopped inside an event.
+    /// Whether the bytes received end inside an event.
     pub fn is_inside_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Takes bytes of the current run and gives back the whole events in them.
+    /// Appends bytes of the current attempt and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// The run can't be used any more; what it gave before stands.
+    /// The stream of the attempt is unusable. Events returned earlier stay valid.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventJoinError> {
         let from = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(bytes);
@@ -81,17 +82,17 @@
                 Ok(Bytes::new())
             };
         };
-        let whole = self.partial.split_to(end).freeze();
-        let mut rest = &whole[..];
+        let complete = self.partial.split_to(end).freeze();
+        let mut rest = &complete[..];
         while !rest.is_empty() {
             let end = first_event_end(rest).unwrap_or(rest.len());
-            self.check(&rest[..end])?;
+            self.check_order(&rest[..end])?;
             rest = &rest[end..];
         }
-        Ok(whole)
+        Ok(complete)
     }
 
-    fn check(&mut self, event: &[u8]) -> Result<(), EventJoinError> {
+    fn check_order(&mut self, event: &[u8]) -> Result<(), EventJoinError> {
         let Some(found) = event_id(event) else {
             return if is_comment(event) {
                 Ok(())
@@ -103,7 +104,7 @@
             return Err(EventJoinError::OutOfOrder { last, found });
         }
         self.last = Some(found);
-        self.passed += 1;
+        self.event_count += 1;
         Ok(())
     }
 }
--- a/lib/src/relay/lost_calls.rs
+++ b/lib/src/relay/lost_calls.rs
@@ -1,8 +1,8 @@
-//! Why calls were late or not served, by the one line that each leaves in the logs.
+//! Classifies calls that were late or not served, from the log record that each call ends with.
 //!
-//! A line holds what decided: how long the call waited for engines, what its reading was
-//! expected to take, when its first event came and what was due. From these the cause follows,
-//! and lines of many boxes add up to what is lost most.
+//! A record holds how long the call waited for engines, how long its prefill was expected to take,
+//! when its first event came and when that was due. The cause follows from these values, and the
+//! records of many boxes are added up by prompt size and cause.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,70 +12,70 @@
 
 use crate::relay::served_shares::ServedShares;
 
-/// Message of the lines that are read.
+/// Message of the log records that are read.
 pub const CALL_END_MESSAGE: &str = "call ended";
-/// Outcome of a call that was served.
+/// Outcome in the record of a call that was served.
 const ANSWERED: &str = "answered";
-/// Part of the objective that waiting must take to be named as the cause; what is left is not
-/// enough to read most prompts then.
-const WAITED_PART: f64 = 0.4;
-/// Part of the objective from which a call was expected to be late when it was sent.
-const EXPECTED_PART: f64 = 0.8;
-/// Times its estimate that reading must take to be named as the cause; nine in ten prompts take
-/// less.
-const SLOWER: f64 = 1.5;
-/// Ids kept for each cause.
-const EXAMPLES: usize = 3;
-
-/// A call's last line.
+/// Fraction of the objective above which the wait for engines is the cause. The remaining time is
+/// then too short for the prefill of most prompts.
+const WAIT_FRACTION: f64 = 0.4;
+/// Fraction of the objective above which the estimate counts as expected to be late at dispatch.
+const EXPECTED_FRACTION: f64 = 0.8;
+/// Ratio of prefill time to estimate above which slow prefill is the cause. Nine of ten prompts
+/// stay below it.
+const SLOW_PREFILL_RATIO: f64 = 1.5;
+/// Call ids kept per prompt size and cause.
+const MAX_EXAMPLES: usize = 3;
+
+/// The log record that a call ends with.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct CallRecord {
-    /// The call's id.
+    /// Id of the call.
     pub call: String,
-    /// Its route, in lines that name it.
+    /// Route, if the record has one.
     pub route: Option<String>,
-    /// How it ended.
+    /// Outcome code.
     pub outcome: String,
-    /// Servers that it was sent to.
+    /// Number of servers that the call was sent to.
     pub sent: u32,
-    /// From its head to its end.
+    /// Time from the request head to the end of the call.
     pub took_ms: u64,
-    /// Tokens of its prompt, if it is a generation.
+    /// Prompt tokens, if the call is a generation.
     pub tokens: Option<u64>,
-    /// Until the first event or the answer, to be on time.
+    /// Time limit for the first event, or for the response if it is not a stream.
     pub objective_ms: u64,
-    /// From its head to its first event, if that came.
+    /// Time from the request head to the first event, if there was one.
     pub first_event_ms: Option<u64>,
-    /// How long it waited for engines, in its last try.
+    /// Wait for engines in the last attempt.
     pub waited_ms: Option<u64>,
-    /// What its last try was expected to take until the first event.
+    /// Estimated time to the first event of the last attempt.
     pub expected_ms: Option<u64>,
-    /// Longest pause between its events.
+    /// Longest pause between events.
     pub longest_pause_ms: Option<u64>,
-    /// Longest good pause.
+    /// Longest acceptable pause between events.
     pub pause_limit_ms: Option<u64>,
 }
 
-/// Why a call is lost.
+/// Why a call counts as lost.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossCause {
-    /// It was not served.
+    /// Not served.
     NotServed {
-        /// Its outcome.
+        /// Outcome code.
         outcome: String,
     },
-    /// Late after a try that failed.
+    /// Late after a failed attempt.
     TriedAgain,
-    /// Late since it waited for engines.
+    /// Late because of the wait for engines.
     WaitedForEngines,
-    /// Late, and expected so when it was sent.
+    /// Late, and already estimated to be late at dispatch.
     ExpectedLate,
-    /// Late since its reading took longer than expected.
+    /// Late because prefill took longer than estimated.
     ReadSlower,
-    /// Late for none of these reasons.
+    /// Late for another reason.
     Late,
-    /// On time, but its events paused too long.
+    /// First event on time, but a later pause was too long.
     Paused,
 }
 
@@ -94,19 +94,19 @@
 }
 
 impl CallRecord {
-    /// When its first event or its answer came.
-    fn came_ms(&self) -> u64 {
+    /// Time to the first event, or to the end of a response without events.
+    fn response_ms(&self) -> u64 {
         self.first_event_ms.unwrap_or(self.took_ms)
     }
 
-    /// Reading and passes up to the first event, without the wait.
-    fn read_ms(&self) -> Option<u64> {
+    /// Time to the first event without the wait for engines: prefill and engine passes.
+    fn prefill_ms(&self) -> Option<u64> {
         let waited = self.waited_ms.unwrap_or_default();
         self.first_event_ms
             .map(|first| first.saturating_sub(waited))
     }
 
-    /// Why it is lost; none if it was served on time.
+    /// Why the call counts as lost. `None` if it was served on time.
     pub fn cause(&self) -> Option<LossCause> {
         if self.outcome != ANSWERED {
             let outcome = self.outcome.clone();
@@ -115,37 +115,37 @@
         let due = self.objective_ms as f64;
         let expected = self.expected_ms.unwrap_or_default() as f64;
         let waited = self.waited_ms.unwrap_or_default() as f64;
-        let read = self.read_ms().unwrap_or_default() as f64;
-        if self.came_ms() <= self.objective_ms {
+        let prefill = self.prefill_ms().unwrap_or_default() as f64;
+        if self.response_ms() <= self.objective_ms {
             let paused = self.longest_pause_ms > self.pause_limit_ms;
             return (paused && self.pause_limit_ms.is_some()).then_some(LossCause::Paused);
         }
         Some(match self.sent {
             2.. => LossCause::TriedAgain,
-            _ if waited > due * WAITED_PART => LossCause::WaitedForEngines,
-            _ if expected > due * EXPECTED_PART => LossCause::ExpectedLate,
-            _ if expected > 0.0 && read > expected * SLOWER => LossCause::ReadSlower,
+            _ if waited > due * WAIT_FRACTION => LossCause::WaitedForEngines,
+            _ if expected > due * EXPECTED_FRACTION => LossCause::ExpectedLate,
+            _ if expected > 0.0 && prefill > expected * SLOW_PREFILL_RATIO => LossCause::ReadSlower,
             _ => LossCause::Late,
         })
     }
 }
 
-/// What kind of call it is, as far as its size tells.
+/// Class of a call by the size of its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PromptSize {
-    /// A call of a plain service.
+    /// Not a generation.
     Plain,
-    /// Up to 25,000 tokens: read by one engine beside streams.
+    /// Up to 25,000 tokens: prefill on one engine that also serves streams.
     Short,
-    /// Up to 110,000 tokens: read by a few engines.
+    /// Up to 110,000 tokens: prefill on a few engines.
     Middle,
-    /// Larger: read by all engines that are free.
+    /// Larger: prefill on all free engines.
     Long,
 }
 
 impl PromptSize {
-    /// The size of a prompt.
+    /// Class of a prompt with this many tokens, or of a call without a prompt.
     pub const fn of(tokens: Option<u64>) -> Self {
         match tokens {
             None => Self::Plain,
@@ -167,89 +167,90 @@
     }
 }
 
-/// Calls of one size that are lost for one cause.
+/// Lost calls of one prompt size and cause.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct LostRow {
-    /// How many.
+    /// Number of calls.
     pub calls: u64,
-    /// Tokens of their prompts.
+    /// Sum of their prompt tokens.
     pub tokens: u64,
-    /// Ids to look at first.
+    /// Ids of the first few calls.
     pub examples: Vec<String>,
 }
 
-/// What reading took against its estimate.
+/// Distribution of the ratio of prefill time to its estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct ReadTimeRatios {
-    /// Prompts whose reading was seen.
+pub struct PrefillRatios {
+    /// Number of prompts with both times recorded.
     pub prompts: usize,
-    /// The ratio in the middle.
+    /// Median ratio.
     pub median: f64,
-    /// The ratio that one in ten exceeds.
+    /// 90th percentile.
     pub p90: f64,
-    /// The largest ratio.
+    /// Largest ratio.
     pub worst: f64,
 }
 
-/// What many lines add up to.
+/// Totals over the records of many calls.
 #[derive(Debug, Default)]
 pub struct LostCalls {
-    /// All calls, by size.
+    /// All calls by prompt size.
     pub calls: BTreeMap<PromptSize, u64>,
-    /// Lost ones by size and cause.
+    /// Lost calls by prompt size and cause.
     pub lost: BTreeMap<(PromptSize, LossCause), LostRow>,
-    /// Lost ones by second, as the lines' times tell it.
+    /// Lost calls by the second in which their record was logged.
     pub seconds: BTreeMap<String, u64>,
     ratios: BTreeMap<PromptSize, Vec<f64>>,
-    /// Tokens of each prompt and whether it was served, by route.
+    /// Prompt tokens and whether the call was served, by route.
     prompts: BTreeMap<String, Vec<(u64, bool)>>,
 }
 
 impl LostCalls {
-    /// Takes a line, written in `second`.
-    pub fn add(&mut self, second: &str, line: &CallRecord) {
-        let size = PromptSize::of(line.tokens);
+    /// Adds a record that was logged in `second`.
+    pub fn add(&mut self, second: &str, record: &CallRecord) {
+        let size = PromptSize::of(record.tokens);
         *self.calls.entry(size).or_default() += 1;
-        if let (Some(route), Some(tokens)) = (&line.route, line.tokens) {
+        if let (Some(route), Some(tokens)) = (&record.route, record.tokens) {
             let prompts = self.prompts.entry(route.clone()).or_default();
-            prompts.push((tokens, line.outcome == ANSWERED));
+            prompts.push((tokens, record.outcome == ANSWERED));
         }
-        if let (Some(read), Some(expected)) = (line.read_ms(), line.expected_ms) {
-            let ratio = read as f64 / expected.max(1) as f64;
+        if let (Some(prefill), Some(expected)) = (record.prefill_ms(), record.expected_ms) {
+            let ratio = prefill as f64 / expected.max(1) as f64;
             self.ratios.entry(size).or_default().push(ratio);
         }
-        let Some(cause) = line.cause() else { return };
+        let Some(cause) = record.cause() else { return };
         let row = self.lost.entry((size, cause)).or_default();
         row.calls += 1;
-        row.tokens += line.tokens.unwrap_or_default();
-        if row.examples.len() < EXAMPLES {
-            row.examples.push(line.call.clone());
+        row.tokens += record.tokens.unwrap_or_default();
+        if row.examples.len() < MAX_EXAMPLES {
+            row.examples.push(record.call.clone());
         }
         *self.seconds.entry(second.to_owned()).or_default() += 1;
     }
 
-    /// What share of the prompts of each route was served, by how large they are.
+    /// Share of the prompts of each route that was served, by prompt size.
     pub fn served_shares(&self) -> BTreeMap<&str, ServedShares> {
         let rows = self.prompts.iter();
         rows.map(|(route, prompts)| (route.as_str(), ServedShares::of(prompts)))
             .collect()
     }
 
-    /// Reading against its estimate, by size.
-    pub fn estimates(&self) -> BTreeMap<PromptSize, ReadTimeRatios> {
-        let estimate = |ratios: &Vec<f64>| {
+    /// Ratio of prefill time to its estimate, by prompt size.
+    pub fn prefill_ratios(&self) -> BTreeMap<PromptSize, PrefillRatios> {
+        let summarize = |ratios: &Vec<f64>| {
             let mut sorted = ratios.clone();
             sorted.sort_by(f64::total_cmp);
-            let at = |part: f64| sorted[((sorted.len() - 1) as f64 * part).round() as usize];
-            ReadTimeRatios {
+            let quantile =
+                |fraction: f64| sorted[((sorted.len() - 1) as f64 * fraction).round() as usize];
+            PrefillRatios {
                 prompts: sorted.len(),
-                median: at(0.5),
-                p90: at(0.9),
-                worst: at(1.0),
+                median: quantile(0.5),
+                p90: quantile(0.9),
+                worst: quantile(1.0),
             }
         };
         let rows = self.ratios.iter();
-        rows.map(|(size, ratios)| (*size, estimate(ratios)))
+        rows.map(|(size, ratios)| (*size, summarize(ratios)))
             .collect()
     }
 }
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -1,16 +1,17 @@
 //! Quarantine of requests that crash the servers which run them.
 //!
 //! A request may crash each server that starts to run it. Retry limits per call, box or service do
-//! not contain it, because its caller sends it again through any box. So boxes replicate a grow-only
-//! set of pairs of a request fingerprint and a server incarnation that crashed during a run of it.
-//! The set can be merged in any order and from any source.
+//! not contain it, because its caller sends it again through any box. So boxes replicate a
+//! grow-only set of pairs of a request fingerprint and a server incarnation that crashed during a
+//! run of it. The set can be merged in any order and from any source.
 //!
 //! From the first crash on the request is suspect: over all boxes that reach each other one run of
 //! it is in progress at a time, and it is isolated from other calls once it has
-//! [`ISOLATION_MIN_CRASHES`]. After three crashes it is quarantined: refused at once until ten minutes
-//! after the last of them, and suspect for as long again. A successful run clears the request: all
-//! crashes up to shortly after that run are attributed to other causes. So many equal calls of one
-//! caller are not blamed while servers crash by themselves. Alternatives: `docs/design/quarantine.md`.
+//! [`ISOLATION_MIN_CRASHES`]. After three crashes it is quarantined: refused at once until ten
+//! minutes after the last of them, and suspect for as long again. A successful run clears the
+//! request: all crashes up to shortly after that run are attributed to other causes. So many equal
+//! calls of one caller are not blamed while servers crash by themselves. Alternatives:
+//! `docs/design/quarantine.md`.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -40,8 +41,8 @@
 /// Delay between the start slots of boxes that wait to run the same request. Reports take a few
 /// milliseconds between halls, so the run of one slot is known before the next slot.
 const SLOT_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a call that lost its run waits for reports of other lost runs, whose calls are about to be
-/// retried as well.
+/// How long a call that lost its run waits for reports of other lost runs, whose calls are about
+/// to be retried as well.
 const REPORT_WAIT: Duration = SLOT_INTERVAL;
 /// Number of start slots; boxes share them if there are more boxes.
 const SLOTS: usize = 16;
@@ -145,8 +146,8 @@
     /// Decides whether a call may be sent.
     ///
     /// `saw_crash` tells that the call's own last run ended with a server crash. Such a call goes
-    /// before the boxes that wait, unless another run was lost as well. `rank` is this box's position
-    /// as given by [`rank`].
+    /// before the boxes that wait, unless another run was lost as well. `rank` is this box's
+    /// position as given by [`rank`].
     pub fn admit(
         &mut self,
         now: Time,
@@ -366,9 +367,9 @@
         })
     }
 
-    /// Drops expired records and, at a limit, evicts one more: the record with the fewest crashes, the
-    /// oldest of those, preferring ones that are not quarantined. It is taken from `owner` if that
-    /// workspace is at its own limit, otherwise from the workspace with the most records.
+    /// Drops expired records and, at a limit, evicts one more: the record with the fewest crashes,
+    /// the oldest of those, preferring ones that are not quarantined. It is taken from `owner` if
+    /// that workspace is at its own limit, otherwise from the workspace with the most records.
     fn make_room(&mut self, now: Time, owner: u32) {
         self.requests.retain(|_, request| !request.is_expired(now));
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
@@ -404,8 +405,9 @@
         }
     }
 
-    /// Rows for the next datagram: requests that run here or changed recently, running ones and then
-    /// the latest changes first, and one of the other requests that are not cleared, in rotation.
+    /// Rows for the next datagram: requests that run here or changed recently, running ones and
+    /// then the latest changes first, and one of the other requests that are not cleared, in
+    /// rotation.
     pub fn rows(&mut self, now: Time, scope: RunScope) -> Vec<QuarantineRow> {
         if self.requests.is_empty() {
             return Vec::new();
@@ -496,8 +498,8 @@
         facts.collect()
     }
 
-    /// Marks the facts observed by this box to be written again, after the store was restored from a
-    /// copy that may lack them.
+    /// Marks the facts observed by this box to be written again, after the store was restored from
+    /// a copy that may lack them.
     pub fn on_store_restored(&mut self) {
         for request in self.requests.values_mut().filter(|request| request.is_own) {
             request
@@ -548,8 +550,8 @@
     SLOT_INTERVAL * (1 + rank % SLOTS) as u32
 }
 
-/// Rank of a box among all known boxes, in an order specific to the request. With no more boxes than
-/// start slots, no two take the same slot.
+/// Rank of a box among all known boxes, in an order specific to the request. With no more boxes
+/// than start slots, no two take the same slot.
 pub fn rank<'a>(
     fingerprint: RequestFingerprint,
     own: &str,
--- a/lib/src/relay/request_fingerprint.rs
+++ b/lib/src/relay/request_fingerprint.rs
@@ -1,8 +1,8 @@
-//! What identifies a piece of work, whichever call asks for it, and one life of a server.
+//! Fingerprints of requests, and ids of server incarnations.
 //!
-//! A caller that comes again makes a new call with an id of its own, at any box. What stays is what
-//! it asks for, and for whom: method, host, path, query, workspace and body. The workspace is part
-//! of it, so that no caller can spoil another one's work.
+//! A caller that retries makes a new call with a new id, at any box. What stays the same is the
+//! request: method, host, path, query, workspace and body. The workspace is part of the
+//! fingerprint, so that no caller can get another workspace's requests quarantined.
 
 use std::fmt;
 use std::str::FromStr;
@@ -17,39 +17,39 @@
 use crate::ids::ServerName;
 use crate::ids::WorkspaceName;
 
-/// What a call asks for, as far as it tells one piece of work from another.
+/// The parts of a request that its fingerprint covers.
 #[derive(Debug, Clone, Copy)]
 pub struct FingerprintInput<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host, in any case.
+    /// Host, compared without regard to case.
     pub host: &'a str,
-    /// Path and query.
+    /// Path with query.
     pub target: &'a str,
-    /// Whose call it is.
+    /// Workspace of the caller, if known.
     pub workspace: Option<&'a WorkspaceName>,
-    /// Body.
+    /// Complete request body.
     pub body: &'a [u8],
 }
 
-/// Identifies a piece of work, the same at every box.
+/// Fingerprint of a request, the same at every box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestFingerprint {
-    /// Digest of the workspace: bounds what one of them may take of a table.
+    /// Digest of the workspace, by which the table entries of one workspace are limited.
     pub owner: u32,
-    /// Digest of everything.
+    /// Digest of all parts, with the workspace.
     pub digest: u64,
 }
 
 impl RequestFingerprint {
-    /// The key of a piece of work; takes time by the length of the body.
+    /// Computes the fingerprint, in time linear in the length of the body.
     pub fn of(parts: &FingerprintInput<'_>) -> Self {
         let workspace = parts.workspace.map_or("", WorkspaceName::as_str);
         let host = parts.host.to_ascii_lowercase();
         let mut hasher = Sha256::new();
         let texts = [parts.method, &host, parts.target, workspace];
         for text in texts.map(str::as_bytes).into_iter().chain([parts.body]) {
-            // The length before each part keeps "ab" + "c" from being "a" + "bc".
+            // The length prefix of each part keeps "ab" + "c" distinct from "a" + "bc".
             hasher.update((text.len() as u64).to_le_bytes());
             hasher.update(text);
         }
@@ -71,7 +71,7 @@
     }
 }
 
-/// The text is no key of a piece of work.
+/// The text is not a request fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("expected 24 hexadecimal digits")]
 pub struct ParseFingerprintError;
@@ -81,19 +81,20 @@
 
     fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
         let (owner, digest) = text.split_at_checked(8).ok_or(ParseFingerprintError)?;
-        let is_key = digest.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        if !is_key {
+        let is_fingerprint =
+            digest.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if !is_fingerprint {
             return Err(ParseFingerprintError);
         }
-        let bad = |_no_number| ParseFingerprintError;
+        let invalid = |_not_hex| ParseFingerprintError;
         Ok(Self {
-            owner: u32::from_str_radix(owner, 16).map_err(bad)?,
-            digest: u64::from_str_radix(digest, 16).map_err(bad)?,
+            owner: u32::from_str_radix(owner, 16).map_err(invalid)?,
+            digest: u64::from_str_radix(digest, 16).map_err(invalid)?,
         })
     }
 }
 
-/// Text where people read it, numbers between boxes.
+/// Serializes as text in human-readable formats and as numbers in binary ones.
 impl Serialize for RequestFingerprint {
     fn serialize<S: Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
         if out.is_human_readable() {
@@ -114,13 +115,13 @@
     }
 }
 
-/// Identifies one life of a server, the same at every box.
+/// Id of one incarnation of a server, the same at every box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServerIncarnation(pub u64);
 
 impl ServerIncarnation {
-    /// The life that began at this Unix millisecond, if the server tells it.
+    /// The incarnation that started at `born`, in Unix milliseconds, if the server reports it.
     pub fn of(name: &ServerName, born: Option<u64>) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(born.unwrap_or_default().to_le_bytes());
--- a/lib/src/relay/stop_plan.rs
+++ b/lib/src/relay/stop_plan.rs
@@ -1,35 +1,37 @@
-//! When a box that is told to stop refuses new calls, and when it ends.
+//! When a stopping box starts to refuse new calls, and when its process exits.
 
 use std::time::Duration;
 
-/// The balancer notices after two questions, a second apart, and callers' connections after.
-const NOTICE: Duration = Duration::from_millis(2_500);
-/// From here on new calls are refused: the users excuse a cut of those sent within three seconds
-/// of the signal, and a later one can't be sure to end in time.
+/// Time until new calls stop arriving. The load balancer notices the stop after two health checks,
+/// a second apart, and callers' connections follow.
+const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_500);
+/// Time after the signal from which new calls are refused. Callers accept that calls sent within
+/// three seconds of the signal are cut off; a call accepted later might not end in time.
 const REFUSE_AFTER: Duration = Duration::from_millis(2_800);
-/// Kept for the last bytes and the end of the process.
-const LAST_BYTES: Duration = Duration::from_millis(300);
+/// Reserved for sending the last bytes and for the exit of the process.
+const FLUSH_TIME: Duration = Duration::from_millis(300);
 
-/// The course of a planned stop.
+/// Timing of a planned stop.
 #[derive(Debug, Clone, Copy)]
 pub struct StopPlan {
     stop_time: Duration,
 }
 
 impl StopPlan {
-    /// A stop for which the platform gives this much time.
+    /// A stop that the platform limits to `stop_time`, counted from the signal.
     pub const fn new(stop_time: Duration) -> Self {
         Self { stop_time }
     }
 
-    /// Whether a call that comes this long after the signal is refused.
-    pub fn refuses_calls(&self, passed: Duration) -> bool {
-        passed >= REFUSE_AFTER
+    /// Whether a call that arrives this long after the signal is refused.
+    pub fn refuses_calls(&self, elapsed: Duration) -> bool {
+        elapsed >= REFUSE_AFTER
     }
 
-    /// Whether the process ends now; `quiet` is how long nothing has been in flight.
-    pub fn should_exit(&self, passed: Duration, quiet: Option<Duration>) -> bool {
-        let is_quiet = passed >= NOTICE && quiet.is_some_and(|quiet| quiet >= LAST_BYTES);
-        is_quiet || passed >= self.stop_time.saturating_sub(LAST_BYTES)
+    /// Whether the process should exit. `idle` is how long no call has been in flight, if none is.
+    pub fn should_exit(&self, elapsed: Duration, idle: Option<Duration>) -> bool {
+        let is_idle =
+            elapsed >= BALANCER_NOTICE_TIME && idle.is_some_and(|idle| idle >= FLUSH_TIME);
+        is_idle || elapsed >= self.stop_time.saturating_sub(FLUSH_TIME)
     }
 }
--- a/lib/src/relay/suspect_request.rs
+++ b/lib/src/relay/suspect_request.rs
@@ -11,18 +11,18 @@
 use crate::time::Time;
 
 /// Server crashes after which a request is quarantined. With two, an innocent call that lost its
-/// run twice during mass server crashes would be quarantined; with four, each crashing request costs
-/// one more server.
+/// run twice during mass server crashes would be quarantined; with four, each crashing request
+/// costs one more server.
 pub const QUARANTINE_MIN_CRASHES: usize = 3;
 /// Crashes within this time of each other count as one, unless the later run started after the
 /// earlier crash. Servers that crash together have a common cause other than the request, and equal
 /// calls of one caller may be running on many of them.
 const SIMULTANEOUS_CRASH_WINDOW: Duration = Duration::from_millis(70);
-/// How long a request stays quarantined after the last crash. Equals the longest lease of the store,
-/// where the record is kept for boxes that start later.
+/// How long a request stays quarantined after the last crash. Equals the longest lease of the
+/// store, where the record is kept for boxes that start later.
 pub const QUARANTINE_PERIOD: Duration = Duration::from_mins(10);
-/// How long a crash is remembered. After the quarantine the request is suspect for as long again, so
-/// that a single run decides.
+/// How long a crash is remembered. After the quarantine the request is suspect for as long again,
+/// so that a single run decides.
 const CRASH_RETENTION: Duration = Duration::from_mins(20);
 /// How long after a successful run crashes are ignored. Reports of servers that crashed together
 /// keep arriving for some seconds, while equal calls succeed elsewhere.
--- a/lib/tests/test_relay_lost_calls.rs
+++ b/lib/tests/test_relay_lost_calls.rs
@@ -117,7 +117,7 @@
     assert_eq!((row.calls, row.examples.len()), (5, 3));
     assert_eq!(all.seconds["10:00:01"], 5);
     assert!(!all.seconds.contains_key("10:00:02"));
-    let estimate = all.estimates()[&PromptSize::Long];
+    let estimate = all.prefill_ratios()[&PromptSize::Long];
     assert_eq!(estimate.prompts, 6);
     assert!((estimate.median - 800.0 / 700.0).abs() < 1e-9);
 }
