--- a/lib/src/relay/server_notices.rs
+++ b/lib/src/relay/server_notices.rs
@@ -88,7 +88,7 @@
                 changes.shedding.push(incarnation);
             }
             ParsedHeader::Absent if self.shedding.record_accepted(now, incarnation) => {
-                changes.recovered.push(incarnation)
+                changes.recovered.push(incarnation);
             }
             ParsedHeader::Value(_) | ParsedHeader::Absent | ParsedHeader::Unreadable => {}
         }
--- a/lib/src/relay/shedding_servers.rs
+++ b/lib/src/relay/shedding_servers.rs
@@ -18,7 +18,7 @@
 
 /// Upper bound for pauses: a server is probed at least this often, whatever pause it requests.
 const MAX_PAUSE: Duration = Duration::from_hours(1);
-/// Maximum number of servers, at about 60 bytes each; the pause that clears_pause first is evicted
+/// Maximum number of servers, at about 60 bytes each; the pause that ends first is evicted
 /// first.
 const MAX_SERVERS: usize = 2_048;
 /// How long an unanswered probe holds off other calls. A server that sheds load rejects at once.
@@ -64,7 +64,7 @@
 
 impl SheddingServers {
     /// Records that a server rejected a call with a requested pause. Returns whether a new pause
-    /// starts. Of overlapping pauses, the one that clears_pause last applies.
+    /// starts. Of overlapping pauses, the one that ends last applies.
     pub fn record_shed(
         &mut self,
         now: Time,
--- a/lib/tests/test_relay_limit_model.rs
+++ b/lib/tests/test_relay_limit_model.rs
@@ -1,5 +1,5 @@
-//! Boxes before a server that names a limit: what it gets in its worst four seconds, and how much of its
-//! limit is used, at which size.
+//! Model of many boxes calling a limited server: maximum number of calls in any four seconds, and
+//! utilization of the limit, by number of boxes.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use badgerferry_testutils::limit_model::Share;
 use badgerferry_testutils::limit_model::Trouble;
 
-/// Calls beyond its limit that a server may get in four seconds.
-const BEYOND: f64 = 2.0;
-/// Part of its limit that must be usable.
-const USABLE: f64 = 0.9;
+/// Calls beyond its limit that a server may get in any four seconds.
+const MAX_EXCESS: f64 = 2.0;
+/// Fraction of the limit that must be used.
+const MIN_UTILIZATION: f64 = 0.9;
 
 fn plan(boxes: usize, limit: f64, trouble: Trouble) -> LimitPlan {
     LimitPlan {
@@ -25,7 +25,7 @@
     }
 }
 
-fn mean_used(plan: &LimitPlan, share: Share) -> f64 {
+fn mean_utilization(plan: &LimitPlan, share: Share) -> f64 {
     let seeds = 0..4;
     let used = seeds.map(|seed| limit_model::run(plan, share, seed).used);
     used.sum::<f64>() / 4.0
@@ -39,10 +39,13 @@
             for seed in 0..4 {
                 let counts = limit_model::run(&plan, Share::Keeper, seed);
 
-                assert!(counts.over <= BEYOND, "{boxes} boxes, {limit}: {counts:?}");
+                assert!(
+                    counts.over <= MAX_EXCESS,
+                    "{boxes} boxes, {limit}: {counts:?}"
+                );
             }
-            let used = mean_used(&plan, Share::Keeper);
-            assert!(used >= USABLE, "{boxes} boxes, {limit}: {used}");
+            let used = mean_utilization(&plan, Share::Keeper);
+            assert!(used >= MIN_UTILIZATION, "{boxes} boxes, {limit}: {used}");
         }
     }
 }
@@ -55,7 +58,7 @@
                 let counts = limit_model::run(&plan(boxes, limit, trouble), Share::Keeper, 1);
 
                 assert!(
-                    counts.over <= BEYOND,
+                    counts.over <= MAX_EXCESS,
                     "{trouble:?}, {boxes} boxes, {limit}: {counts:?}"
                 );
             }
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn lost_datagrams_bring_no_call_beyond_and_cost_little() {
+fn lost_datagrams_cause_no_excess_calls_and_little_unused_quota() {
     for boxes in [6, 350] {
         for limit in [1.0, 200.0] {
             let plan = LimitPlan {
@@ -74,25 +77,28 @@
 
             let counts = limit_model::run(&plan, Share::Keeper, 2);
 
-            assert!(counts.over <= BEYOND, "{boxes} boxes, {limit}: {counts:?}");
             assert!(
-                mean_used(&plan, Share::Keeper) >= USABLE,
+                counts.over <= MAX_EXCESS,
+                "{boxes} boxes, {limit}: {counts:?}"
+            );
+            assert!(
+                mean_utilization(&plan, Share::Keeper) >= MIN_UTILIZATION,
                 "{boxes} boxes, {limit}"
             );
         }
     }
 }
 
-/// A count by each box alone passes with little traffic and fails with more; an even part leaves a small
-/// limit unused, and gives each box a first call of its own all the same.
+/// Guards against schemes without a quota owner. Counting by each box alone works only with little
+/// traffic; even shares leave small limits unused, yet still allow each box a first call.
 #[test]
 fn the_model_shows_why_each_box_can_not_count_alone() {
     let calm = |boxes, limit| plan(boxes, limit, Trouble::Calm);
     let over = |boxes, limit, share| limit_model::run(&calm(boxes, limit), share, 0).over;
 
-    assert!(over(6, 1.0, Share::EachBox) > BEYOND);
-    assert!(over(350, 10.0, Share::Even) > BEYOND);
-    assert!(mean_used(&calm(350, 1.0), Share::Even) < USABLE);
-    assert!(over(295, 200.0, Share::Told) > BEYOND);
-    assert!(mean_used(&calm(77, 1.0), Share::Turns) < USABLE);
+    assert!(over(6, 1.0, Share::EachBox) > MAX_EXCESS);
+    assert!(over(350, 10.0, Share::Even) > MAX_EXCESS);
+    assert!(mean_utilization(&calm(350, 1.0), Share::Even) < MIN_UTILIZATION);
+    assert!(over(295, 200.0, Share::Told) > MAX_EXCESS);
+    assert!(mean_utilization(&calm(77, 1.0), Share::Turns) < MIN_UTILIZATION);
 }
--- a/lib/tests/test_relay_quota_owner.rs
+++ b/lib/tests/test_relay_quota_owner.rs
@@ -1,4 +1,4 @@
-//! Who gives out the calls of a limited server, and how many.
+//! Call quotas of limited servers, the election of their owner, and permit datagrams.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 use badgerferry_lib::relay::work_key::ServerLife;
 use badgerferry_lib::time::Time;
 
-const LONG_UP: Duration = Duration::from_mins(1);
+const LONG_UPTIME: Duration = Duration::from_mins(1);
 
 fn rate(calls: f64) -> CallRate {
-    CallRate::per_second(calls).expect("a rate")
+    CallRate::per_second(calls).expect("valid rate")
 }
 
 /// Boxes `a1`, `a2`, `b1`, `b2` in halls a and b.
@@ -36,56 +36,65 @@
     all.map(|of| (of.name.clone(), of)).collect()
 }
 
-fn keeper(own: &str, hall: &str, up_for: Duration, living: &[&str]) -> QuotaOwner {
-    let lives = |name: &str| living.contains(&name);
-    QuotaOwner::elect(&boxes(), own, &HallName::new(hall), up_for, lives)
+fn owner(own: &str, hall: &str, uptime: Duration, live: &[&str]) -> QuotaOwner {
+    let is_alive = |name: &str| live.contains(&name);
+    QuotaOwner::elect(&boxes(), own, &HallName::new(hall), uptime, is_alive)
 }
 
 fn at(port: u16) -> QuotaOwner {
     QuotaOwner::Remote(([127, 0, 0, 1], port).into())
 }
 
-/// Calls that go in the worst four seconds, where one asks every few milliseconds.
-fn most_taken(calls: f64) -> usize {
+/// Maximum number of calls granted in any four seconds, with one request per millisecond.
+fn max_calls_in_window(calls: f64) -> usize {
     let mut quota = CallQuota::new(Time::ZERO, rate(calls));
-    let asked = (0..20_000).map(Time::from_millis);
-    let taken: Vec<Time> = asked
+    let requests = (0..20_000).map(Time::from_millis);
+    let granted: Vec<Time> = requests
         .filter(|now| quota.take(*now, Duration::ZERO).is_ok())
         .collect();
-    let within = |at: usize| {
-        let until = taken[at] + Duration::from_secs(4);
-        taken[at..].partition_point(|other| *other < until)
+    let calls_from = |at: usize| {
+        let until = granted[at] + Duration::from_secs(4);
+        granted[at..].partition_point(|other| *other < until)
     };
-    (0..taken.len()).map(within).max().unwrap_or_default()
+    (0..granted.len()).map(calls_from).max().unwrap_or_default()
 }
 
 #[test]
-fn a_quota_gives_out_two_calls_beyond_the_limit_at_most_in_four_seconds() {
+fn a_quota_grants_at_most_two_excess_calls_in_four_seconds() {
     for calls in [0.2, 1.0, 1.7, 10.0, 200.0] {
-        let most = most_taken(calls) as f64;
-
-        assert!(most <= 4.0 * calls + 2.0, "{most} of {calls} a second");
-        assert!(most >= 0.9 * 4.0 * calls, "{most} of {calls} a second");
+        let max_calls = max_calls_in_window(calls) as f64;
+
+        assert!(
+            max_calls <= 4.0 * calls + 2.0,
+            "{max_calls} of {calls} per second"
+        );
+        assert!(
+            max_calls >= 0.9 * 4.0 * calls,
+            "{max_calls} of {calls} per second"
+        );
     }
 }
 
 #[test]
-fn a_call_that_can_wait_gets_its_place_and_the_next_one_the_place_after() {
+fn waiting_calls_get_consecutive_slots() {
     let mut quota = CallQuota::new(Time::ZERO, rate(2.0));
     let now = Time::from_millis(60_000);
-    let patience = Duration::from_secs(1);
+    let max_wait = Duration::from_secs(1);
 
-    let waits: Vec<_> = (0..4).map(|_| quota.take(now, patience)).collect();
+    let waits: Vec<_> = (0..4).map(|_| quota.take(now, max_wait)).collect();
 
-    let half = Duration::from_millis(500);
-    let expected = [Duration::ZERO, Duration::ZERO, half, half * 2];
+    let interval = Duration::from_millis(500);
+    let expected = [Duration::ZERO, Duration::ZERO, interval, interval * 2];
     assert_eq!(waits, expected.map(Ok));
-    let late = quota.take(now, patience);
-    assert_eq!(late.map_err(|full| full.retry_in), Err(half * 3));
+    let denied = quota.take(now, max_wait);
+    assert_eq!(
+        denied.map_err(|exceeded| exceeded.retry_in),
+        Err(interval * 3)
+    );
 }
 
 #[test]
-fn a_limit_that_rises_is_used_at_once() {
+fn a_raised_limit_takes_effect_at_once() {
     let mut quota = CallQuota::new(Time::ZERO, rate(0.1));
     let now = Time::from_millis(100);
 
@@ -96,57 +105,57 @@
 }
 
 #[test]
-fn calls_that_go_in_any_case_count() {
+fn charged_calls_use_up_the_quota() {
     let mut quota = CallQuota::new(Time::ZERO, rate(1.0));
     let now = Time::from_millis(60_000);
     for _ in 0..3 {
         quota.charge(now);
     }
 
-    let taken = quota.take(now, Duration::ZERO);
+    let granted = quota.take(now, Duration::ZERO);
 
     assert_eq!(
-        taken.map_err(|full| full.retry_in),
+        granted.map_err(|exceeded| exceeded.retry_in),
         Err(Duration::from_secs(2))
     );
 }
 
 #[test]
-fn the_first_living_box_of_the_servers_hall_keeps_its_count() {
+fn the_first_live_box_of_the_servers_hall_owns_its_quota() {
     let all = ["a1", "a2", "b1", "b2"];
 
     assert_eq!(
-        keeper("a1", "a", LONG_UP, &all),
+        owner("a1", "a", LONG_UPTIME, &all),
         QuotaOwner::Local { shares: 1 }
     );
-    assert_eq!(keeper("a2", "a", LONG_UP, &all), at(1));
-    assert_eq!(keeper("b1", "a", LONG_UP, &all), at(1));
-    assert_eq!(keeper("a1", "b", LONG_UP, &all), at(3));
-    assert_eq!(keeper("b1", "a", LONG_UP, &["a2", "b2"]), at(2));
+    assert_eq!(owner("a2", "a", LONG_UPTIME, &all), at(1));
+    assert_eq!(owner("b1", "a", LONG_UPTIME, &all), at(1));
+    assert_eq!(owner("a1", "b", LONG_UPTIME, &all), at(3));
+    assert_eq!(owner("b1", "a", LONG_UPTIME, &["a2", "b2"]), at(2));
 }
 
 #[test]
-fn a_box_that_may_not_be_the_only_keeper_takes_a_part() {
-    let half_a_hall = keeper("a1", "a", LONG_UP, &["b1"]);
-    let other_hall = keeper("b1", "a", LONG_UP, &["b2"]);
-    let alone = keeper("a1", "a", LONG_UP, &[]);
+fn a_box_that_may_not_be_the_only_owner_grants_a_share() {
+    let partial_hall = owner("a1", "a", LONG_UPTIME, &["b1"]);
+    let other_hall = owner("b1", "a", LONG_UPTIME, &["b2"]);
+    let alone = owner("a1", "a", LONG_UPTIME, &[]);
 
-    assert_eq!(half_a_hall, QuotaOwner::Local { shares: 2 });
+    assert_eq!(partial_hall, QuotaOwner::Local { shares: 2 });
     assert_eq!(other_hall, QuotaOwner::Local { shares: 2 });
     assert_eq!(alone, QuotaOwner::Local { shares: 4 });
 }
 
 #[test]
-fn a_box_that_has_just_started_keeps_no_count_yet() {
-    let young = Duration::from_millis(500);
+fn a_box_that_has_just_started_owns_no_quota_yet() {
+    let short_uptime = Duration::from_millis(500);
 
-    assert_eq!(keeper("a1", "a", young, &[]), QuotaOwner::Unknown);
-    assert_eq!(keeper("a1", "a", young, &["a2"]), QuotaOwner::Unknown);
-    assert_eq!(keeper("a2", "a", young, &["a1"]), at(1));
+    assert_eq!(owner("a1", "a", short_uptime, &[]), QuotaOwner::Unknown);
+    assert_eq!(owner("a1", "a", short_uptime, &["a2"]), QuotaOwner::Unknown);
+    assert_eq!(owner("a2", "a", short_uptime, &["a1"]), at(1));
 }
 
 #[test]
-fn a_question_asked_again_takes_no_second_call() {
+fn a_repeated_request_gets_the_cached_response() {
     let mut quotas = OwnedQuotas::default();
     let decision = PermitDecision::Granted { after: 5 };
 
@@ -157,7 +166,7 @@
 }
 
 #[test]
-fn questions_are_read_as_they_were_written_and_other_bytes_are_none() {
+fn permit_frames_round_trip_and_truncated_ones_are_rejected() {
     let ask = PermitFrame::Request(PermitRequest {
         id: 1,
         hall: HallName::new("a"),
--- a/lib/tests/test_relay_server_limits.rs
+++ b/lib/tests/test_relay_server_limits.rs
@@ -1,4 +1,4 @@
-//! What boxes know of servers that name a limit.
+//! Merging and gossip of call limits stated by servers.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const SERVER: ServerLife = ServerLife(7);
 
 fn rate(calls: f64) -> CallRate {
-    CallRate::per_second(calls).expect("a rate")
+    CallRate::per_second(calls).expect("valid rate")
 }
 
 fn limits(now: Time, calls: f64) -> ServerLimits {
@@ -23,25 +23,25 @@
 }
 
 #[test]
-fn the_newest_word_wins_in_whichever_order_it_comes() {
-    let (then, now) = (Time::from_millis(1_000), Time::from_millis(5_000));
-    let mut saw_first = limits(then, 2.0);
-    let mut saw_last = limits(Time::from_millis(4_000), 3.0);
-    let rows = [saw_first.rows(now), saw_last.rows(now)];
+fn the_newest_statement_wins_in_any_order_of_arrival() {
+    let (earlier, now) = (Time::from_millis(1_000), Time::from_millis(5_000));
+    let mut older = limits(earlier, 2.0);
+    let mut newer = limits(Time::from_millis(4_000), 3.0);
+    let rows = [older.rows(now), newer.rows(now)];
     let mut other = ServerLimits::default();
 
     other.merge_rows(now, &rows[1]);
     other.merge_rows(now, &rows[0]);
-    saw_first.merge_rows(now, &rows[1]);
-    saw_last.merge_rows(now, &rows[0]);
+    older.merge_rows(now, &rows[1]);
+    newer.merge_rows(now, &rows[0]);
 
-    for known in [&other, &saw_first, &saw_last] {
+    for known in [&other, &older, &newer] {
         assert_eq!(known.limit(SERVER), Some(rate(3.0)));
     }
 }
 
 #[test]
-fn a_word_that_comes_back_is_no_newer_than_it_was() {
+fn a_statement_does_not_get_younger_by_round_trips() {
     let mut first = limits(Time::from_millis(1_000), 2.0);
     let mut second = ServerLimits::default();
     let mut now = Time::from_millis(1_000);
@@ -53,13 +53,13 @@
         first.merge_rows(now + Duration::from_millis(3), &rows);
     }
 
-    let row = first.row_of(now, SERVER).expect("known");
+    let row = first.row_of(now, SERVER).expect("statement is known");
 
     assert!(row.age_ms >= 30_000, "{row:?}");
 }
 
 #[test]
-fn a_limit_ends_with_the_servers_word_and_opens_the_server() {
+fn a_lifted_limit_reopens_a_closed_server() {
     let mut limits = limits(Time::ZERO, 1.0);
     let now = Time::from_millis(2_000);
     limits.close(now, SERVER, Duration::from_secs(9));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_new_life_has_no_limit_of_the_one_before() {
+fn a_new_incarnation_does_not_inherit_the_limit() {
     let limits = limits(Time::ZERO, 1.0);
 
     assert_eq!(
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_can_not_be_read_changes_nothing() {
+fn a_malformed_header_changes_nothing() {
     let mut limits = limits(Time::ZERO, 1.0);
 
     let change = limits.record_response(Time::from_millis(5), SERVER, ParsedHeader::Unreadable);
@@ -92,20 +92,20 @@
 }
 
 #[test]
-fn a_limit_that_changes_with_each_answer_is_news_four_times_a_second_at_most() {
+fn a_flapping_limit_is_announced_at_most_four_times_per_second() {
     let mut limits = limits(Time::ZERO, 1.0);
-    let mut news = 0;
+    let mut announced = 0;
     for at in 1..=1_000_u64 {
-        let word = ParsedHeader::Value(rate(1.0 + (at % 2) as f64));
-        let change = limits.record_response(Time::from_millis(at), SERVER, word);
-        news += u32::from(change.is_some_and(|change| change.announce_now));
+        let header = ParsedHeader::Value(rate(1.0 + (at % 2) as f64));
+        let change = limits.record_response(Time::from_millis(at), SERVER, header);
+        announced += u32::from(change.is_some_and(|change| change.announce_now));
     }
 
-    assert!(news <= 4, "{news}");
+    assert!(announced <= 4, "{announced}");
 }
 
 #[test]
-fn thousands_of_limited_servers_stay_within_bounds_and_all_are_told_in_turn() {
+fn state_is_bounded_and_all_statements_are_gossiped_in_rotation() {
     let mut limits = ServerLimits::default();
     for incarnation in 0..5_000 {
         limits.record_response(
@@ -114,22 +114,22 @@
             ParsedHeader::Value(rate(1.0)),
         );
     }
-    let mut told = std::collections::BTreeSet::new();
+    let mut gossiped = std::collections::BTreeSet::new();
     let mut now = Time::from_millis(10_000);
     for _ in 0..1_000 {
         now = now + Duration::from_millis(100);
         let rows = limits.rows(now);
         assert!(rows.len() <= 20, "{} rows", rows.len());
-        told.extend(rows.iter().map(|row| row.incarnation));
+        gossiped.extend(rows.iter().map(|row| row.incarnation));
     }
 
     assert_eq!(limits.limited().count(), 2_048);
-    assert_eq!(told.len(), 2_048);
+    assert_eq!(gossiped.len(), 2_048);
     assert!(limits.evicted() > 0);
 }
 
 #[test]
-fn a_datagram_that_leaves_a_server_out_says_nothing_of_it() {
+fn a_datagram_that_omits_a_server_keeps_its_limit() {
     let mut limits = limits(Time::ZERO, 1.0);
     let other = LimitRow {
         incarnation: ServerLife(9),
--- a/lib/tests/test_relay_server_notices.rs
+++ b/lib/tests/test_relay_server_notices.rs
@@ -1,4 +1,4 @@
-//! What boxes know of servers that leave, and how a server stands.
+//! Leaving servers, pauses of servers that shed load, and the resulting availability.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,24 +14,24 @@
 
 const SERVER: ServerLife = ServerLife(7);
 
-fn leaves() -> Notice {
+fn leaving_notice() -> Notice {
     Notice {
         leaving: ParsedHeader::Value(true),
         ..Notice::default()
     }
 }
 
-fn limited() -> Notice {
+fn limit_notice() -> Notice {
     Notice {
-        limit: ParsedHeader::Value(CallRate::per_second(1.0).expect("a rate")),
+        limit: ParsedHeader::Value(CallRate::per_second(1.0).expect("valid rate")),
         ..Notice::default()
     }
 }
 
 #[test]
-fn a_server_that_leaves_never_takes_calls_again_in_the_same_life() {
+fn leaving_is_final_for_an_incarnation() {
     let mut notices = ServerNotices::default();
-    notices.record_response(Time::ZERO, SERVER, &leaves(), true);
+    notices.record_response(Time::ZERO, SERVER, &leaving_notice(), true);
     notices.record_response(Time::from_millis(1), SERVER, &Notice::default(), true);
     let days_later = Time::ZERO + Duration::from_hours(48);
 
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn leaving_outweighs_a_limit() {
+fn leaving_takes_precedence_over_a_limit() {
     let mut notices = ServerNotices::default();
-    notices.record_response(Time::ZERO, SERVER, &limited(), true);
-    notices.record_response(Time::ZERO, SERVER, &leaves(), true);
+    notices.record_response(Time::ZERO, SERVER, &limit_notice(), true);
+    notices.record_response(Time::ZERO, SERVER, &leaving_notice(), true);
 
     assert_eq!(
         notices.availability(Time::ZERO, SERVER),
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn what_is_no_flag_takes_no_server_away() {
-    for odd in [
+fn only_a_valid_flag_marks_a_server_as_leaving() {
+    for header in [
         ParsedHeader::Absent,
         ParsedHeader::Value(false),
         ParsedHeader::Unreadable,
     ] {
         let mut notices = ServerNotices::default();
         let notice = Notice {
-            leaving: odd,
+            leaving: header,
             ..Notice::default()
         };
 
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn a_box_that_is_told_knows_it_and_it_is_news_once() {
+fn gossiped_leaving_is_applied_and_reported_once() {
     let (mut first, mut second) = (ServerNotices::default(), ServerNotices::default());
-    first.record_response(Time::ZERO, SERVER, &leaves(), true);
+    first.record_response(Time::ZERO, SERVER, &leaving_notice(), true);
     let rows = first.rows(Time::from_millis(5));
 
     let changes = second.merge_rows(Time::from_millis(6), &rows);
@@ -96,39 +96,39 @@
 }
 
 #[test]
-fn many_that_leave_at_once_are_all_told_within_a_few_datagrams() {
+fn many_simultaneous_departures_are_gossiped_within_a_few_datagrams() {
     let mut leaving = LeavingServers::default();
     for incarnation in 0..150 {
         leaving.insert(Time::ZERO, ServerLife(incarnation));
     }
-    let mut told = BTreeSet::new();
+    let mut gossiped = BTreeSet::new();
     for at in 0..5 {
         let rows = leaving.rows(Time::from_millis(at * 40));
         assert!(rows.len() <= 36, "{} rows", rows.len());
-        told.extend(rows);
+        gossiped.extend(rows);
     }
 
-    assert_eq!(told.len(), 150);
+    assert_eq!(gossiped.len(), 150);
 }
 
 #[test]
-fn boxes_that_were_cut_off_hear_of_old_ones_in_turn() {
+fn old_departures_are_gossiped_in_rotation_for_partitioned_boxes() {
     let mut leaving = LeavingServers::default();
     for incarnation in 0..40 {
         leaving.insert(Time::ZERO, ServerLife(incarnation));
     }
-    let mut told = BTreeSet::new();
+    let mut gossiped = BTreeSet::new();
     for at in 0..10 {
         let rows = leaving.rows(Time::from_millis(10_000 + at * 300));
         assert!(rows.len() <= 4, "{} rows", rows.len());
-        told.extend(rows);
+        gossiped.extend(rows);
     }
 
-    assert_eq!(told.len(), 40);
+    assert_eq!(gossiped.len(), 40);
 }
 
 #[test]
-fn thousands_that_leave_stay_within_bounds_and_the_newest_are_kept() {
+fn leaving_servers_are_bounded_and_the_newest_are_kept() {
     let mut leaving = LeavingServers::default();
     for incarnation in 0..10_000 {
         leaving.insert(Time::from_millis(incarnation), ServerLife(incarnation));
@@ -141,22 +141,22 @@
 
 const PAUSE: Duration = Duration::from_secs(3);
 
-fn sheds(pause: Duration) -> Notice {
+fn pause_notice(pause: Duration) -> Notice {
     Notice {
         retry_after: ParsedHeader::Value(pause),
         ..Notice::default()
     }
 }
 
-/// Notices of a box that was turned away at 0 ms for three seconds.
+/// Notices of a box that was rejected at 0 ms with a pause of three seconds.
 fn paused() -> ServerNotices {
     let mut notices = ServerNotices::default();
-    notices.record_response(Time::ZERO, SERVER, &sheds(PAUSE), false);
+    notices.record_response(Time::ZERO, SERVER, &pause_notice(PAUSE), false);
     notices
 }
 
 #[test]
-fn a_server_that_sheds_wants_nothing_until_its_pause_is_over() {
+fn a_shedding_server_gets_no_call_before_its_pause_elapses() {
     let notices = paused();
 
     let before = Time::from_millis(2_999);
@@ -176,12 +176,12 @@
 }
 
 #[test]
-fn a_shorter_pause_after_a_longer_one_shortens_nothing() {
+fn a_later_shorter_pause_does_not_shorten_a_longer_one() {
     let mut notices = paused();
     notices.record_response(
         Time::from_millis(100),
         SERVER,
-        &sheds(Duration::from_millis(50)),
+        &pause_notice(Duration::from_millis(50)),
         false,
     );
 
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_call_does_not_end_a_pause() {
+fn a_response_to_an_earlier_call_does_not_end_a_pause() {
     let mut notices = paused();
 
     let changes = notices.record_response(Time::from_millis(100), SERVER, &Notice::default(), true);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn after_a_pause_one_call_tries_the_server_and_others_follow_its_answer() {
+fn after_a_pause_one_call_probes_the_server_before_others_follow() {
     let mut notices = paused();
     let after = Time::from_millis(3_010);
     assert_eq!(notices.availability(after, SERVER), Availability::Open);
@@ -223,12 +223,12 @@
 }
 
 #[test]
-fn a_trial_that_is_turned_away_begins_a_new_pause() {
+fn a_rejected_probe_starts_a_new_pause() {
     let mut notices = paused();
     let after = Time::from_millis(3_010);
     notices.shedding.record_sent(after, SERVER);
 
-    let changes = notices.record_response(after, SERVER, &sheds(PAUSE), false);
+    let changes = notices.record_response(after, SERVER, &pause_notice(PAUSE), false);
 
     assert_eq!(changes.shedding, [SERVER]);
     assert_eq!(
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_trial_without_an_answer_keeps_others_away_for_half_a_second() {
+fn an_unanswered_probe_holds_off_other_calls_for_half_a_second() {
     let mut notices = paused();
     notices
         .shedding
@@ -255,43 +255,48 @@
 }
 
 #[test]
-fn a_box_that_is_told_prefers_others_until_the_teller_has_tried_again() {
-    let mut teller = paused();
-    let mut told = ServerNotices::default();
+fn other_boxes_avoid_the_server_until_the_reporter_has_probed_it() {
+    let mut reporter = paused();
+    let mut receiver = ServerNotices::default();
     let now = Time::from_millis(10);
-    let rows = teller.rows(now);
+    let rows = reporter.rows(now);
 
-    let changes = told.merge_rows(now, &rows);
+    let changes = receiver.merge_rows(now, &rows);
 
     assert_eq!(changes.shedding, [SERVER]);
     for at in [10, 3_200] {
         assert_eq!(
-            told.availability(Time::from_millis(at), SERVER),
+            receiver.availability(Time::from_millis(at), SERVER),
             Availability::Shedding
         );
     }
     assert_eq!(
-        told.availability(Time::from_millis(3_300), SERVER),
+        receiver.availability(Time::from_millis(3_300), SERVER),
         Availability::Open
     );
 }
 
 #[test]
-fn a_pause_that_other_boxes_tell_of_keeps_no_box_away_for_long() {
-    let mut teller = ServerNotices::default();
-    teller.record_response(Time::ZERO, SERVER, &sheds(Duration::from_hours(1)), false);
-    let mut told = ServerNotices::default();
-    told.merge_rows(Time::ZERO, &teller.rows(Time::ZERO));
+fn a_reported_pause_is_capped_at_ten_seconds() {
+    let mut reporter = ServerNotices::default();
+    reporter.record_response(
+        Time::ZERO,
+        SERVER,
+        &pause_notice(Duration::from_hours(1)),
+        false,
+    );
+    let mut receiver = ServerNotices::default();
+    receiver.merge_rows(Time::ZERO, &reporter.rows(Time::ZERO));
 
     let later = Time::from_millis(10_300);
-    assert_eq!(told.availability(later, SERVER), Availability::Open);
-    assert_eq!(teller.availability(later, SERVER), Availability::BackOff);
+    assert_eq!(receiver.availability(later, SERVER), Availability::Open);
+    assert_eq!(reporter.availability(later, SERVER), Availability::BackOff);
 }
 
 #[test]
-fn a_pause_without_an_end_is_one_of_an_hour() {
+fn pauses_are_capped_at_one_hour() {
     let mut notices = ServerNotices::default();
-    notices.record_response(Time::ZERO, SERVER, &sheds(Duration::MAX), false);
+    notices.record_response(Time::ZERO, SERVER, &pause_notice(Duration::MAX), false);
 
     let hour = Duration::from_hours(1);
     assert_eq!(notices.available_in(Time::ZERO, SERVER), Some(hour));
@@ -302,25 +307,25 @@
 }
 
 #[test]
-fn a_pause_of_no_time_is_none() {
+fn a_zero_pause_is_ignored() {
     let mut notices = ServerNotices::default();
 
-    let changes = notices.record_response(Time::ZERO, SERVER, &sheds(Duration::ZERO), false);
+    let changes = notices.record_response(Time::ZERO, SERVER, &pause_notice(Duration::ZERO), false);
 
     assert!(changes.shedding.is_empty());
     assert_eq!(notices.availability(Time::ZERO, SERVER), Availability::Open);
 }
 
 #[test]
-fn leaving_outweighs_a_pause_and_a_pause_a_limit() {
+fn leaving_takes_precedence_over_a_pause_and_a_pause_over_a_limit() {
     let mut notices = paused();
-    notices.record_response(Time::ZERO, SERVER, &limited(), true);
+    notices.record_response(Time::ZERO, SERVER, &limit_notice(), true);
     assert_eq!(
         notices.availability(Time::ZERO, SERVER),
         Availability::BackOff
     );
 
-    notices.record_response(Time::ZERO, SERVER, &leaves(), true);
+    notices.record_response(Time::ZERO, SERVER, &leaving_notice(), true);
 
     assert_eq!(
         notices.availability(Time::ZERO, SERVER),
@@ -329,11 +334,11 @@
 }
 
 #[test]
-fn thousands_that_shed_stay_within_bounds() {
+fn shedding_servers_are_bounded() {
     let mut notices = ServerNotices::default();
     for incarnation in 0..5_000 {
         let now = Time::from_millis(incarnation);
-        notices.record_response(now, ServerLife(incarnation), &sheds(PAUSE), false);
+        notices.record_response(now, ServerLife(incarnation), &pause_notice(PAUSE), false);
         assert!(notices.rows(now).shedding.len() <= 16);
     }
 
@@ -341,7 +346,7 @@
 }
 
 #[test]
-fn a_call_that_was_turned_away_does_not_try_another_server_after_its_pause() {
+fn a_retried_call_does_not_probe_a_server_after_its_pause() {
     let notices = paused();
     let after = Time::from_millis(3_010);
 
--- a/lib/tests/test_relay_shed_model.rs
+++ b/lib/tests/test_relay_shed_model.rs
@@ -1,4 +1,4 @@
-//! Boxes before servers that shed load: what callers get, and what reaches a server in its pauses.
+//! Model of many boxes calling servers that shed load: served calls, and calls during pauses.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use badgerferry_testutils::shed_model::ShedPlan;
 use badgerferry_testutils::shed_model::Way;
 
-/// Boxes and servers.
+/// Numbers of boxes and servers.
 const SIZES: [(usize, usize); 4] = [(6, 18), (77, 60), (295, 150), (350, 300)];
 
 fn plan(boxes: usize, servers: usize) -> ShedPlan {
@@ -28,20 +28,20 @@
 }
 
 #[test]
-fn nothing_reaches_a_server_in_a_pause_that_it_asked_for_at_any_size() {
+fn no_call_reaches_a_server_during_its_pause_at_any_fleet_size() {
     for (boxes, servers) in SIZES {
-        let lossy = ShedPlan {
+        let lossy_plan = ShedPlan {
             loss: 0.1,
             ..plan(boxes, servers)
         };
-        for plan in [plan(boxes, servers), lossy] {
+        for plan in [plan(boxes, servers), lossy_plan] {
             assert_eq!(run(&plan).in_pauses, 0, "{plan:?}");
         }
     }
 }
 
 #[test]
-fn calls_are_served_by_the_servers_that_do_not_shed() {
+fn calls_move_to_servers_that_do_not_shed() {
     for (boxes, servers) in SIZES {
         let counts = run(&plan(boxes, servers));
 
@@ -51,7 +51,7 @@
 
 #[test]
 fn servers_that_shed_a_few_calls_of_each_box_are_not_starved() {
-    for (boxes, servers, least) in [(6, 18, 0.8), (77, 60, 0.99)] {
+    for (boxes, servers, min_served) in [(6, 18, 0.8), (77, 60, 0.99)] {
         let plan = ShedPlan {
             shedding: servers,
             part: 0.05,
@@ -61,6 +61,9 @@
 
         let counts = run(&plan);
 
-        assert!(counts.served_part() >= least, "{boxes} boxes: {counts:?}");
+        assert!(
+            counts.served_part() >= min_served,
+            "{boxes} boxes: {counts:?}"
+        );
     }
 }
