--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -172,9 +172,9 @@
     );
     if let Some(news) = answer.servers {
         let now = relay.clock.now();
-        let hold_left = answer.hold_left;
+        let hold_remaining = answer.hold_remaining;
         relay.change_servers(|servers| {
-            servers.hold_for(now, hold_left);
+            servers.hold_for(now, hold_remaining);
             servers.take_news(now, news);
         });
     }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -293,7 +293,7 @@
         PullResponse {
             table_follows: self.version_in_force() > known_state.routes,
             servers: followed.servers.news_since(known_state.servers),
-            hold_left: followed.servers.hold_left(self.clock.now()),
+            hold_remaining: followed.servers.hold_remaining(self.clock.now()),
             notices,
             boxes,
         }
--- a/lib/src/relay/load_datagram.rs
+++ b/lib/src/relay/load_datagram.rs
@@ -58,7 +58,7 @@
     pub departures: Vec<EngineKey>,
     /// Engines that recently reported to be slow, to the sender or to a box of its hall.
     pub slow_engines: Vec<EngineKey>,
-    /// Suspect work: requests during which server processes ended.
+    /// Suspect requests, during which server processes ended.
     pub suspects: Vec<WorkRow>,
     /// Notices of servers about the calls they accept.
     pub notices: NoticeRows,
--- a/lib/src/relay/server_list.rs
+++ b/lib/src/relay/server_list.rs
@@ -125,7 +125,7 @@
 
     /// How much longer missing entries are held; another box that takes over these entries
     /// must hold as long.
-    pub const fn hold_left(&self, now: Time) -> Duration {
+    pub const fn hold_remaining(&self, now: Time) -> Duration {
         now.until(self.hold_until)
     }
 
--- a/lib/src/relay/state_pull.rs
+++ b/lib/src/relay/state_pull.rs
@@ -57,7 +57,7 @@
     /// Newer server entries, if any.
     pub servers: Option<ServerNews>,
     /// Remaining time for which entries missing from the store are kept.
-    pub hold_left: Duration,
+    pub hold_remaining: Duration,
     /// Notices of servers about the calls they accept.
     pub notices: NoticeRows,
     /// Other known boxes, if requested.
--- a/lib/tests/test_relay_engine_load.rs
+++ b/lib/tests/test_relay_engine_load.rs
@@ -1,4 +1,4 @@
-//! EngineWork at engines, and the datagrams that tell it.
+//! Engine load tracking and load datagrams.
 
 use std::time::Duration;
 
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn another_boxs_table_counts_for_its_lifetime_only() {
+fn peer_table_expires_after_ttl() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
-    let told = EngineLoad {
+    let load = EngineLoad {
         short_calls: 3,
         ..EngineLoad::default()
     };
 
-    loads.update_peer_table(Time::ZERO, "box-b", 1, 1, vec![(engine, told)]);
+    loads.update_peer_table(Time::ZERO, "box-b", 1, 1, vec![(engine, load)]);
     let early = loads.table(Time::from_millis(10)).get(&engine).copied();
     let late = loads.table(Time::ZERO + TABLE_TTL).get(&engine).copied();
 
@@ -48,87 +48,93 @@
 }
 
 #[test]
-fn an_overtaken_datagram_is_ignored_and_a_new_lifetime_is_not() {
+fn stale_sequence_is_ignored_unless_incarnation_is_new() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
-    let short = |count| EngineLoad {
+    let short_calls = |count| EngineLoad {
         short_calls: count,
         ..EngineLoad::default()
     };
     let now = Time::from_millis(1);
 
-    loads.update_peer_table(now, "box-b", 1, 9, vec![(engine, short(3))]);
-    loads.update_peer_table(now, "box-b", 1, 8, vec![(engine, short(5))]);
-    let after_old = loads.table(now)[&engine].short_calls;
-    loads.update_peer_table(now, "box-b", 2, 1, vec![(engine, short(1))]);
+    loads.update_peer_table(now, "box-b", 1, 9, vec![(engine, short_calls(3))]);
+    loads.update_peer_table(now, "box-b", 1, 8, vec![(engine, short_calls(5))]);
+    let after_stale = loads.table(now)[&engine].short_calls;
+    loads.update_peer_table(now, "box-b", 2, 1, vec![(engine, short_calls(1))]);
 
-    assert_eq!(after_old, 3);
+    assert_eq!(after_stale, 3);
     assert_eq!(loads.table(now)[&engine].short_calls, 1);
 }
 
 #[test]
-fn another_halls_work_is_its_last_sum_whichever_box_told_it() {
+fn hall_table_is_replaced_by_any_delegate() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
     let hall = HallName::new("hall-b");
-    let short = |count| EngineLoad {
+    let short_calls = |count| EngineLoad {
         short_calls: count,
         ..EngineLoad::default()
     };
     let now = Time::from_millis(1);
 
-    loads.update_hall_table(now, &hall, 1, 4, vec![(engine, short(3))]);
-    loads.update_hall_table(now, &hall, 2, 9, vec![(engine, short(5))]);
-    let is_newer = loads.update_hall_table(now, &hall, 2, 8, vec![(engine, short(7))]);
+    loads.update_hall_table(now, &hall, 1, 4, vec![(engine, short_calls(3))]);
+    loads.update_hall_table(now, &hall, 2, 9, vec![(engine, short_calls(5))]);
+    let is_newer = loads.update_hall_table(now, &hall, 2, 8, vec![(engine, short_calls(7))]);
 
     assert!(!is_newer);
     assert_eq!(loads.table(now)[&engine].short_calls, 5);
 }
 
 #[test]
-fn a_halls_sum_holds_its_own_boxes_only() {
+fn hall_total_excludes_other_halls() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
     let now = Time::from_millis(1);
-    let short = |count| EngineLoad {
+    let short_calls = |count| EngineLoad {
         short_calls: count,
         ..EngineLoad::default()
     };
     loads.begin(now, engine, long_work());
-    loads.update_peer_table(now, "near", 1, 1, vec![(engine, short(2))]);
-    loads.update_peer_table(now, "far", 1, 1, vec![(engine, short(4))]);
-    loads.update_hall_table(now, &HallName::new("b"), 1, 1, vec![(engine, short(8))]);
+    loads.update_peer_table(now, "local", 1, 1, vec![(engine, short_calls(2))]);
+    loads.update_peer_table(now, "remote", 1, 1, vec![(engine, short_calls(4))]);
+    loads.update_hall_table(
+        now,
+        &HallName::new("b"),
+        1,
+        1,
+        vec![(engine, short_calls(8))],
+    );
 
-    let told = loads.hall_table(now, |name| name == "near")[&engine];
+    let total = loads.hall_table(now, |name| name == "local")[&engine];
 
-    assert_eq!((told.short_calls, told.long_calls), (2, 1));
+    assert_eq!((total.short_calls, total.long_calls), (2, 1));
 }
 
 #[test]
-fn own_work_counts_until_it_ends() {
+fn own_work_counts_until_it_ends_and_prefill_until_first_token() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     let now = Time::from_millis(100);
 
     let id = loads.begin(now, engine, long_work());
-    let reading = loads.table(now)[&engine];
+    let prefilling = loads.table(now)[&engine];
     loads.prefill_done(id);
-    let writing = loads.table(now)[&engine];
+    let decoding = loads.table(now)[&engine];
     loads.end(id);
 
     assert_eq!(
         (
-            reading.long_prefills,
-            reading.long_calls,
-            reading.prefill_ms
+            prefilling.long_prefills,
+            prefilling.long_calls,
+            prefilling.prefill_ms
         ),
         (1, 1, 300)
     );
     assert_eq!(
         (
-            writing.long_prefills,
-            writing.long_calls,
-            writing.prefill_ms
+            decoding.long_prefills,
+            decoding.long_calls,
+            decoding.prefill_ms
         ),
         (0, 1, 0)
     );
@@ -136,40 +142,40 @@
 }
 
 #[test]
-fn a_part_that_is_late_counts_until_its_prompt_is_read() {
+fn overdue_prefill_counts_until_it_is_done() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     let id = loads.begin(Time::ZERO, engine, long_work());
 
-    let late = loads.table(Time::from_millis(1_900))[&engine];
+    let overdue = loads.table(Time::from_millis(1_900))[&engine];
     loads.prefill_done(id);
-    let read = loads.table(Time::from_millis(1_900))[&engine];
+    let done = loads.table(Time::from_millis(1_900))[&engine];
 
-    assert_eq!((late.long_prefills, late.prefill_ms), (1, 300));
-    assert_eq!((read.long_prefills, read.prefill_ms), (0, 0));
+    assert_eq!((overdue.long_prefills, overdue.prefill_ms), (1, 300));
+    assert_eq!((done.long_prefills, done.prefill_ms), (0, 0));
 }
 
 #[test]
-fn what_is_read_ahead_counts_once() {
+fn queued_prefill_counts_once() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     let now = Time::from_millis(100);
-    let mut ahead = Duration::ZERO;
+    let mut backlog = Duration::ZERO;
 
     for _ in 0..6 {
         let work = EngineWork {
-            delay: ahead,
+            delay: backlog,
             ..long_work()
         };
         loads.begin(now, engine, work);
-        ahead = Duration::from_millis(loads.table(now)[&engine].prefill_ms.into());
+        backlog = Duration::from_millis(loads.table(now)[&engine].prefill_ms.into());
     }
 
-    assert_eq!(ahead, long_work().prefill * 6, "each is read once");
+    assert_eq!(backlog, long_work().prefill * 6, "each prefill counts once");
 }
 
 #[test]
-fn reading_whose_end_is_never_seen_does_not_count_for_ever() {
+fn prefill_without_observed_end_expires() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     loads.begin(Time::ZERO, engine, long_work());
@@ -206,7 +212,7 @@
 }
 
 #[test]
-fn a_datagram_leaves_out_what_does_not_fit_into_a_packet() {
+fn rows_are_truncated_to_datagram_size() {
     let row = |key| {
         let row = EngineLoad {
             prefill_ms: u32::MAX,
@@ -221,24 +227,24 @@
     large.faults = (0..16).map(|key| EngineKey(u32::MAX - key)).collect();
     let mut small = datagram((0..5).map(row).collect());
 
-    let (left_out, none) = (large.truncate_rows(), small.truncate_rows());
+    let (dropped, none) = (large.truncate_rows(), small.truncate_rows());
 
     assert!(large.encode().len() <= MAX_DATAGRAM_BYTES);
     assert_eq!(LoadDatagram::decode(&large.encode()), Ok(large.clone()));
-    assert_eq!(left_out + large.rows.len(), 300);
+    assert_eq!(dropped + large.rows.len(), 300);
     assert!(large.rows.len() > 30, "{}", large.rows.len());
     assert_eq!(none, 0);
 }
 
 #[test]
-fn a_datagram_of_another_version_is_dropped() {
+fn datagram_of_other_version_is_rejected() {
     let mut bytes = datagram(Vec::new()).encode();
-    let other = FRAME_VERSION + 1;
-    bytes[0] = other;
+    let version = FRAME_VERSION + 1;
+    bytes[0] = version;
 
     assert_eq!(
         LoadDatagram::decode(&bytes),
-        Err(DatagramError::Version(other))
+        Err(DatagramError::Version(version))
     );
     assert_eq!(LoadDatagram::decode(&[]), Err(DatagramError::Malformed));
     assert_eq!(
@@ -248,7 +254,7 @@
 }
 
 #[test]
-fn any_bytes_are_borne_as_a_datagram() {
+fn decode_never_panics_on_arbitrary_bytes() {
     fn property(bytes: Vec<u8>) -> bool {
         let decoded = LoadDatagram::decode(&bytes);
         drop(bytes);
--- a/lib/tests/test_relay_engine_utilization.rs
+++ b/lib/tests/test_relay_engine_utilization.rs
@@ -1,4 +1,4 @@
-//! What engines did, by the lines of calls.
+//! Engine utilization computed from call log lines.
 
 use badgerferry_lib::relay::engine_utilization::EngineLine;
 use badgerferry_lib::relay::engine_utilization::EngineLog;
@@ -16,7 +16,7 @@
     })
 }
 
-fn begins(call: &str) -> EngineLine {
+fn first_event(call: &str) -> EngineLine {
     EngineLine::FirstEvent {
         call: call.to_owned(),
     }
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn a_long_prompts_engines_read_are_held_and_one_of_them_writes() {
+fn engines_of_long_prompt_prefill_then_block_and_lead_decodes() {
     let mut log = EngineLog::default();
     log.record(1_000, routed("a", &["x", "y"], 400, 0));
-    log.record(1_600, begins("a"));
+    log.record(1_600, first_event("a"));
     log.record(2_000, ended("a"));
 
     let report = log.report();
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn a_short_calls_helpers_are_not_held() {
+fn helpers_of_short_call_are_not_blocked() {
     let mut log = EngineLog::default();
     let EngineLine::Routed(line) = routed("a", &["x", "y"], 400, 0) else {
-        unreachable!("it was just made");
+        unreachable!("routed() returns this variant");
     };
     log.record(
         0,
@@ -63,7 +63,7 @@
             ..line
         }),
     );
-    log.record(800, begins("a"));
+    log.record(800, first_event("a"));
     log.record(1_000, ended("a"));
 
     let time = log.report().seconds[0].time;
@@ -73,35 +73,35 @@
     assert!(is_near(time.writes, 0.3), "{time:?}");
 }
 
-/// The measure of engines that stand unused while prompts wait.
+/// Guards the measure of engines that are idle while prompts are queued.
 #[test]
-fn what_engines_do_while_prompts_wait_is_told_apart() {
+fn utilization_while_prompts_are_queued_is_separate() {
     let mut log = EngineLog::default();
     log.record(1_000, routed("a", &["x", "y"], 500, 0));
-    log.record(1_500, begins("a"));
+    log.record(1_500, first_event("a"));
     log.record(1_500, ended("a"));
     log.record(2_000, routed("b", &["x"], 500, 500));
-    log.record(2_500, begins("b"));
+    log.record(2_500, first_event("b"));
     log.record(2_500, ended("b"));
 
     let report = log.report();
 
-    let waiting = report.while_waiting.expect("b waited from 1,500 on");
-    assert!(is_near(waiting.unused, 1.0), "{waiting:?}");
+    let while_waiting = report.while_waiting.expect("b was queued from 1,500 on");
+    assert!(is_near(while_waiting.unused, 1.0), "{while_waiting:?}");
     assert!(is_near(report.seconds[0].waiting, 0.5));
 }
 
 #[test]
-fn engines_far_over_their_estimates_come_first() {
+fn estimates_are_sorted_worst_first() {
     let mut log = EngineLog::default();
     for (at, call) in ["a", "b", "c"].into_iter().enumerate() {
         let at = 10_000 * at as u64;
-        log.record(at, routed(call, &["slow", "beside"], 400, 0));
-        log.record(at + 2_000, begins(call));
+        log.record(at, routed(call, &["slow", "normal"], 400, 0));
+        log.record(at + 2_000, first_event(call));
         for again in [5_000, 7_000] {
             let other = format!("{call}-{again}");
-            log.record(at + again, routed(&other, &["beside"], 400, 0));
-            log.record(at + again + 400, begins(&other));
+            log.record(at + again, routed(&other, &["normal"], 400, 0));
+            log.record(at + again + 400, first_event(&other));
         }
     }
 
@@ -113,10 +113,10 @@
 }
 
 #[test]
-fn plain_calls_and_lines_of_unknown_calls_tell_nothing() {
+fn plain_calls_and_unknown_calls_are_ignored() {
     let mut log = EngineLog::default();
     let EngineLine::Routed(line) = routed("plain", &["server"], 0, 0) else {
-        unreachable!("it was just made");
+        unreachable!("routed() returns this variant");
     };
     log.record(
         0,
@@ -125,7 +125,7 @@
             ..line
         }),
     );
-    log.record(5, begins("unknown"));
+    log.record(5, first_event("unknown"));
 
     let report = log.report();
 
--- a/lib/tests/test_relay_era_model.rs
+++ b/lib/tests/test_relay_era_model.rs
@@ -297,9 +297,9 @@
             return;
         }
         let news = self.boxes[from].servers.news_since(have.servers);
-        let hold_left = self.boxes[from].servers.hold_left(now);
+        let hold_remaining = self.boxes[from].servers.hold_remaining(now);
         let of = &mut self.boxes[to];
-        of.servers.hold_for(now, hold_left);
+        of.servers.hold_for(now, hold_remaining);
         if let Some(news) = news {
             of.servers.take_news(now, news);
         }
--- a/lib/tests/test_relay_gossip_topology.rs
+++ b/lib/tests/test_relay_gossip_topology.rs
@@ -1,4 +1,4 @@
-//! Which boxes tell each other of their work.
+//! Gossip scope, delegates and receivers.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 
-fn of_hall(hall: &str, at: usize, processor: u16) -> BoxAddresses {
+fn box_in_hall(hall: &str, at: usize, processor: u16) -> BoxAddresses {
     BoxAddresses {
         name: format!("edge-{hall}-{at:02}"),
         hall: hall.to_owned(),
@@ -20,14 +20,14 @@
     }
 }
 
-/// So many boxes in each hall; the last one of a hall has most processor time.
+/// A fleet with `per_hall` boxes in each hall; the last box of a hall has the most processor time.
 fn fleet(halls: &[&str], per_hall: usize) -> Boxes {
     let mut boxes = Boxes::new();
     for hall in halls {
         for at in 0..per_hall {
             let processor = if at + 1 == per_hall { 500 } else { 120 };
-            let of = of_hall(hall, at, processor);
-            boxes.insert(of.name.clone(), of);
+            let info = box_in_hall(hall, at, processor);
+            boxes.insert(info.name.clone(), info);
         }
     }
     boxes
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn few_boxes_tell_all_and_many_tell_their_hall() {
+fn small_fleets_gossip_fleet_wide_and_large_ones_per_hall() {
     let scopes =
         [1, 2, 7, 8, 70].map(|per_hall| GossipScope::of(&fleet(&["a", "b", "c"], per_hall)));
 
@@ -55,12 +55,12 @@
 }
 
 #[test]
-fn many_boxes_of_one_hall_tell_all_since_there_is_no_smaller_cell() {
+fn large_single_hall_gossips_fleet_wide() {
     assert_eq!(GossipScope::of(&fleet(&["a"], 350)), GossipScope::Fleet);
 }
 
 #[test]
-fn a_box_that_keeps_to_its_hall_tells_no_other() {
+fn hall_scope_excludes_other_halls() {
     let own = hall("a");
 
     assert!(GossipScope::Hall.includes(&own, "a"));
@@ -69,19 +69,19 @@
 }
 
 #[test]
-fn boxes_with_most_processor_time_rank_first_then_by_name() {
+fn boxes_rank_by_processor_time_then_by_name() {
     let boxes = fleet(&["a", "b"], 3);
 
     let names: Vec<&str> = gossip_topology::ranked_boxes(&boxes, "a")
         .iter()
-        .map(|of| of.name.as_str())
+        .map(|info| info.name.as_str())
         .collect();
 
     assert_eq!(names, ["edge-a-02", "edge-a-00", "edge-a-01"]);
 }
 
 #[test]
-fn a_box_knows_its_rank_before_its_own_entry_is_known() {
+fn rank_does_not_require_own_entry() {
     let mut boxes = fleet(&["a"], 3);
     boxes.remove("edge-a-00");
 
@@ -96,76 +96,87 @@
 }
 
 #[test]
-fn two_that_live_speak_for_a_hall_whoever_dies() {
+fn two_highest_ranked_live_boxes_are_delegates() {
     let boxes = fleet(&["a", "b"], 5);
-    let speakers = |dead: &[&str]| -> Vec<(String, DelegateRole)> {
-        let lives = |name: &str| !dead.contains(&name);
-        let names = boxes.keys().filter(|name| lives(name));
-        let speaks = |name: &String| {
-            let speaker = gossip_topology::delegate_role(&boxes, name, &hall("a"), lives)?;
-            Some((name.clone(), speaker))
+    let delegates = |dead: &[&str]| -> Vec<(String, DelegateRole)> {
+        let is_live = |name: &str| !dead.contains(&name);
+        let names = boxes.keys().filter(|name| is_live(name));
+        let role_of = |name: &String| {
+            let role = gossip_topology::delegate_role(&boxes, name, &hall("a"), is_live)?;
+            Some((name.clone(), role))
         };
-        names.filter_map(speaks).collect()
+        names.filter_map(role_of).collect()
     };
-    let first = |name: &str| (name.to_owned(), DelegateRole::Primary);
-    let second = |name: &str| (name.to_owned(), DelegateRole::Backup);
+    let primary = |name: &str| (name.to_owned(), DelegateRole::Primary);
+    let backup = |name: &str| (name.to_owned(), DelegateRole::Backup);
 
-    assert_eq!(speakers(&[]), [second("edge-a-00"), first("edge-a-04")]);
+    assert_eq!(delegates(&[]), [backup("edge-a-00"), primary("edge-a-04")]);
     assert_eq!(
-        speakers(&["edge-a-04"]),
-        [first("edge-a-00"), second("edge-a-01")]
+        delegates(&["edge-a-04"]),
+        [primary("edge-a-00"), backup("edge-a-01")]
     );
     assert_eq!(
-        speakers(&["edge-a-04", "edge-a-00", "edge-a-01", "edge-a-02"]),
-        [first("edge-a-03")]
+        delegates(&["edge-a-04", "edge-a-00", "edge-a-01", "edge-a-02"]),
+        [primary("edge-a-03")]
     );
 }
 
 #[test]
-fn a_box_that_hears_nobody_speaks_for_its_hall() {
+fn isolated_box_is_primary_delegate() {
     let boxes = fleet(&["a", "b"], 5);
 
-    let speaker = gossip_topology::delegate_role(&boxes, "edge-a-03", &hall("a"), |_| false);
+    let role = gossip_topology::delegate_role(&boxes, "edge-a-03", &hall("a"), |_| false);
 
-    assert_eq!(speaker, Some(DelegateRole::Primary));
+    assert_eq!(role, Some(DelegateRole::Primary));
 }
 
 #[test]
-fn each_other_hall_has_one_receiver_a_turn_and_another_one_next_time() {
+fn receivers_rotate_with_one_per_hall_each_turn() {
     let boxes = fleet(&["a", "b", "c"], 5);
 
     let turns: Vec<Vec<&str>> = (0..4)
         .map(|turn| {
-            let receivers = gossip_topology::gossip_targets(&boxes, &hall("a"), turn);
-            receivers.iter().map(|of| of.name.as_str()).collect()
+            let targets = gossip_topology::gossip_targets(&boxes, &hall("a"), turn);
+            targets.iter().map(|info| info.name.as_str()).collect()
         })
         .collect();
 
     assert_eq!(turns[0], ["edge-b-04", "edge-c-04"]);
     let of_b: BTreeSet<&str> = turns.iter().map(|turn| turn[0]).collect();
-    assert_eq!(of_b.len(), 4, "dead boxes are passed over in time");
+    assert_eq!(
+        of_b.len(),
+        4,
+        "later turns reach other boxes if one is dead"
+    );
 }
 
 #[test]
-fn the_first_box_that_lives_removes_those_of_its_hall_that_are_silent_long() {
+fn highest_ranked_live_box_removes_expired_boxes_of_its_hall() {
     let boxes = fleet(&["a", "b"], 4);
     let silent_for = |name: &str| match name {
         "edge-a-03" | "edge-b-01" => Duration::from_hours(1),
         "edge-a-01" => Duration::from_mins(1),
         _ => Duration::ZERO,
     };
-    let removes = |own: &str| gossip_topology::expired_boxes(&boxes, &boxes[own], silent_for);
+    let expired_for = |own: &str| gossip_topology::expired_boxes(&boxes, &boxes[own], silent_for);
 
-    assert_eq!(removes("edge-a-00"), ["edge-a-03"], "the first one is dead");
-    assert!(removes("edge-a-02").is_empty(), "the first one does it");
+    assert_eq!(
+        expired_for("edge-a-00"),
+        ["edge-a-03"],
+        "the highest-ranked box is dead"
+    );
+    assert!(
+        expired_for("edge-a-02").is_empty(),
+        "the highest-ranked live box removes it"
+    );
 }
 
 #[test]
-fn a_box_that_hears_nobody_removes_nobody() {
+fn isolated_box_removes_no_boxes() {
     let boxes = fleet(&["a"], 4);
 
-    let removed =
+    let expired =
         gossip_topology::expired_boxes(&boxes, &boxes["edge-a-03"], |_| Duration::from_hours(1));
 
-    assert!(removed.is_empty());
+    assert!(expired.is_empty());
 }
--- a/lib/tests/test_relay_hall_reachability.rs
+++ b/lib/tests/test_relay_hall_reachability.rs
@@ -1,23 +1,23 @@
-//! Which halls can be reached, by what is heard from the boxes there.
+//! Detection of unreachable halls by the heartbeats of their boxes.
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::relay::hall_reachability::HallReachability;
 use badgerferry_lib::time::Time;
 
-/// When the last datagram of the silent hall came.
-const LAST: u64 = 10_000;
+/// Time of the last datagram from the silent hall, in milliseconds.
+const LAST_HEARD_MS: u64 = 10_000;
 
 fn hall(name: &str) -> HallName {
     HallName::new(name)
 }
 
-/// Boxes of both halls are heard every 100 ms, those of hall b until [`LAST`] only.
-fn reach(boxes_there: usize, now_ms: u64) -> HallReachability {
+/// Boxes of both halls are heard every 100 ms, those of hall b only until [`LAST_HEARD_MS`].
+fn reachability(boxes_in_b: usize, now_ms: u64) -> HallReachability {
     let mut reach = HallReachability::default();
-    for at in (LAST - 1_000..=now_ms).step_by(100) {
+    for at in (LAST_HEARD_MS - 1_000..=now_ms).step_by(100) {
         reach.record_heartbeat(Time::from_millis(at), &hall("a"), "a1");
-        for number in 0..boxes_there {
-            if at <= LAST {
+        for number in 0..boxes_in_b {
+            if at <= LAST_HEARD_MS {
                 reach.record_heartbeat(Time::from_millis(at), &hall("b"), &format!("b{number}"));
             }
         }
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn a_hall_whose_boxes_are_all_silent_gets_no_calls_until_one_is_heard() {
-    let now = Time::from_millis(LAST + 400);
-    let mut reach = reach(20, LAST + 400);
+fn silent_hall_gets_no_calls_until_a_box_is_heard() {
+    let now = Time::from_millis(LAST_HEARD_MS + 400);
+    let mut reach = reachability(20, LAST_HEARD_MS + 400);
 
     assert!(!reach.allows_calls(now, &hall("b")));
     assert!(reach.allows_calls(now, &hall("a")));
@@ -37,55 +37,55 @@
 }
 
 #[test]
-fn the_silence_of_few_boxes_says_something_later_than_that_of_many() {
-    let now = Time::from_millis(LAST + 400);
+fn silence_timeout_is_longer_with_fewer_boxes() {
+    let now = Time::from_millis(LAST_HEARD_MS + 400);
 
-    assert!(reach(2, LAST + 400).allows_calls(now, &hall("b")));
-    assert!(!reach(20, LAST + 400).allows_calls(now, &hall("b")));
-    let later = Time::from_millis(LAST + 700);
-    assert!(!reach(2, LAST + 700).allows_calls(later, &hall("b")));
+    assert!(reachability(2, LAST_HEARD_MS + 400).allows_calls(now, &hall("b")));
+    assert!(!reachability(20, LAST_HEARD_MS + 400).allows_calls(now, &hall("b")));
+    let later = Time::from_millis(LAST_HEARD_MS + 700);
+    assert!(!reachability(2, LAST_HEARD_MS + 700).allows_calls(later, &hall("b")));
 }
 
 #[test]
-fn a_hall_whose_servers_answer_is_not_cut_off_though_its_boxes_are_gone() {
-    let now = Time::from_millis(LAST + 400);
-    let mut reach = reach(20, LAST + 400);
+fn hall_with_answering_servers_is_not_silent() {
+    let now = Time::from_millis(LAST_HEARD_MS + 400);
+    let mut reach = reachability(20, LAST_HEARD_MS + 400);
 
-    reach.record_answer(Time::from_millis(LAST + 300), &hall("b"));
+    reach.record_answer(Time::from_millis(LAST_HEARD_MS + 300), &hall("b"));
 
     assert!(reach.allows_calls(now, &hall("b")));
 }
 
 #[test]
-fn a_silent_hall_is_tried_by_one_call_now_and_then() {
-    let now = Time::from_millis(LAST + 1_000);
-    let mut reach = reach(20, LAST + 5_000);
+fn silent_hall_is_probed_by_one_call_per_interval() {
+    let now = Time::from_millis(LAST_HEARD_MS + 1_000);
+    let mut reach = reachability(20, LAST_HEARD_MS + 5_000);
     reach.record_call(now, &hall("b"));
 
-    assert!(!reach.allows_calls(Time::from_millis(LAST + 2_000), &hall("b")));
-    assert!(reach.allows_calls(Time::from_millis(LAST + 4_500), &hall("b")));
+    assert!(!reach.allows_calls(Time::from_millis(LAST_HEARD_MS + 2_000), &hall("b")));
+    assert!(reach.allows_calls(Time::from_millis(LAST_HEARD_MS + 4_500), &hall("b")));
 }
 
 #[test]
-fn a_box_that_hears_nobody_says_nothing_about_halls() {
-    let now = Time::from_millis(LAST + 3_000);
-    let reach = reach(20, LAST);
+fn isolated_box_treats_no_hall_as_silent() {
+    let now = Time::from_millis(LAST_HEARD_MS + 3_000);
+    let reach = reachability(20, LAST_HEARD_MS);
 
     assert!(reach.allows_calls(now, &hall("b")));
     assert!(reach.allows_calls(now, &hall("a")));
 }
 
 #[test]
-fn a_hall_without_boxes_is_admitted() {
-    let reach = reach(0, LAST);
+fn hall_without_boxes_is_allowed() {
+    let reach = reachability(0, LAST_HEARD_MS);
 
-    assert!(reach.allows_calls(Time::from_millis(LAST), &hall("b")));
+    assert!(reach.allows_calls(Time::from_millis(LAST_HEARD_MS), &hall("b")));
 }
 
 #[test]
-fn a_halls_silence_and_return_are_told_once_each() {
-    let silent_at = Time::from_millis(LAST + 400);
-    let mut reach = reach(20, LAST + 400);
+fn silence_and_recovery_are_reported_once_each() {
+    let silent_at = Time::from_millis(LAST_HEARD_MS + 400);
+    let mut reach = reachability(20, LAST_HEARD_MS + 400);
 
     let fell_silent = reach.take_changes(silent_at);
     let still_silent = reach.take_changes(silent_at);
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn a_box_that_hears_its_own_hall_only_knows_that_it_is_cut_off() {
-    let now = Time::from_millis(LAST + 2_000);
-    let mut reach = reach(20, LAST);
+fn box_that_hears_only_its_own_hall_treats_others_as_silent() {
+    let now = Time::from_millis(LAST_HEARD_MS + 2_000);
+    let mut reach = reachability(20, LAST_HEARD_MS);
 
     reach.record_own_hall_heartbeat(now);
 
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn a_boxs_own_hall_is_never_silent() {
-    let now = Time::from_millis(LAST + 3_000);
+fn own_hall_is_never_silent() {
+    let now = Time::from_millis(LAST_HEARD_MS + 3_000);
     let mut reach = HallReachability::default();
-    reach.record_own_hall_heartbeat(Time::from_millis(LAST));
+    reach.record_own_hall_heartbeat(Time::from_millis(LAST_HEARD_MS));
     reach.record_heartbeat(now, &hall("b"), "b1");
 
     assert!(reach.allows_calls(now, &hall("own")));
--- a/lib/tests/test_relay_peer_liveness.rs
+++ b/lib/tests/test_relay_peer_liveness.rs
@@ -1,4 +1,4 @@
-//! Which boxes are heard, and who is ahead.
+//! Liveness of other boxes, and which of them have newer state.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use badgerferry_lib::relay::store_position::StorePosition;
 use badgerferry_lib::time::Time;
 
-const fn have(version: u64, revision: u64) -> KnownState {
-    in_era(0, version, revision)
+const fn state(version: u64, revision: u64) -> KnownState {
+    state_in_era(0, version, revision)
 }
 
-const fn in_era(era: u64, version: u64, revision: u64) -> KnownState {
+const fn state_in_era(era: u64, version: u64, revision: u64) -> KnownState {
     KnownState {
         routes: Some(version),
         servers: StorePosition { era, revision },
@@ -23,49 +23,49 @@
 }
 
 #[test]
-fn boxes_that_said_they_have_newer_state_are_ahead_while_they_live() {
-    let mut heard = PeerLiveness::default();
-    heard.record(at(0), "routes", have(5, 1));
-    heard.record(at(100), "servers", have(4, 9));
-    heard.record(at(100), "level", have(4, 1));
+fn live_boxes_with_newer_state_are_ahead() {
+    let mut peers = PeerLiveness::default();
+    peers.record(at(0), "routes", state(5, 1));
+    peers.record(at(100), "servers", state(4, 9));
+    peers.record(at(100), "equal", state(4, 1));
 
-    let mut ahead = heard.ahead_of(at(200), have(4, 1));
+    let mut ahead = peers.ahead_of(at(200), state(4, 1));
     ahead.sort_unstable();
 
     assert_eq!(ahead, ["routes", "servers"]);
-    assert_eq!(heard.ahead_of(at(1_250), have(4, 1)), ["servers"]);
-    assert!(heard.ahead_of(at(200), have(5, 9)).is_empty());
+    assert_eq!(peers.ahead_of(at(1_250), state(4, 1)), ["servers"]);
+    assert!(peers.ahead_of(at(200), state(5, 9)).is_empty());
 }
 
 #[test]
-fn a_box_that_is_silent_lives_no_more() {
-    let mut heard = PeerLiveness::default();
-    heard.record(at(1_000), "a", have(1, 1));
+fn silent_box_is_not_live() {
+    let mut peers = PeerLiveness::default();
+    peers.record(at(1_000), "a", state(1, 1));
 
-    assert!(heard.is_live(at(2_100), "a"));
-    assert!(!heard.is_live(at(2_200), "a"));
-    assert_eq!(heard.silent_for(at(3_000), "a"), Duration::from_secs(2));
-    assert_eq!(heard.silent_for(at(3_000), "b"), Duration::from_secs(3));
+    assert!(peers.is_live(at(2_100), "a"));
+    assert!(!peers.is_live(at(2_200), "a"));
+    assert_eq!(peers.silent_for(at(3_000), "a"), Duration::from_secs(2));
+    assert_eq!(peers.silent_for(at(3_000), "b"), Duration::from_secs(3));
 }
 
 #[test]
-fn a_box_of_an_older_era_is_ahead_of_none_whatever_its_revision() {
-    let mut heard = PeerLiveness::default();
-    heard.record(at(0), "older", in_era(1, 5, 90));
-    heard.record(at(0), "newer", in_era(2, 5, 4));
+fn older_era_is_never_ahead() {
+    let mut peers = PeerLiveness::default();
+    peers.record(at(0), "older", state_in_era(1, 5, 90));
+    peers.record(at(0), "newer", state_in_era(2, 5, 4));
 
-    assert!(heard.ahead_of(at(100), in_era(2, 5, 4)).is_empty());
-    assert_eq!(heard.ahead_of(at(100), in_era(1, 5, 90)), ["newer"]);
+    assert!(peers.ahead_of(at(100), state_in_era(2, 5, 4)).is_empty());
+    assert_eq!(peers.ahead_of(at(100), state_in_era(1, 5, 90)), ["newer"]);
 }
 
 #[test]
-fn a_box_without_routes_lacks_any() {
-    let mut heard = PeerLiveness::default();
-    heard.record(at(0), "first", have(0, 1));
-    let none = KnownState {
+fn box_without_routes_is_behind_any_route_table() {
+    let mut peers = PeerLiveness::default();
+    peers.record(at(0), "first", state(0, 1));
+    let without_routes = KnownState {
         routes: None,
-        ..have(0, 1)
+        ..state(0, 1)
     };
 
-    assert_eq!(heard.ahead_of(at(100), none), ["first"]);
+    assert_eq!(peers.ahead_of(at(100), without_routes), ["first"]);
 }
--- a/lib/tests/test_relay_state_pull.rs
+++ b/lib/tests/test_relay_state_pull.rs
@@ -1,4 +1,4 @@
-//! From whom a box takes its first state.
+//! Sources for the first state of a box.
 
 use std::net::SocketAddr;
 
@@ -10,21 +10,21 @@
     SocketAddr::from(([10, 1, 0, 15], port))
 }
 
-fn of(name: &str, port: u16) -> (String, BoxAddresses) {
-    let of = BoxAddresses {
+fn entry(name: &str, port: u16) -> (String, BoxAddresses) {
+    let info = BoxAddresses {
         name: name.to_owned(),
         hall: "hall-a".to_owned(),
         pull: address(port).to_string(),
         load: "10.1.0.15:1".to_owned(),
         processor: 0,
     };
-    (name.to_owned(), of)
+    (name.to_owned(), info)
 }
 
-/// Found by a play: a box that had just started drew its own address, and lost that pull.
+/// Guards against a wasted pull: a newly started box picked its own address as the source.
 #[test]
-fn a_box_never_asks_itself_for_its_first_state() {
-    let boxes = Boxes::from([of("own", 1), of("other", 2)]);
+fn own_address_is_not_a_bootstrap_source() {
+    let boxes = Boxes::from([entry("own", 1), entry("other", 2)]);
 
     let sources = bootstrap_sources(address(1), &[address(1), address(3)], &boxes);
 
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn a_seed_that_is_known_is_asked_no_more_often_than_others() {
-    let boxes = Boxes::from([of("own", 1), of("seed", 3)]);
+fn known_seed_is_listed_once() {
+    let boxes = Boxes::from([entry("own", 1), entry("seed", 3)]);
 
     let sources = bootstrap_sources(address(1), &[address(3)], &boxes);
 
