--- a/lib/src/relay/load_datagram.rs
+++ b/lib/src/relay/load_datagram.rs
@@ -6,7 +6,7 @@
 use crate::ids::HallName;
 use crate::relay::engine_load::EngineKey;
 use crate::relay::engine_load::EngineLoad;
-use crate::relay::long_queue::QueueHead;
+use crate::relay::long_prompt_queue::QueueHead;
 use crate::relay::quarantine::QuarantineRow;
 use crate::relay::server_notices::NoticeRows;
 use crate::relay::state_pull::FRAME_VERSION;
