--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -209,7 +209,7 @@
     ///
     /// The server leaves, or wants nothing of this box now.
     pub fn enter_order(&self, target: &Target) -> Result<Pass, Closed> {
-        if self.availability(target).accepts_parts() {
+        if self.availability(target).accepts_chunks() {
             Ok(self.charge(target))
         } else {
             Err(Closed)
--- a/lib/src/relay/availability.rs
+++ b/lib/src/relay/availability.rs
@@ -12,7 +12,7 @@
     Open,
     /// Has a call limit shared by all boxes; each call needs a permit.
     Limited,
-    /// Turned other boxes away, or is being probed by a call of this box; other servers are
+    /// Rejected calls of other boxes, or is being probed by a call of this box; other servers are
     /// preferred.
     Shedding,
     /// Its call limit has no permit left for this box for a while.
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Whether the server may process a part of another server's call. The call limit does not
-    /// apply to parts.
-    pub const fn accepts_parts(self) -> bool {
+    /// Whether the server may process a prefill chunk for a call to another server. The call limit
+    /// does not apply to chunks.
+    pub const fn accepts_chunks(self) -> bool {
         match self {
             Self::Open | Self::Limited | Self::Shedding | Self::Closed => true,
             Self::BackOff | Self::Leaving => false,
--- a/lib/src/relay/server_book.rs
+++ b/lib/src/relay/server_book.rs
@@ -266,7 +266,7 @@
             .filter(|record| !record.info.leaving);
         let listed = listed.map(|record| (record, availability(record.life)));
         let listed: Vec<_> = listed
-            .filter(|(_, availability)| availability.accepts_parts())
+            .filter(|(_, availability)| availability.accepts_chunks())
             .collect();
         let is_fresh = |record: &ServerRecord| !tried.contains(&record.info.name);
         let works = |record: &ServerRecord| {
