--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -271,7 +271,7 @@
             .filter(|record| !record.info.leaving);
         let listed = listed.map(|record| (record, availability(record.life)));
         let listed: Vec<_> = listed
-            .filter(|(_, availability)| availability.accepts_parts())
+            .filter(|(_, availability)| availability.accepts_chunks())
             .collect();
         let is_untried = |record: &ServerRecord| !tried.contains(&record.info.name);
         let is_healthy = |record: &ServerRecord| {
