--- a/lib/src/relay/engine_load.rs
+++ b/lib/src/relay/engine_load.rs
@@ -58,7 +58,7 @@
 }
 
 impl EngineLoad {
-    /// Adds load reported by another box.
+    /// Adds `other` to this load.
     pub const fn add(&mut self, other: Self) {
         self.prefill_ms += other.prefill_ms;
         self.long_prefills += other.long_prefills;
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -211,11 +211,11 @@
         life: ServerLife,
         began: Time,
     ) -> Option<Change> {
-        let at = SignedTime::from_time(now);
+        let at = SignedTime::of(now);
         let end = End {
             life,
             at,
-            began: SignedTime::from_time(began),
+            began: SignedTime::of(began),
             to_store: true,
         };
         self.change(now, work, |known| {
@@ -236,14 +236,12 @@
         if !self.works.contains_key(&work) {
             return None;
         }
-        self.change(now, work, |known| {
-            known.good = Some(SignedTime::from_time(now))
-        })
+        self.change(now, work, |known| known.good = Some(SignedTime::of(now)))
     }
 
     /// Takes what the store holds.
     pub fn stored(&mut self, now: Time, work: WorkKey, fact: Fact) -> Option<Change> {
-        let at = SignedTime::from_time(now);
+        let at = SignedTime::of(now);
         match fact {
             Fact::Ended(life) => self.change(now, work, |known| {
                 known.add(End {
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -93,7 +93,7 @@
             Stated::Absent if self.words.contains_key(&life) => None,
             Stated::Absent | Stated::Unreadable => return None,
         };
-        self.take(now, life, rate, SignedTime::from_time(now))
+        self.take(now, life, rate, SignedTime::of(now))
     }
 
     /// Takes what another box tells.
--- a/lib/src/relay/signed_time.rs
+++ b/lib/src/relay/signed_time.rs
@@ -11,7 +11,7 @@
 pub(crate) struct SignedTime(i64);
 
 impl SignedTime {
-    pub(crate) const fn from_time(time: Time) -> Self {
+    pub(crate) const fn of(time: Time) -> Self {
         Self(time.as_micros().cast_signed())
     }
 
--- a/lib/src/relay/slow_engine_tracker.rs
+++ b/lib/src/relay/slow_engine_tracker.rs
@@ -19,8 +19,8 @@
 const LATE_FACTOR: u32 = 2;
 /// Allows for an unforeseen pass and for the network latency of the answer.
 const LATE_SLACK: Duration = Duration::from_millis(300);
-/// Pace, as a multiple of the usual time, from which an engine counts as slow. Slow engines seen in
-/// operation take about five times as long.
+/// Pace, as a multiple of the usual time, from which an engine counts as slow. The slow engines that
+/// users report take about five times as long.
 const SLOW_PACE: f64 = 2.0;
 /// Minimum interval between queries by one box to the same engine; each query has a cost.
 pub const QUERY_INTERVAL: Duration = Duration::from_secs(1);
