--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -221,11 +221,11 @@
         incarnation: ServerIncarnation,
         run_started: Time,
     ) -> Option<QuarantineChange> {
-        let at = SignedTime::from_time(now);
+        let at = SignedTime::of(now);
         let crash = Crash {
             incarnation,
             at,
-            run_started: SignedTime::from_time(run_started),
+            run_started: SignedTime::of(run_started),
             needs_store: true,
         };
         self.change(now, fingerprint, |request| {
@@ -251,7 +251,7 @@
             return None;
         }
         self.change(now, fingerprint, |request| {
-            request.succeeded = Some(SignedTime::from_time(now))
+            request.succeeded = Some(SignedTime::of(now))
         })
     }
 
@@ -262,7 +262,7 @@
         fingerprint: RequestFingerprint,
         fact: StoredFact,
     ) -> Option<QuarantineChange> {
-        let at = SignedTime::from_time(now);
+        let at = SignedTime::of(now);
         match fact {
             StoredFact::Crashed(incarnation) => self.change(now, fingerprint, |request| {
                 request.add(Crash {
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -98,7 +98,7 @@
             ParsedHeader::Absent if self.statements.contains_key(&incarnation) => None,
             ParsedHeader::Absent | ParsedHeader::Unreadable => return None,
         };
-        self.apply(now, incarnation, rate, SignedTime::from_time(now))
+        self.apply(now, incarnation, rate, SignedTime::of(now))
     }
 
     /// Merges statements gossiped by another box.
