--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -314,10 +314,10 @@
     } = change;
     match status {
         RequestStatus::Suspect => {
-            tracing::info!(work = %fingerprint, lives = crashes, source, "work is suspect")
+            tracing::info!(work = %fingerprint, lives = crashes, source, "work is suspect");
         }
         RequestStatus::Quarantined => {
-            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers")
+            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers");
         }
         RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "work is cleared"),
     }
--- a/lib/src/relay/attempts.rs
+++ b/lib/src/relay/attempts.rs
@@ -15,7 +15,7 @@
 use crate::outcome::Unsent;
 
 /// Failed connections per call. Several servers in a row may be gone while the caller still waits.
-const MAX_CONNECT_TRIES: u32 = 4;
+const MAX_CONNECT_ATTEMPTS: u32 = 4;
 /// Servers that may reject one call because they shed load. None of them is tried again during its
 /// pause, and each further attempt spends from the retry budget.
 const MAX_SHED_ATTEMPTS: u32 = 4;
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug)]
-enum ExecutionState {
+enum Execution {
     Unsent(Unsent),
     Sent(InFlight),
     MayHaveRun,
@@ -61,9 +61,9 @@
     repeatable: bool,
     max_sent: u32,
     sent: u32,
-    shed_attempts: u32,
+    times_shed: u32,
     failed_connects: u32,
-    state: Option<ExecutionState>,
+    state: Option<Execution>,
 }
 
 impl Attempts {
@@ -73,9 +73,9 @@
             repeatable,
             max_sent,
             sent: 0,
-            shed_attempts: 0,
+            times_shed: 0,
             failed_connects: 0,
-            state: Some(ExecutionState::Unsent(Unsent::new())),
+            state: Some(Execution::Unsent(Unsent::new())),
         }
     }
 
@@ -91,7 +91,7 @@
 
     /// Whether the call certainly has not run.
     pub const fn is_unsent(&self) -> bool {
-        matches!(self.state, Some(ExecutionState::Unsent(_)))
+        matches!(self.state, Some(Execution::Unsent(_)))
     }
 
     /// Whether the call may be sent again after it may have run. The retry budget is not
@@ -103,7 +103,7 @@
     /// Whether an attempt is left. Attempts that ended with load shedding count against their own
     /// limit.
     const fn has_attempt_left(&self) -> bool {
-        self.sent - self.shed_attempts < self.max_sent && self.shed_attempts < MAX_SHED_ATTEMPTS
+        self.sent - self.times_shed < self.max_sent && self.times_shed < MAX_SHED_ATTEMPTS
     }
 
     /// Records that the call is being sent.
@@ -113,14 +113,14 @@
     /// Panics if the call is not repeatable and may have run.
     pub fn send(&mut self) {
         self.sent += 1;
-        self.state = if let Some(ExecutionState::Unsent(proof)) = self.state.take() {
-            Some(ExecutionState::Sent(proof.dispatch()))
+        self.state = if let Some(Execution::Unsent(proof)) = self.state.take() {
+            Some(Execution::Sent(proof.dispatch()))
         } else {
             assert!(
                 self.repeatable,
                 "a call that may not be repeated is sent again only if it did not run"
             );
-            Some(ExecutionState::MayHaveRun)
+            Some(Execution::MayHaveRun)
         };
     }
 
@@ -141,21 +141,19 @@
             }
             AttemptEnd::Declined => self.mark_not_started(NotStarted::ServerSaidSo),
             AttemptEnd::Shed => {
-                self.shed_attempts += 1;
+                self.times_shed += 1;
                 self.mark_not_started(NotStarted::ServerSaidSo);
             }
-            AttemptEnd::Lost | AttemptEnd::ServerError => {
-                self.state = Some(ExecutionState::MayHaveRun)
-            }
+            AttemptEnd::Lost | AttemptEnd::ServerError => self.state = Some(Execution::MayHaveRun),
         }
         let may_resend = self.repeatable || self.is_unsent();
-        let has_left = self.has_attempt_left() && self.failed_connects < MAX_CONNECT_TRIES;
+        let has_left = self.has_attempt_left() && self.failed_connects < MAX_CONNECT_ATTEMPTS;
         if may_resend && has_left && (!self.is_retry() || may_retry()) {
             return NextStep::TryElsewhere;
         }
         match (end, self.state.take()) {
             (AttemptEnd::ServerError, _) => NextStep::PassOn,
-            (_, Some(ExecutionState::Unsent(proof))) => NextStep::Refuse(Refused::new(
+            (_, Some(Execution::Unsent(proof))) => NextStep::Refuse(Refused::new(
                 proof,
                 RefusalReason::NoServer,
                 Some(retry_after),
@@ -168,7 +166,7 @@
     /// Ends a call that no server can accept now.
     pub fn give_up(&mut self, reason: RefusalReason, retry_after: Duration) -> NextStep {
         match self.state.take() {
-            Some(ExecutionState::Unsent(proof)) => {
+            Some(Execution::Unsent(proof)) => {
                 NextStep::Refuse(Refused::new(proof, reason, Some(retry_after)))
             }
             _ if reason == RefusalReason::DeadlineWhileWaiting => {
@@ -180,8 +178,8 @@
 
     fn mark_not_started(&mut self, evidence: NotStarted) {
         self.state = match self.state.take() {
-            Some(ExecutionState::Sent(in_flight)) => {
-                Some(ExecutionState::Unsent(in_flight.not_started(evidence)))
+            Some(Execution::Sent(in_flight)) => {
+                Some(Execution::Unsent(in_flight.not_started(evidence)))
             }
             other => other,
         };
--- a/lib/src/relay/lost_calls.rs
+++ b/lib/src/relay/lost_calls.rs
@@ -133,7 +133,7 @@
 /// Class of a call by the size of its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PromptSize {
+pub enum SizeClass {
     /// Not a generation.
     Plain,
     /// Up to 25,000 tokens: prefill on one engine that also serves streams.
@@ -144,7 +144,7 @@
     Long,
 }
 
-impl PromptSize {
+impl SizeClass {
     /// Class of a prompt with this many tokens, or of a call without a prompt.
     pub const fn of(tokens: Option<u64>) -> Self {
         match tokens {
@@ -156,7 +156,7 @@
     }
 }
 
-impl fmt::Display for PromptSize {
+impl fmt::Display for SizeClass {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Plain => "plain",
@@ -195,12 +195,12 @@
 #[derive(Debug, Default)]
 pub struct LostCalls {
     /// All calls by prompt size.
-    pub calls: BTreeMap<PromptSize, u64>,
+    pub calls: BTreeMap<SizeClass, u64>,
     /// Lost calls by prompt size and cause.
-    pub lost: BTreeMap<(PromptSize, LossCause), LostRow>,
+    pub lost: BTreeMap<(SizeClass, LossCause), LostRow>,
     /// Lost calls by the second in which their record was logged.
     pub seconds: BTreeMap<String, u64>,
-    ratios: BTreeMap<PromptSize, Vec<f64>>,
+    ratios: BTreeMap<SizeClass, Vec<f64>>,
     /// Prompt tokens and whether the call was served, by route.
     prompts: BTreeMap<String, Vec<(u64, bool)>>,
 }
@@ -208,7 +208,7 @@
 impl LostCalls {
     /// Adds a record that was logged in `second`.
     pub fn add(&mut self, second: &str, record: &CallRecord) {
-        let size = PromptSize::of(record.tokens);
+        let size = SizeClass::of(record.tokens);
         *self.calls.entry(size).or_default() += 1;
         if let (Some(route), Some(tokens)) = (&record.route, record.tokens) {
             let prompts = self.prompts.entry(route.clone()).or_default();
@@ -236,7 +236,7 @@
     }
 
     /// Ratio of prefill time to its estimate, by prompt size.
-    pub fn prefill_ratios(&self) -> BTreeMap<PromptSize, PrefillRatios> {
+    pub fn prefill_ratios(&self) -> BTreeMap<SizeClass, PrefillRatios> {
         let summarize = |ratios: &Vec<f64>| {
             let mut sorted = ratios.clone();
             sorted.sort_by(f64::total_cmp);
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -251,7 +251,7 @@
             return None;
         }
         self.change(now, fingerprint, |request| {
-            request.succeeded = Some(Moment::of(now))
+            request.success = Some(Moment::of(now));
         })
     }
 
@@ -307,7 +307,7 @@
             self.change(now, row.fingerprint, |request| {
                 // The sender missed the successful run known here, which is reported again.
                 let has_crashes = !row.crashes.is_empty() || row.quarantined.is_some();
-                let is_behind = has_crashes && request.succeeded > row.succeeded.map(ago);
+                let is_behind = has_crashes && request.success > row.succeeded.map(ago);
                 if is_behind && request.status(now) == RequestStatus::Cleared {
                     request.changed = now;
                 }
@@ -325,7 +325,7 @@
                 });
                 request.quarantine = request.quarantine.max(quarantine);
                 request.released = request.released.max(row.released.map(ago));
-                request.succeeded = request.succeeded.max(row.succeeded.map(ago));
+                request.success = request.success.max(row.succeeded.map(ago));
                 // A missing row does not end a run: a datagram holds only a few of many rows.
                 let running = match scope {
                     RunScope::Box => &mut request.running_boxes,
@@ -457,13 +457,13 @@
         let newest = counted.iter().rev().take(MAX_CRASHES_PER_ROW);
         QuarantineRow {
             fingerprint,
-            crashes: newest.map(|crash| crash.to_row(now)).collect(),
+            crashes: newest.map(|crash| crash.row(now)).collect(),
             quarantined: (request
                 .quarantine
                 .filter(|_| request.quarantined_at(now).is_some()))
             .map(|span| (span.first.millis_ago(now), span.last.millis_ago(now))),
             released: request.released.map(|at| at.millis_ago(now)),
-            succeeded: request.succeeded.map(|at| at.millis_ago(now)),
+            succeeded: request.success.map(|at| at.millis_ago(now)),
             running: self.runs_in(now, scope, fingerprint, request),
         }
     }
@@ -499,7 +499,7 @@
     }
 
     /// Marks the facts observed by this box to be written again, after the store was restored from
-    /// a copy that may lack them.
+    /// a backup that may lack them.
     pub fn on_store_restored(&mut self) {
         for request in self.requests.values_mut().filter(|request| request.is_own) {
             request
--- a/lib/src/relay/suspect_request.rs
+++ b/lib/src/relay/suspect_request.rs
@@ -67,7 +67,7 @@
 }
 
 impl Crash {
-    pub(super) const fn to_row(&self, now: Time) -> CrashRow {
+    pub(super) const fn row(&self, now: Time) -> CrashRow {
         let age_ms = self.at.millis_ago(now);
         CrashRow {
             incarnation: self.incarnation,
@@ -100,7 +100,7 @@
     /// Whether a server crashed during a run of this box.
     pub(super) is_own: bool,
     /// End of the latest successful run.
-    pub(super) succeeded: Option<Moment>,
+    pub(super) success: Option<Moment>,
     /// When boxes of this hall, or all boxes of a small fleet, last reported a run in progress.
     pub(super) running_boxes: BTreeMap<String, Time>,
     /// When other halls last reported a run in progress.
@@ -114,8 +114,8 @@
     /// expired.
     pub(super) fn counts(&self, now: Time, at: Moment) -> bool {
         let is_cleared = self
-            .succeeded
-            .is_some_and(|succeeded| at <= succeeded.plus(SUCCESS_GRACE));
+            .success
+            .is_some_and(|success| at <= success.plus(SUCCESS_GRACE));
         !is_cleared && at.since(now) < CRASH_RETENTION
     }
 
@@ -209,9 +209,7 @@
         let crashes = self.crashes.iter().map(|crash| crash.at);
         let mut crashes = crashes.chain(self.quarantine.map(|quarantine| quarantine.last));
         let has_recent_crash = crashes.any(|at| at.since(now) < CRASH_RETENTION);
-        let has_recent_success = self
-            .succeeded
-            .is_some_and(|at| at.since(now) < SUCCESS_GRACE);
+        let has_recent_success = self.success.is_some_and(|at| at.since(now) < SUCCESS_GRACE);
         !has_recent_crash && !has_recent_success
     }
 }
--- a/lib/tests/test_relay_attempts.rs
+++ b/lib/tests/test_relay_attempts.rs
@@ -1,4 +1,4 @@
-//! What follows when a try of a relayed call ends.
+//! Next step after an attempt of a relayed call.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::seeded::seeded;
 
-const LATER: Duration = Duration::from_millis(250);
+const RETRY_AFTER: Duration = Duration::from_millis(250);
 
 fn sent_once(repeatable: bool, max: u32) -> Attempts {
     let mut attempts = Attempts::new(repeatable, max);
@@ -24,86 +24,86 @@
 }
 
 #[test]
-fn a_lost_call_that_may_not_be_repeated_fails_without_a_promise() {
+fn lost_call_that_is_not_repeatable_fails() {
     let mut attempts = sent_once(false, 3);
 
-    let next = attempts.on_attempt_end(AttemptEnd::Lost, LATER, || true);
+    let next = attempts.on_attempt_end(AttemptEnd::Lost, RETRY_AFTER, || true);
 
     assert_eq!(next, NextStep::Fail(FailureReason::ServerLost));
 }
 
 #[test]
-fn a_declined_call_that_may_not_be_repeated_goes_to_another_server() {
+fn declined_call_that_is_not_repeatable_goes_to_another_server() {
     let mut attempts = sent_once(false, 2);
 
-    let next = attempts.on_attempt_end(AttemptEnd::Declined, LATER, || true);
+    let next = attempts.on_attempt_end(AttemptEnd::Declined, RETRY_AFTER, || true);
 
     assert_eq!(next, NextStep::TryElsewhere);
 }
 
 #[test]
-fn a_declined_call_with_no_attempt_left_is_refused_with_a_time_to_come_back() {
+fn declined_call_without_attempts_left_is_refused_with_retry_after() {
     let mut attempts = sent_once(false, 1);
 
-    let next = attempts.on_attempt_end(AttemptEnd::Declined, LATER, || true);
+    let next = attempts.on_attempt_end(AttemptEnd::Declined, RETRY_AFTER, || true);
 
     match next {
         NextStep::Refuse(refused) => {
             assert_eq!(refused.reason(), RefusalReason::NoServer);
-            assert_eq!(refused.retry_after(), Some(LATER));
+            assert_eq!(refused.retry_after(), Some(RETRY_AFTER));
         }
         other => panic!("not refused: {other:?}"),
     }
 }
 
 #[test]
-fn servers_that_shed_do_not_end_a_call_that_others_could_take() {
+fn attempts_on_shedding_servers_do_not_count_against_max_sent() {
     let mut attempts = sent_once(false, 2);
 
     for _ in 0..2 {
-        let next = attempts.on_attempt_end(AttemptEnd::Shed, LATER, || true);
+        let next = attempts.on_attempt_end(AttemptEnd::Shed, RETRY_AFTER, || true);
         assert_eq!(next, NextStep::TryElsewhere);
         attempts.send();
     }
-    let next = attempts.on_attempt_end(AttemptEnd::Lost, LATER, || true);
+    let next = attempts.on_attempt_end(AttemptEnd::Lost, RETRY_AFTER, || true);
 
     assert_eq!(next, NextStep::Fail(FailureReason::ServerLost));
     assert_eq!(attempts.sent(), 3);
 }
 
 #[test]
-fn a_call_is_not_turned_away_for_ever_and_each_repeat_asks_the_budget() {
+fn shed_attempts_are_limited_and_each_retry_spends_from_the_budget() {
     let mut attempts = Attempts::new(true, 1);
-    let mut asked = 0;
+    let mut spent = 0;
 
     let refused = (0..10).position(|_| {
         attempts.send();
-        let next = attempts.on_attempt_end(AttemptEnd::Shed, LATER, || {
-            asked += 1;
+        let next = attempts.on_attempt_end(AttemptEnd::Shed, RETRY_AFTER, || {
+            spent += 1;
             true
         });
         is_refusal(&next)
     });
 
     assert_eq!(refused, Some(3));
-    assert_eq!(asked, 3);
+    assert_eq!(spent, 3);
 }
 
 #[test]
-fn a_call_that_was_turned_away_without_budget_is_refused() {
+fn shed_call_without_budget_is_refused() {
     let mut attempts = sent_once(true, 2);
 
-    let next = attempts.on_attempt_end(AttemptEnd::Shed, LATER, || false);
+    let next = attempts.on_attempt_end(AttemptEnd::Shed, RETRY_AFTER, || false);
 
     assert!(is_refusal(&next), "{next:?}");
 }
 
 #[test]
-fn a_connection_that_was_not_made_uses_no_attempt_and_no_budget() {
+fn failed_connection_uses_no_attempt_and_no_budget() {
     let mut attempts = sent_once(false, 1);
 
-    let next = attempts.on_attempt_end(AttemptEnd::NoConnection, LATER, || {
-        panic!("asked for budget")
+    let next = attempts.on_attempt_end(AttemptEnd::NoConnection, RETRY_AFTER, || {
+        panic!("retry budget was asked")
     });
 
     assert_eq!(next, NextStep::TryElsewhere);
@@ -111,61 +111,62 @@
 }
 
 #[test]
-fn connections_are_not_tried_for_ever() {
+fn failed_connections_are_limited() {
     let mut attempts = Attempts::new(true, 1);
 
     let refused = (0..10).position(|_| {
         attempts.send();
-        is_refusal(&attempts.on_attempt_end(AttemptEnd::NoConnection, LATER, || true))
+        is_refusal(&attempts.on_attempt_end(AttemptEnd::NoConnection, RETRY_AFTER, || true))
     });
 
-    assert!(refused.is_some_and(|tries| tries < 9));
+    assert!(refused.is_some_and(|failures| failures < 9));
 }
 
 #[test]
-fn a_lost_call_without_budget_fails() {
+fn lost_call_without_budget_fails() {
     let mut attempts = sent_once(true, 2);
 
-    let next = attempts.on_attempt_end(AttemptEnd::Lost, LATER, || false);
+    let next = attempts.on_attempt_end(AttemptEnd::Lost, RETRY_AFTER, || false);
 
     assert_eq!(next, NextStep::Fail(FailureReason::AttemptsUsed));
 }
 
 #[test]
-fn a_servers_own_failure_is_passed_on_where_it_may_not_be_repeated() {
+fn server_error_is_forwarded_if_the_call_is_not_repeatable() {
     let mut attempts = sent_once(false, 2);
 
-    let next = attempts.on_attempt_end(AttemptEnd::ServerError, LATER, || true);
+    let next = attempts.on_attempt_end(AttemptEnd::ServerError, RETRY_AFTER, || true);
 
     assert_eq!(next, NextStep::PassOn);
 }
 
 #[test]
-fn a_call_declined_after_it_was_lost_elsewhere_is_never_called_not_run() {
+fn call_declined_after_a_lost_attempt_is_not_reported_as_not_run() {
     let mut attempts = sent_once(true, 2);
     assert_eq!(
-        attempts.on_attempt_end(AttemptEnd::Lost, LATER, || true),
+        attempts.on_attempt_end(AttemptEnd::Lost, RETRY_AFTER, || true),
         NextStep::TryElsewhere
     );
     attempts.send();
 
-    let next = attempts.on_attempt_end(AttemptEnd::Declined, LATER, || true);
+    let next = attempts.on_attempt_end(AttemptEnd::Declined, RETRY_AFTER, || true);
 
     assert_eq!(next, NextStep::Fail(FailureReason::AttemptsUsed));
 }
 
 #[test]
 #[should_panic(expected = "may not be repeated")]
-fn sending_a_lost_call_again_that_may_not_be_repeated_stops_the_process() {
+fn resending_a_lost_call_that_is_not_repeatable_panics() {
     let mut attempts = sent_once(false, 2);
-    let _ = attempts.on_attempt_end(AttemptEnd::Lost, LATER, || true);
+    let _ = attempts.on_attempt_end(AttemptEnd::Lost, RETRY_AFTER, || true);
 
     attempts.send();
 }
 
-/// Whatever happens: never more sends than allowed, and "not run" only while nothing may have.
+/// For any sequence of attempt ends: no more sends than allowed, and "not run" only if no attempt
+/// may have run.
 #[test]
-fn promises_hold_for_any_ends() {
+fn send_limits_and_not_run_hold_for_any_ends() {
     fn property(repeatable: bool, max: u8, ends: Vec<u8>) -> TestResult {
         if max == 0 {
             return TestResult::discard();
@@ -188,7 +189,7 @@
             };
             shed += u32::from(end == AttemptEnd::Shed);
             maybe_ran |= matches!(end, AttemptEnd::Lost | AttemptEnd::ServerError);
-            match attempts.on_attempt_end(end, LATER, || true) {
+            match attempts.on_attempt_end(end, RETRY_AFTER, || true) {
                 NextStep::TryElsewhere if maybe_ran && !repeatable => return TestResult::failed(),
                 NextStep::TryElsewhere => {}
                 NextStep::Refuse(_) => return TestResult::from_bool(!maybe_ran),
--- a/lib/tests/test_relay_crash_model.rs
+++ b/lib/tests/test_relay_crash_model.rs
@@ -1,5 +1,5 @@
-//! Calls that end servers, before boxes that tell each other of it: how many servers they end at
-//! which size, and whether calls that did nothing pay for it.
+//! Simulation of calls that crash servers, with boxes that report crashes to each other: how many
+//! servers crash at which fleet size, and whether innocent calls are refused.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const SEEDS: u64 = 12;
 
-/// One caller whose call ends servers, and others.
+/// One caller whose call crashes servers, besides ordinary callers.
 fn plan(boxes: usize, servers: usize) -> CrashPlan {
     CrashPlan {
         boxes,
@@ -27,7 +27,7 @@
     }
 }
 
-fn play(plan: &CrashPlan, bound: Bound) -> Vec<CrashCounts> {
+fn run_seeds(plan: &CrashPlan, bound: Bound) -> Vec<CrashCounts> {
     let seeds = 0..SEEDS;
     seeds
         .map(|seed| crash_model::run(plan, bound, seed))
@@ -36,42 +36,42 @@
 
 fn sum(counts: &[CrashCounts]) -> CrashCounts {
     let mut sum = CrashCounts::default();
-    for one in counts {
-        sum.add(*one);
+    for count in counts {
+        sum.add(*count);
     }
     sum
 }
 
 #[test]
-fn one_caller_ends_three_servers_whatever_the_number_of_boxes() {
+fn one_caller_crashes_three_servers_at_any_number_of_boxes() {
     for (boxes, servers) in [(6, 18), (77, 60), (295, 150)] {
-        let days = play(&plan(boxes, servers), Bound::Shared);
+        let runs = run_seeds(&plan(boxes, servers), Bound::Shared);
 
-        let most = days.iter().map(|day| day.ended).max();
+        let most = runs.iter().map(|run| run.ended).max();
         assert_eq!(most, Some(3), "{boxes} boxes");
-        assert_eq!(sum(&days).late_sends, 0, "{boxes} boxes");
+        assert_eq!(sum(&runs).late_sends, 0, "{boxes} boxes");
     }
 }
 
-/// Without the bound 50 servers end in the mean; with one that each box keeps by itself, 18 (40 seeds of
-/// 20 s).
+/// Checks the model itself: without the bound 50 servers crash on average, and 18 if each box
+/// counts only its own crashes (40 seeds of 20 s).
 #[test]
-fn without_what_boxes_tell_each_other_the_model_shows_the_fault() {
+fn without_shared_reports_the_model_shows_many_crashes() {
     let plan = plan(6, 18);
 
-    let none = sum(&play(&plan, Bound::None));
-    let each = sum(&play(&plan, Bound::EachBox));
+    let none = sum(&run_seeds(&plan, Bound::None));
+    let each_box = sum(&run_seeds(&plan, Bound::EachBox));
 
     assert!(
         none.ended > 30 * SEEDS as usize && none.late_sends > 0,
         "{none:?}"
     );
-    assert!(each.ended > 9 * SEEDS as usize, "{each:?}");
+    assert!(each_box.ended > 9 * SEEDS as usize, "{each_box:?}");
 }
 
-/// Some boxes hear no other one, some start anew, and six callers come at once.
+/// Two boxes are partitioned and others restart, while six callers send crashing calls at once.
 #[test]
-fn boxes_that_are_cut_off_or_start_anew_send_none_after_three_seconds() {
+fn partitioned_or_restarted_boxes_send_no_crashing_call_after_three_seconds() {
     for (boxes, servers) in [(6, 18), (77, 60)] {
         let plan = CrashPlan {
             cut_off: 2,
@@ -80,19 +80,19 @@
             ..plan(boxes, servers)
         };
 
-        let days = play(&plan, Bound::Shared);
+        let runs = run_seeds(&plan, Bound::Shared);
 
-        assert_eq!(sum(&days).late_sends, 0, "{boxes} boxes");
-        let most = days.iter().map(|day| day.ended).max().unwrap_or_default();
-        // Six runs are under way before the first server has ended.
+        assert_eq!(sum(&runs).late_sends, 0, "{boxes} boxes");
+        let most = runs.iter().map(|run| run.ended).max().unwrap_or_default();
+        // Six runs are in progress before the first server crashes.
         assert!(most <= 6 + 3, "{boxes} boxes: {most}");
     }
 }
 
-/// Half of the servers end within 60 ms every four seconds; without counting them as
-/// one, 2.5 and 5.6 in a hundred equal calls were refused (40 seeds).
+/// Half of the servers crash within 60 ms every four seconds. If these crashes were counted
+/// separately, 2.5 % and 5.6 % of the equal calls would be refused (40 seeds).
 #[test]
-fn equal_calls_are_not_refused_where_servers_end_together() {
+fn equal_calls_are_not_refused_when_servers_crash_together() {
     for equal in [2.0, 20.0] {
         let plan = CrashPlan {
             deadly: 0,
@@ -102,9 +102,12 @@
             ..plan(6, 18)
         };
 
-        let counts = sum(&play(&plan, Bound::Shared));
+        let counts = sum(&run_seeds(&plan, Bound::Shared));
 
-        assert!(counts.equal_lost > 0, "some are lost with their servers");
+        assert!(
+            counts.equal_lost > 0,
+            "no equal call was lost with its server"
+        );
         assert_eq!(counts.equal_refused, 0, "{counts:?}");
         assert_eq!(counts.others_refused, 0, "{counts:?}");
     }
--- a/lib/tests/test_relay_event_join.rs
+++ b/lib/tests/test_relay_event_join.rs
@@ -1,4 +1,4 @@
-//! Joining the events of one or more runs into one answer.
+//! Joining the event streams of one or more attempts into one response.
 
 use badgerferry_lib::relay::event_join::EventJoin;
 use badgerferry_lib::relay::event_join::EventJoinError;
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn only_whole_events_are_passed_on() {
+fn only_complete_events_are_returned() {
     let mut join = EventJoin::default();
 
     let first = join
         .push(b"id: 1\ndata: a\n")
-        .expect("a part of an event is fine");
-    let second = join.push(b"\nid: 2\n").expect("an event ended");
+        .expect("an incomplete event is accepted");
+    let second = join.push(b"\nid: 2\n").expect("one event is complete");
 
     assert!(first.is_empty());
     assert_eq!(&second[..], b"id: 1\ndata: a\n\n");
@@ -30,23 +30,23 @@
 }
 
 #[test]
-fn the_unfinished_event_of_a_broken_run_is_dropped() {
+fn incomplete_event_of_a_broken_attempt_is_discarded() {
     let mut join = EventJoin::default();
-    let passed = join
+    let returned = join
         .push(b"id: 1\ndata: a\n\nid: 2\ndata: half")
-        .expect("one whole event");
+        .expect("one complete event");
 
     join.discard_partial();
     let resumed = join
         .push(event(2).as_bytes())
-        .expect("the next run continues");
+        .expect("the next attempt continues");
 
-    assert_eq!(&passed[..], b"id: 1\ndata: a\n\n");
+    assert_eq!(&returned[..], b"id: 1\ndata: a\n\n");
     assert_eq!(resumed, event(2));
 }
 
 #[test]
-fn a_run_that_repeats_an_event_is_not_used() {
+fn repeated_event_is_an_error() {
     let mut join = EventJoin::default();
     join.push(events(1..4).as_bytes()).expect("three events");
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_run_that_skips_an_event_is_not_used() {
+fn skipped_event_is_an_error() {
     let mut join = EventJoin::after(Some(7));
 
     let skipped = join.push(event(9).as_bytes());
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn nothing_of_a_chunk_with_a_bad_event_is_passed_on() {
+fn no_event_of_a_chunk_with_an_error_is_returned() {
     let mut join = EventJoin::default();
 
     let mixed = join.push(format!("{}{}", event(1), event(3)).as_bytes());
@@ -83,33 +83,33 @@
 fn comments_need_no_id() {
     let mut join = EventJoin::default();
 
-    let passed = join
+    let returned = join
         .push(b": still there\n\nid: 1\ndata: a\n\n")
-        .expect("a comment is fine");
+        .expect("a comment is accepted");
 
-    assert_eq!(&passed[..], b": still there\n\nid: 1\ndata: a\n\n");
+    assert_eq!(&returned[..], b": still there\n\nid: 1\ndata: a\n\n");
 }
 
 #[test]
-fn an_event_without_an_end_is_not_held_for_ever() {
+fn event_without_an_end_is_limited_in_size() {
     let mut join = EventJoin::default();
     let endless = vec![b'x'; (1 << 20) + 1];
 
     assert_eq!(join.push(&endless), Err(EventJoinError::EventTooLarge));
 }
 
-/// However the bytes are cut into chunks, the answer is the same.
+/// The response does not depend on the chunk boundaries.
 #[test]
-fn chunks_do_not_matter() {
+fn chunk_boundaries_do_not_change_the_response() {
     fn property(count: u8, cuts: Vec<u8>) -> bool {
         let all = events(1..u64::from(count) + 1);
         let mut join = EventJoin::default();
         let mut joined = Vec::new();
         let mut rest = all.as_bytes();
         for cut in cuts {
-            let (now, later) = rest.split_at(usize::from(cut).min(rest.len()));
-            joined.extend_from_slice(&join.push(now).expect("well-formed"));
-            rest = later;
+            let (chunk, remaining) = rest.split_at(usize::from(cut).min(rest.len()));
+            joined.extend_from_slice(&join.push(chunk).expect("well-formed"));
+            rest = remaining;
         }
         joined.extend_from_slice(&join.push(rest).expect("well-formed"));
         joined == all.as_bytes() && !join.is_inside_event()
@@ -117,18 +117,18 @@
     seeded().quickcheck(property as fn(u8, Vec<u8>) -> bool);
 }
 
-/// Runs that break anywhere and go on elsewhere lose nothing and repeat nothing.
+/// Attempts that break at any byte and continue elsewhere lose and repeat no event.
 #[test]
-fn broken_runs_join_whole() {
+fn broken_attempts_join_to_the_complete_response() {
     fn property(count: u8, breaks: Vec<u16>) -> TestResult {
         let end = u64::from(count) + 1;
         let all = events(1..end);
         let mut join = EventJoin::default();
         let mut joined = Vec::new();
-        for at in breaks {
-            let run = events(join.last().unwrap_or(0) + 1..end);
-            let cut = usize::from(at).min(run.len());
-            joined.extend_from_slice(&join.push(&run.as_bytes()[..cut]).expect("well-formed"));
+        for break_at in breaks {
+            let attempt = events(join.last().unwrap_or(0) + 1..end);
+            let cut = usize::from(break_at).min(attempt.len());
+            joined.extend_from_slice(&join.push(&attempt.as_bytes()[..cut]).expect("well-formed"));
             join.discard_partial();
         }
         let last = events(join.last().unwrap_or(0) + 1..end);
@@ -138,21 +138,21 @@
     seeded().quickcheck(property as fn(u8, Vec<u16>) -> TestResult);
 }
 
-/// Any bytes at all: no panic, and never a byte that was not pushed.
+/// Arbitrary input causes no panic, and no more bytes are returned than were pushed.
 #[test]
-fn any_bytes_are_borne() {
+fn arbitrary_bytes_are_handled() {
     fn property(chunks: Vec<Vec<u8>>) -> bool {
         let mut join = EventJoin::default();
         let mut pushed = 0;
-        let mut passed = 0;
+        let mut returned = 0;
         for chunk in chunks {
             pushed += chunk.len();
             match join.push(&chunk) {
-                Ok(events) => passed += events.len(),
+                Ok(events) => returned += events.len(),
                 Err(_) => return true,
             }
         }
-        passed <= pushed
+        returned <= pushed
     }
     seeded().quickcheck(property as fn(Vec<Vec<u8>>) -> bool);
 }
--- a/lib/tests/test_relay_lost_calls.rs
+++ b/lib/tests/test_relay_lost_calls.rs
@@ -1,12 +1,12 @@
-//! Why calls are lost, by their last lines.
+//! Causes of lost calls, from their last log records.
 
 use badgerferry_lib::relay::lost_calls::CallRecord;
 use badgerferry_lib::relay::lost_calls::LossCause;
 use badgerferry_lib::relay::lost_calls::LostCalls;
-use badgerferry_lib::relay::lost_calls::PromptSize;
+use badgerferry_lib::relay::lost_calls::SizeClass;
 
-/// A long prompt that was answered on time.
-fn good() -> CallRecord {
+/// Record of a long prompt that was served on time.
+fn on_time() -> CallRecord {
     CallRecord {
         call: "c1".to_owned(),
         route: Some("r1".to_owned()),
@@ -24,17 +24,17 @@
 }
 
 #[test]
-fn a_call_that_is_on_time_is_not_lost() {
-    assert_eq!(good().cause(), None);
+fn call_on_time_is_not_lost() {
+    assert_eq!(on_time().cause(), None);
 }
 
 #[test]
-fn the_cause_is_the_first_thing_that_made_it_late() {
+fn cause_of_a_late_call_is_the_first_that_applies() {
     let late = CallRecord {
         first_event_ms: Some(3_500),
-        ..good()
+        ..on_time()
     };
-    let again = CallRecord {
+    let retried = CallRecord {
         sent: 2,
         ..late.clone()
     };
@@ -53,17 +53,17 @@
     };
 
     assert_eq!(late.cause(), Some(LossCause::ReadSlower));
-    assert_eq!(again.cause(), Some(LossCause::TriedAgain));
+    assert_eq!(retried.cause(), Some(LossCause::TriedAgain));
     assert_eq!(waited.cause(), Some(LossCause::WaitedForEngines));
     assert_eq!(expected.cause(), Some(LossCause::ExpectedLate));
     assert_eq!(other.cause(), Some(LossCause::Late));
 }
 
 #[test]
-fn pauses_and_outcomes_lose_a_call_that_began_on_time() {
+fn long_pauses_and_failed_outcomes_are_causes_without_lateness() {
     let paused = CallRecord {
         longest_pause_ms: Some(1_001),
-        ..good()
+        ..on_time()
     };
     let unlimited = CallRecord {
         pause_limit_ms: None,
@@ -72,7 +72,7 @@
     let refused = CallRecord {
         outcome: "would_miss_deadline".to_owned(),
         first_event_ms: None,
-        ..good()
+        ..on_time()
     };
 
     assert_eq!(paused.cause(), Some(LossCause::Paused));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_answer_that_is_no_stream_is_late_by_its_whole_time() {
+fn response_without_events_is_late_by_its_total_time() {
     let plain = CallRecord {
         tokens: None,
         objective_ms: 150,
@@ -92,53 +92,53 @@
         first_event_ms: None,
         waited_ms: None,
         expected_ms: None,
-        ..good()
+        ..on_time()
     };
 
     assert_eq!(plain.cause(), Some(LossCause::Late));
-    assert_eq!(PromptSize::of(plain.tokens), PromptSize::Plain);
+    assert_eq!(SizeClass::of(plain.tokens), SizeClass::Plain);
 }
 
 #[test]
-fn lines_add_up_by_size_cause_and_second() {
-    let mut all = LostCalls::default();
+fn records_are_summed_by_size_cause_and_second() {
+    let mut totals = LostCalls::default();
     let paused = CallRecord {
         longest_pause_ms: Some(1_001),
-        ..good()
+        ..on_time()
     };
 
     for _ in 0..5 {
-        all.add("10:00:01", &paused);
+        totals.add("10:00:01", &paused);
     }
-    all.add("10:00:02", &good());
+    totals.add("10:00:02", &on_time());
 
-    assert_eq!(all.calls[&PromptSize::Long], 6);
-    let row = &all.lost[&(PromptSize::Long, LossCause::Paused)];
+    assert_eq!(totals.calls[&SizeClass::Long], 6);
+    let row = &totals.lost[&(SizeClass::Long, LossCause::Paused)];
     assert_eq!((row.calls, row.examples.len()), (5, 3));
-    assert_eq!(all.seconds["10:00:01"], 5);
-    assert!(!all.seconds.contains_key("10:00:02"));
-    let estimate = all.prefill_ratios()[&PromptSize::Long];
-    assert_eq!(estimate.prompts, 6);
-    assert!((estimate.median - 800.0 / 700.0).abs() < 1e-9);
+    assert_eq!(totals.seconds["10:00:01"], 5);
+    assert!(!totals.seconds.contains_key("10:00:02"));
+    let ratios = totals.prefill_ratios()[&SizeClass::Long];
+    assert_eq!(ratios.prompts, 6);
+    assert!((ratios.median - 800.0 / 700.0).abs() < 1e-9);
 }
 
-/// Ten prompts of a route, 10,000 to 100,000 tokens; the largest and one of the two beneath it are
-/// not served.
+/// Ten prompts of one route, 10,000 to 100,000 tokens. The largest and one of the two next smaller
+/// ones are not served.
 #[test]
-fn served_shares_tell_the_largest_of_a_route_by_themselves() {
-    let mut all = LostCalls::default();
-    for tens in 1..=10 {
-        let is_served = tens != 10 && tens != 8;
+fn served_shares_report_the_largest_prompts_separately() {
+    let mut totals = LostCalls::default();
+    for step in 1..=10 {
+        let is_served = step != 10 && step != 8;
         let outcome = if is_served { "answered" } else { "no_server" };
-        let line = CallRecord {
-            tokens: Some(tens * 10_000),
+        let record = CallRecord {
+            tokens: Some(step * 10_000),
             outcome: outcome.to_owned(),
-            ..good()
+            ..on_time()
         };
-        all.add("2026-03-07T04:57:50", &line);
+        totals.add("2026-03-07T04:57:50", &record);
     }
 
-    let shares = all.served_shares()["r1"];
+    let shares = totals.served_shares()["r1"];
 
     assert_eq!(shares.prompts, 10);
     assert!((shares.all - 0.8).abs() < 1e-9, "{shares:?}");
--- a/lib/tests/test_relay_quarantine.rs
+++ b/lib/tests/test_relay_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which works end servers, what is done with calls that ask for them, and what boxes tell of them.
+//! Quarantine of requests that crash servers: admission, reports between boxes, and the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-const WORK: RequestFingerprint = key(7, 1);
-const RUNS: Admission = Admission::Run { crashes: 0 };
-const RUNS_ALONE: Admission = Admission::Run { crashes: 1 };
+const REQUEST: RequestFingerprint = fingerprint(7, 1);
+const RUN: Admission = Admission::Run { crashes: 0 };
+const SUSPECT_RUN: Admission = Admission::Run { crashes: 1 };
 
-const fn key(owner: u32, digest: u64) -> RequestFingerprint {
+const fn fingerprint(owner: u32, digest: u64) -> RequestFingerprint {
     RequestFingerprint { owner, digest }
 }
 
@@ -33,39 +33,49 @@
     Time::from_millis(millis)
 }
 
-/// A life ends under a run of 20 ms.
-fn end(
-    it: &mut Quarantine,
+/// Records a crash at `now`, during a run of 20 ms.
+fn crash(
+    quarantine: &mut Quarantine,
     now: Time,
-    work: RequestFingerprint,
-    life: u64,
+    fingerprint: RequestFingerprint,
+    incarnation: u64,
 ) -> Option<QuarantineChange> {
-    let began = Time::from_micros(now.as_micros().saturating_sub(20_000));
-    it.record_crash(now, work, ServerIncarnation(life), began)
-}
-
-/// A box that saw so many lives end under the work, 200 ms apart, the last after a second.
-fn after(lives: u64) -> Quarantine {
-    let mut it = Quarantine::default();
-    for life in 0..lives {
-        end(&mut it, at(1_200 - 200 * (lives - life)), WORK, life);
+    let run_started = Time::from_micros(now.as_micros().saturating_sub(20_000));
+    quarantine.record_crash(
+        now,
+        fingerprint,
+        ServerIncarnation(incarnation),
+        run_started,
+    )
+}
+
+/// A box that observed this many crashes, 200 ms apart, the last one at 1 s.
+fn after_crashes(count: u64) -> Quarantine {
+    let mut quarantine = Quarantine::default();
+    for incarnation in 0..count {
+        crash(
+            &mut quarantine,
+            at(1_200 - 200 * (count - incarnation)),
+            REQUEST,
+            incarnation,
+        );
     }
-    it
+    quarantine
 }
 
-fn admit(it: &mut Quarantine, now: Time) -> Admission {
-    admit_as(it, now, "box-1", false)
+fn admit(quarantine: &mut Quarantine, now: Time) -> Admission {
+    admit_as(quarantine, now, "box-1", false)
 }
 
-/// The rank of one of 17 boxes.
+/// Rank of one of 17 boxes.
 fn rank_of(own: &str) -> usize {
     let names: Vec<String> = (0..17).map(|at| format!("box-{at}")).collect();
-    quarantine::rank(WORK, own, names.iter().map(String::as_str))
+    quarantine::rank(REQUEST, own, names.iter().map(String::as_str))
 }
 
-/// What becomes of a call; how many lives ended, if any, is left out of a run.
-fn admit_as(it: &mut Quarantine, now: Time, own: &str, saw_crash: bool) -> Admission {
-    match it.admit(now, WORK, saw_crash, || rank_of(own)) {
+/// Admits a call; the crash count of an admitted run is reduced to 0 or 1.
+fn admit_as(quarantine: &mut Quarantine, now: Time, own: &str, saw_crash: bool) -> Admission {
+    match quarantine.admit(now, REQUEST, saw_crash, || rank_of(own)) {
         Admission::Run { crashes } => Admission::Run {
             crashes: crashes.min(1),
         },
@@ -74,106 +84,129 @@
 }
 
 #[test]
-fn work_that_ended_nothing_runs_as_often_as_it_comes() {
-    let mut it = Quarantine::default();
+fn request_without_crashes_runs_concurrently() {
+    let mut quarantine = Quarantine::default();
 
-    assert_eq!([admit(&mut it, at(1)), admit(&mut it, at(1))], [RUNS, RUNS]);
+    assert_eq!(
+        [admit(&mut quarantine, at(1)), admit(&mut quarantine, at(1))],
+        [RUN, RUN]
+    );
 }
 
 #[test]
-fn two_lives_make_it_suspect_and_three_hold_it() {
-    let verdicts = [1, 2, 3].map(|lives| admit(&mut after(lives), at(2_000)));
+fn third_crash_starts_the_quarantine() {
+    let admissions = [1, 2, 3].map(|count| admit(&mut after_crashes(count), at(2_000)));
 
     let left = QUARANTINE_PERIOD.saturating_sub(Duration::from_secs(1));
-    let held = Admission::Quarantined { left, crashes: 3 };
-    assert_eq!(verdicts, [RUNS_ALONE, RUNS_ALONE, held]);
+    let quarantined = Admission::Quarantined { left, crashes: 3 };
+    assert_eq!(admissions, [SUSPECT_RUN, SUSPECT_RUN, quarantined]);
 }
 
-/// Equal calls run on many servers when something else ends these together.
+/// Equal calls may be running on many servers when a common cause crashes these together.
 #[test]
-fn servers_that_end_in_one_moment_count_as_one() {
-    let mut it = Quarantine::default();
-    for life in 0..8 {
-        end(&mut it, at(1_000 + 2 * life), WORK, life);
+fn simultaneous_crashes_count_as_one() {
+    let mut quarantine = Quarantine::default();
+    for incarnation in 0..8 {
+        crash(
+            &mut quarantine,
+            at(1_000 + 2 * incarnation),
+            REQUEST,
+            incarnation,
+        );
     }
 
-    assert_eq!(admit(&mut it, at(2_000)), RUNS_ALONE);
-    end(&mut it, at(2_300), WORK, 9);
-    it.end_run(at(2_300), WORK);
-    assert_eq!(admit(&mut it, at(3_000)), RUNS_ALONE);
-    end(&mut it, at(3_200), WORK, 10);
-    it.end_run(at(3_200), WORK);
+    assert_eq!(admit(&mut quarantine, at(2_000)), SUSPECT_RUN);
+    crash(&mut quarantine, at(2_300), REQUEST, 9);
+    quarantine.end_run(at(2_300), REQUEST);
+    assert_eq!(admit(&mut quarantine, at(3_000)), SUSPECT_RUN);
+    crash(&mut quarantine, at(3_200), REQUEST, 10);
+    quarantine.end_run(at(3_200), REQUEST);
     assert!(matches!(
-        admit(&mut it, at(4_000)),
+        admit(&mut quarantine, at(4_000)),
         Admission::Quarantined { .. }
     ));
 }
 
-/// A request that ends its server within a few milliseconds, sent to one after the other.
+/// A request that crashes each server within a few milliseconds, retried at once.
 #[test]
-fn servers_that_end_one_after_the_other_count_however_fast() {
-    let mut it = Quarantine::default();
-    for life in 0..3 {
-        let (began, ended) = (at(1_001 + 10 * life), at(1_009 + 10 * life));
-        it.record_crash(ended, WORK, ServerIncarnation(life), began);
+fn consecutive_crashes_count_separately_however_fast() {
+    let mut quarantine = Quarantine::default();
+    for incarnation in 0..3 {
+        let (run_started, crashed_at) =
+            (at(1_001 + 10 * incarnation), at(1_009 + 10 * incarnation));
+        quarantine.record_crash(
+            crashed_at,
+            REQUEST,
+            ServerIncarnation(incarnation),
+            run_started,
+        );
     }
 
     assert!(matches!(
-        admit(&mut it, at(2_000)),
+        admit(&mut quarantine, at(2_000)),
         Admission::Quarantined { .. }
     ));
 }
 
 #[test]
-fn the_same_life_told_again_counts_once() {
-    let mut it = after(2);
-    let rows = after(2).rows(at(1_000), RunScope::Box);
+fn crash_reported_repeatedly_counts_once() {
+    let mut quarantine = after_crashes(2);
+    let rows = after_crashes(2).rows(at(1_000), RunScope::Box);
 
     for from in ["box-2", "box-3"] {
-        assert_eq!(it.merge_rows(at(1_500), RunScope::Box, from, &rows), []);
+        assert_eq!(
+            quarantine.merge_rows(at(1_500), RunScope::Box, from, &rows),
+            []
+        );
     }
     assert_eq!(
-        it.apply_fact(at(1_600), WORK, StoredFact::Crashed(ServerIncarnation(0))),
+        quarantine.apply_fact(
+            at(1_600),
+            REQUEST,
+            StoredFact::Crashed(ServerIncarnation(0))
+        ),
         None
     );
 
-    assert_eq!(admit(&mut it, at(2_000)), RUNS_ALONE);
+    assert_eq!(admit(&mut quarantine, at(2_000)), SUSPECT_RUN);
 }
 
 #[test]
-fn a_good_run_clears_it_and_what_ends_a_little_later_says_nothing() {
-    let mut it = after(3);
+fn successful_run_clears_the_request_and_crashes_shortly_after_are_ignored() {
+    let mut quarantine = after_crashes(3);
 
-    let change = it.record_success(at(3_000), WORK).expect("it was held");
-    let later = end(&mut it, at(12_000), WORK, 9);
+    let change = quarantine
+        .record_success(at(3_000), REQUEST)
+        .expect("the status changed");
+    let later = crash(&mut quarantine, at(12_000), REQUEST, 9);
 
     assert_eq!((change.status, later), (RequestStatus::Cleared, None));
-    assert_eq!(admit(&mut it, at(12_500)), RUNS);
-    end(&mut it, at(13_500), WORK, 10);
-    it.end_run(at(13_500), WORK);
-    assert_eq!(admit(&mut it, at(15_000)), RUNS_ALONE);
+    assert_eq!(admit(&mut quarantine, at(12_500)), RUN);
+    crash(&mut quarantine, at(13_500), REQUEST, 10);
+    quarantine.end_run(at(13_500), REQUEST);
+    assert_eq!(admit(&mut quarantine, at(15_000)), SUSPECT_RUN);
 }
 
 #[test]
-fn after_it_was_held_one_run_decides() {
-    let mut it = after(3);
-    let over = at(1_000) + QUARANTINE_PERIOD;
+fn one_run_decides_after_the_quarantine() {
+    let mut quarantine = after_crashes(3);
+    let quarantine_end = at(1_000) + QUARANTINE_PERIOD;
 
-    assert_eq!(admit(&mut it, over), RUNS_ALONE);
-    assert_eq!(admit(&mut it, over), Admission::Wait);
-    end(&mut it, over, WORK, 9);
-    it.end_run(over, WORK);
+    assert_eq!(admit(&mut quarantine, quarantine_end), SUSPECT_RUN);
+    assert_eq!(admit(&mut quarantine, quarantine_end), Admission::Wait);
+    crash(&mut quarantine, quarantine_end, REQUEST, 9);
+    quarantine.end_run(quarantine_end, REQUEST);
 
     assert!(matches!(
-        admit(&mut it, over),
+        admit(&mut quarantine, quarantine_end),
         Admission::Quarantined { crashes: 4, .. }
     ));
 }
 
 #[test]
-fn one_run_of_suspect_work_goes_at_a_time_here_and_elsewhere() {
-    let (mut here, mut there) = (after(1), Quarantine::default());
-    assert_eq!(admit(&mut here, at(2_000)), RUNS_ALONE);
+fn suspect_request_runs_once_at_a_time_over_all_boxes() {
+    let (mut here, mut there) = (after_crashes(1), Quarantine::default());
+    assert_eq!(admit(&mut here, at(2_000)), SUSPECT_RUN);
     there.merge_rows(
         at(2_002),
         RunScope::Box,
@@ -181,8 +214,8 @@
         &here.rows(at(2_001), RunScope::Box),
     );
 
-    let beside = [admit(&mut here, at(2_003)), admit(&mut there, at(2_500))];
-    here.end_run(at(2_550), WORK);
+    let concurrent = [admit(&mut here, at(2_003)), admit(&mut there, at(2_500))];
+    here.end_run(at(2_550), REQUEST);
     there.merge_rows(
         at(2_600),
         RunScope::Box,
@@ -190,16 +223,15 @@
         &here.rows(at(2_600), RunScope::Box),
     );
 
-    assert_eq!(beside, [Admission::Wait; 2]);
-    assert_eq!(admit_as(&mut there, at(2_601), "box-2", false), RUNS_ALONE);
+    assert_eq!(concurrent, [Admission::Wait; 2]);
+    assert_eq!(admit_as(&mut there, at(2_601), "box-2", false), SUSPECT_RUN);
 }
 
-/// What callers saw: four servers ended under one work, the fourth a millisecond after the third. Some ten
-/// works were lost with a server at once, a datagram tells six of them, and a box that heard one without
-/// this work took it for not running any more: it began a run beside the other.
+/// A request crashed a fourth server 1 ms after the third: a datagram holds only six rows, and a
+/// box took the missing row for the end of the run and started a concurrent one.
 #[test]
-fn a_run_that_a_full_datagram_leaves_out_goes_on() {
-    let mut here = after(1);
+fn run_missing_in_a_datagram_stays_in_progress() {
+    let mut here = after_crashes(1);
     admit_as(&mut here, at(1_020), "box-1", true);
     let mut there = Quarantine::default();
     there.merge_rows(
@@ -208,24 +240,24 @@
         "box-1",
         &here.rows(at(1_021), RunScope::Box),
     );
-    let mut full = Quarantine::default();
-    end(&mut full, at(1_100), key(7, 2), 9);
+    let mut other = Quarantine::default();
+    crash(&mut other, at(1_100), fingerprint(7, 2), 9);
 
     there.merge_rows(
         at(1_500),
         RunScope::Box,
         "box-1",
-        &full.rows(at(1_500), RunScope::Box),
+        &other.rows(at(1_500), RunScope::Box),
     );
 
     assert_eq!(admit(&mut there, at(1_501)), Admission::Wait);
 }
 
-/// What callers saw: twelve servers ended under one work at 295 boxes. Halls tell each other by one of their
-/// boxes, which told only of runs of its own: a run of any other box was not known in other halls.
+/// A request crashed twelve servers at 295 boxes: one box reports for its hall to other halls, and
+/// it reported only its own runs, so that runs of other boxes were unknown there.
 #[test]
-fn a_hall_tells_of_the_runs_of_all_its_boxes() {
-    let mut runner = after(1);
+fn hall_report_covers_the_runs_of_all_its_boxes() {
+    let mut runner = after_crashes(1);
     admit_as(&mut runner, at(1_020), "box-2", true);
     let mut speaker = Quarantine::default();
     speaker.merge_rows(
@@ -234,26 +266,27 @@
         "box-2",
         &runner.rows(at(1_021), RunScope::Box),
     );
-    let mut far = Quarantine::default();
+    let mut remote = Quarantine::default();
 
-    far.merge_rows(
+    remote.merge_rows(
         at(1_040),
         RunScope::Hall,
         "hall-a",
         &speaker.rows(at(1_022), RunScope::Hall),
     );
 
-    assert_eq!(admit(&mut far, at(1_900)), Admission::Wait);
-    let told_near = speaker.rows(at(1_041), RunScope::Box);
+    assert_eq!(admit(&mut remote, at(1_900)), Admission::Wait);
+    let local_rows = speaker.rows(at(1_041), RunScope::Box);
     assert!(
-        !told_near[0].running,
-        "boxes of its hall hear that of the other one"
+        !local_rows[0].running,
+        "boxes of the same hall get this from the box that runs the request"
     );
 }
 
-/// Runs that were under way before the first server ended are told as well: others wait for them.
+/// Runs that were in progress before the first crash are reported as well, and others wait for
+/// them.
 #[test]
-fn a_run_that_began_before_it_was_suspect_counts() {
+fn run_started_before_the_first_crash_counts() {
     let mut here = Quarantine::default();
     admit(&mut here, at(900));
 
@@ -261,7 +294,7 @@
         at(1_000),
         RunScope::Box,
         "box-2",
-        &after(1).rows(at(1_000), RunScope::Box),
+        &after_crashes(1).rows(at(1_000), RunScope::Box),
     );
 
     assert_eq!(admit(&mut here, at(2_000)), Admission::Wait);
@@ -269,8 +302,8 @@
 }
 
 #[test]
-fn the_run_of_a_box_that_died_holds_nobody_up_for_long() {
-    let mut here = after(1);
+fn reported_run_of_a_dead_box_expires() {
+    let mut here = after_crashes(1);
     admit_as(&mut here, at(1_020), "box-1", true);
     let mut there = Quarantine::default();
     there.merge_rows(
@@ -281,68 +314,81 @@
     );
 
     assert_eq!(admit(&mut there, at(2_100)), Admission::Wait);
-    assert_eq!(admit(&mut there, at(2_300)), RUNS_ALONE);
+    assert_eq!(admit(&mut there, at(2_300)), SUSPECT_RUN);
 }
 
 #[test]
-fn the_call_that_lost_its_run_goes_before_boxes_that_waited() {
-    let mut it = after(1);
+fn call_that_lost_its_run_goes_before_waiting_boxes() {
+    let mut quarantine = after_crashes(1);
 
-    let at_once = admit_as(&mut it, at(1_019), "box-1", true);
-    let waited = admit(&mut it, at(1_020));
+    let early = admit_as(&mut quarantine, at(1_019), "box-1", true);
+    let waited = admit(&mut quarantine, at(1_020));
 
-    assert_eq!([at_once, waited], [Admission::Wait; 2]);
-    assert_eq!(admit_as(&mut it, at(1_020), "box-1", true), RUNS_ALONE);
+    assert_eq!([early, waited], [Admission::Wait; 2]);
+    assert_eq!(
+        admit_as(&mut quarantine, at(1_020), "box-1", true),
+        SUSPECT_RUN
+    );
 }
 
-/// What callers saw: twelve servers ended under one work. Seven runs were under way before the first end could be
-/// known; of the boxes that lost theirs, five began the next at once, side by side, and each ended a server more.
+/// A request crashed twelve servers: seven runs were in progress before the first crash was known,
+/// and five of the boxes that lost theirs retried at once and concurrently, each crashing one more
+/// server.
 #[test]
-fn calls_that_lost_their_runs_at_several_boxes_take_turns() {
-    let mut boxes = [1, 2, 3].map(|life| {
-        let mut it = Quarantine::default();
-        end(&mut it, at(1_000 + life), WORK, life);
-        it
+fn calls_that_lost_their_runs_at_several_boxes_wait_for_a_slot() {
+    let mut boxes = [1, 2, 3].map(|incarnation| {
+        let mut quarantine = Quarantine::default();
+        crash(
+            &mut quarantine,
+            at(1_000 + incarnation),
+            REQUEST,
+            incarnation,
+        );
+        quarantine
     });
-    let told = boxes
+    let reports = boxes
         .clone()
-        .map(|mut it| it.rows(at(1_004), RunScope::Box));
-    for it in &mut boxes {
-        for (from, rows) in told.iter().enumerate() {
-            it.merge_rows(at(1_010), RunScope::Box, &format!("box-{from}"), rows);
+        .map(|mut quarantine| quarantine.rows(at(1_004), RunScope::Box));
+    for quarantine in &mut boxes {
+        for (from, rows) in reports.iter().enumerate() {
+            quarantine.merge_rows(at(1_010), RunScope::Box, &format!("box-{from}"), rows);
         }
     }
 
     let next = boxes
         .each_mut()
-        .map(|it| admit_as(it, at(1_024), "box-9", true));
+        .map(|quarantine| admit_as(quarantine, at(1_024), "box-9", true));
 
     assert_eq!(next, [Admission::Wait; 3]);
 }
 
 #[test]
-fn boxes_that_wait_take_turns() {
-    let first_turn = |name: &str| {
-        let mut it = after(1);
-        let runs = |millis: &u64| admit_as(&mut it, at(*millis), name, false) == RUNS_ALONE;
-        (1_000..2_000).find(runs).expect("its turn comes")
+fn waiting_boxes_start_in_different_slots() {
+    let first_start = |name: &str| {
+        let mut quarantine = after_crashes(1);
+        let runs =
+            |millis: &u64| admit_as(&mut quarantine, at(*millis), name, false) == SUSPECT_RUN;
+        (1_000..2_000)
+            .find(runs)
+            .expect("the box starts within 2 s")
     };
     let names: Vec<String> = (0..6).map(|at| format!("box-{at}")).collect();
 
-    let mut turns: Vec<u64> = names.iter().map(|name| first_turn(name)).collect();
+    let mut starts: Vec<u64> = names.iter().map(|name| first_start(name)).collect();
 
-    turns.sort_unstable();
-    turns.dedup();
-    assert!(turns.len() >= 4 && turns[0] >= 1_015, "{turns:?}");
-    assert!(turns.iter().all(|turn| *turn <= 1_330), "{turns:?}");
+    starts.sort_unstable();
+    starts.dedup();
+    assert!(starts.len() >= 4 && starts[0] >= 1_015, "{starts:?}");
+    assert!(starts.iter().all(|start| *start <= 1_330), "{starts:?}");
 }
 
-/// A box that was away while the work was cleared must not blame it anew elsewhere.
+/// A box that missed the successful run reports old crashes, which must not make the request
+/// suspect again.
 #[test]
-fn what_was_cleared_is_not_blamed_by_a_box_that_missed_it() {
-    let mut cleared = after(3);
-    cleared.record_success(at(1_200), WORK);
-    let mut behind = after(3);
+fn cleared_request_stays_cleared_despite_reports_of_a_box_that_missed_it() {
+    let mut cleared = after_crashes(3);
+    cleared.record_success(at(1_200), REQUEST);
+    let mut behind = after_crashes(3);
     let later = at(60_000);
     cleared.rows(later, RunScope::Box);
 
@@ -361,17 +407,22 @@
 
     assert_eq!(
         [admit(&mut cleared, later), admit(&mut behind, later)],
-        [RUNS; 2]
+        [RUN; 2]
     );
 }
 
-/// Its time line begins at its start: what ended before lies ahead of it.
+/// The clock of a box begins at its start, so earlier crashes have negative times.
 #[test]
-fn a_box_that_has_just_started_takes_what_happened_before() {
-    let mut old = after(1);
-    old.record_success(at(2_000), WORK);
-    for life in 5..8 {
-        end(&mut old, at(19_000 + 200 * (life - 5)), WORK, life);
+fn restarted_box_merges_crashes_from_before_its_start() {
+    let mut old = after_crashes(1);
+    old.record_success(at(2_000), REQUEST);
+    for incarnation in 5..8 {
+        crash(
+            &mut old,
+            at(19_000 + 200 * (incarnation - 5)),
+            REQUEST,
+            incarnation,
+        );
     }
     let mut new = Quarantine::default();
 
@@ -382,9 +433,9 @@
         &old.rows(at(50_000), RunScope::Box),
     );
 
-    let held = admit(&mut new, at(20));
-    let Admission::Quarantined { left, .. } = held else {
-        panic!("it is held elsewhere: {held:?}");
+    let admission = admit(&mut new, at(20));
+    let Admission::Quarantined { left, .. } = admission else {
+        panic!("quarantined elsewhere, not here: {admission:?}");
     };
     assert_eq!(
         left,
@@ -393,42 +444,52 @@
 }
 
 #[test]
-fn only_ends_that_others_may_miss_go_to_the_store() {
-    let ended =
-        |lives: u64| (0..lives).map(|life| (WORK, StoredFact::Crashed(ServerIncarnation(life))));
+fn only_crashes_that_others_may_miss_go_to_the_store() {
+    let crashed =
+        |count: u64| (0..count).map(|id| (REQUEST, StoredFact::Crashed(ServerIncarnation(id))));
     let now = at(1_500);
 
-    assert_eq!(after(1).unstored_facts(now, false), []);
-    assert!(after(1).unstored_facts(now, true).into_iter().eq(ended(1)));
-    assert!(after(2).unstored_facts(now, false).into_iter().eq(ended(2)));
-    let held = ended(3).chain([(WORK, StoredFact::Quarantined)]);
+    assert_eq!(after_crashes(1).unstored_facts(now, false), []);
+    assert!(
+        after_crashes(1)
+            .unstored_facts(now, true)
+            .into_iter()
+            .eq(crashed(1))
+    );
+    assert!(
+        after_crashes(2)
+            .unstored_facts(now, false)
+            .into_iter()
+            .eq(crashed(2))
+    );
+    let quarantined = crashed(3).chain([(REQUEST, StoredFact::Quarantined)]);
     assert!(
-        after(3)
+        after_crashes(3)
             .unstored_facts(now, false)
             .into_iter()
-            .eq(held.clone())
+            .eq(quarantined.clone())
     );
-    let mut kept = after(3);
-    for (work, fact) in held {
-        kept.apply_fact(now, work, fact);
+    let mut stored = after_crashes(3);
+    for (fingerprint, fact) in quarantined {
+        stored.apply_fact(now, fingerprint, fact);
     }
-    assert_eq!(kept.unstored_facts(now, false), []);
-    let mut told = Quarantine::default();
-    told.merge_rows(
+    assert_eq!(stored.unstored_facts(now, false), []);
+    let mut informed = Quarantine::default();
+    informed.merge_rows(
         now,
         RunScope::Box,
         "box-2",
-        &after(2).rows(now, RunScope::Box),
+        &after_crashes(2).rows(now, RunScope::Box),
     );
-    assert_eq!(told.unstored_facts(now, true), []);
+    assert_eq!(informed.unstored_facts(now, true), []);
 }
 
-/// All that it reads at its start comes in one moment.
+/// Crashes read from the store at start are all applied at once and would count as simultaneous.
 #[test]
-fn a_box_that_reads_of_a_held_work_at_its_start_holds_it_and_tells_so() {
+fn quarantine_read_from_the_store_at_start_applies_and_is_reported() {
     let mut new = Quarantine::default();
-    for (work, fact) in after(3).unstored_facts(at(1_500), false) {
-        new.apply_fact(at(50), work, fact);
+    for (fingerprint, fact) in after_crashes(3).unstored_facts(at(1_500), false) {
+        new.apply_fact(at(50), fingerprint, fact);
     }
     let mut other = Quarantine::default();
     other.merge_rows(
@@ -438,87 +499,105 @@
         &new.rows(at(60), RunScope::Box),
     );
 
-    let held = [admit(&mut new, at(70)), admit(&mut other, at(900_000))];
+    let admissions = [admit(&mut new, at(70)), admit(&mut other, at(900_000))];
 
-    let is_held = |admission: &Admission| matches!(admission, Admission::Quarantined { .. });
-    assert!(held.iter().all(is_held), "{held:?}");
+    let is_quarantined = |admission: &Admission| matches!(admission, Admission::Quarantined { .. });
+    assert!(admissions.iter().all(is_quarantined), "{admissions:?}");
     assert_eq!(new.unstored_facts(at(70), true), []);
 }
 
-/// An operator may be mistaken.
+/// An operator may release a request that still crashes servers.
 #[test]
-fn one_run_decides_on_work_that_is_released() {
-    let mut it = after(3);
-    let mut other = after(3);
+fn one_run_decides_after_a_release() {
+    let mut quarantine = after_crashes(3);
+    let mut other = after_crashes(3);
 
-    let change = it.apply_fact(at(2_000), WORK, StoredFact::Released);
+    let change = quarantine.apply_fact(at(2_000), REQUEST, StoredFact::Released);
     other.merge_rows(
         at(2_001),
         RunScope::Box,
         "box-1",
-        &it.rows(at(2_001), RunScope::Box),
+        &quarantine.rows(at(2_001), RunScope::Box),
     );
 
     assert_eq!(
         change.map(|change| change.status),
         Some(RequestStatus::Suspect)
     );
-    assert_eq!(admit(&mut other, at(2_002)), RUNS_ALONE);
-    assert_eq!(admit(&mut it, at(2_002)), RUNS_ALONE);
-    assert_eq!(admit(&mut it, at(2_003)), Admission::Wait);
-    end(&mut it, at(2_100), WORK, 9);
-    it.end_run(at(2_100), WORK);
+    assert_eq!(admit(&mut other, at(2_002)), SUSPECT_RUN);
+    assert_eq!(admit(&mut quarantine, at(2_002)), SUSPECT_RUN);
+    assert_eq!(admit(&mut quarantine, at(2_003)), Admission::Wait);
+    crash(&mut quarantine, at(2_100), REQUEST, 9);
+    quarantine.end_run(at(2_100), REQUEST);
     assert!(matches!(
-        admit(&mut it, at(2_200)),
+        admit(&mut quarantine, at(2_200)),
         Admission::Quarantined { .. }
     ));
     assert!(
-        it.unstored_facts(at(2_200), false)
-            .contains(&(WORK, StoredFact::Quarantined))
+        quarantine
+            .unstored_facts(at(2_200), false)
+            .contains(&(REQUEST, StoredFact::Quarantined))
     );
 }
 
 #[test]
-fn a_workspace_with_thousands_of_such_works_pushes_out_no_other_ones() {
-    let mut it = after(3);
+fn workspace_with_thousands_of_requests_evicts_only_its_own() {
+    let mut quarantine = after_crashes(3);
     for digest in 0..5_000 {
-        for life in 0..3 {
-            let ended = at(2_000 + digest + 200 * life);
-            end(&mut it, ended, key(8, digest), digest * 10 + life);
+        for incarnation in 0..3 {
+            let crashed_at = at(2_000 + digest + 200 * incarnation);
+            crash(
+                &mut quarantine,
+                crashed_at,
+                fingerprint(8, digest),
+                digest * 10 + incarnation,
+            );
         }
     }
 
     let now = at(8_000);
-    assert!(matches!(admit(&mut it, now), Admission::Quarantined { .. }));
-    assert_eq!(it.quarantined_count(now), 65);
-    assert_eq!(it.evicted(), 5_000 - 64);
-    assert_eq!(it.admit(now, key(8, 9_999), false, || 0), RUNS);
+    assert!(matches!(
+        admit(&mut quarantine, now),
+        Admission::Quarantined { .. }
+    ));
+    assert_eq!(quarantine.quarantined_count(now), 65);
+    assert_eq!(quarantine.evicted(), 5_000 - 64);
+    assert_eq!(
+        quarantine.admit(now, fingerprint(8, 9_999), false, || 0),
+        RUN
+    );
 }
 
 #[test]
-fn a_datagram_tells_what_runs_first_and_the_others_in_turn() {
-    let mut it = Quarantine::default();
+fn datagram_reports_runs_first_and_other_requests_in_rotation() {
+    let mut quarantine = Quarantine::default();
     for digest in 0..20 {
-        end(&mut it, at(digest), key(1, digest), digest);
+        crash(&mut quarantine, at(digest), fingerprint(1, digest), digest);
     }
     let later = at(10_000);
-    it.admit(later, key(1, 13), true, || 0);
+    quarantine.admit(later, fingerprint(1, 13), true, || 0);
 
-    let told: Vec<Vec<QuarantineRow>> = (0..20).map(|_| it.rows(later, RunScope::Box)).collect();
+    let datagrams: Vec<Vec<QuarantineRow>> = (0..20)
+        .map(|_| quarantine.rows(later, RunScope::Box))
+        .collect();
 
     assert!(
-        told.iter()
-            .all(|rows| rows[0].fingerprint == key(1, 13) && rows[0].running)
+        datagrams
+            .iter()
+            .all(|rows| rows[0].fingerprint == fingerprint(1, 13) && rows[0].running)
     );
-    assert!(told.iter().all(|rows| rows.len() == 2));
-    let mut in_turn: Vec<u64> = told.iter().map(|rows| rows[1].fingerprint.digest).collect();
-    in_turn.sort_unstable();
-    in_turn.dedup();
-    assert_eq!(in_turn.len(), 19);
+    assert!(datagrams.iter().all(|rows| rows.len() == 2));
+    let mut rotated: Vec<u64> = datagrams
+        .iter()
+        .map(|rows| rows[1].fingerprint.digest)
+        .collect();
+    rotated.sort_unstable();
+    rotated.dedup();
+    assert_eq!(rotated.len(), 19);
 }
 
 #[test]
-fn a_suspect_call_goes_to_one_of_the_quieter_half() {
+fn isolated_call_goes_to_one_of_the_less_busy_half() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let calls = [9, 0, 7, 3, 8, 1_u32];
 
@@ -533,18 +612,18 @@
 }
 
 quickcheck! {
-    /// Whoever tells what, in which order and how often: all boxes come to know the same. Each life ends
-    /// at one time.
-    fn what_is_told_joins_in_any_order(ends: Vec<(u8, u16)>, goods: Vec<u16>, seed: u64) -> bool {
+    /// Rows merged in any order and any number of times lead to the same state. Each incarnation
+    /// crashes once.
+    fn rows_merge_in_any_order(crashes: Vec<(u8, u16)>, successes: Vec<u16>, seed: u64) -> bool {
         let now = at(100_000);
         let mut rows: Vec<QuarantineRow> = Vec::new();
-        let ends: BTreeMap<u8, u16> = ends.into_iter().collect();
-        for (life, ago) in ends.iter().take(8) {
+        let crashes: BTreeMap<u8, u16> = crashes.into_iter().collect();
+        for (incarnation, age) in crashes.iter().take(8) {
             rows.push(QuarantineRow {
-                fingerprint: WORK,
+                fingerprint: REQUEST,
                 crashes: vec![CrashRow {
-                    incarnation: ServerIncarnation(u64::from(*life)),
-                    age_ms: u32::from(*ago),
+                    incarnation: ServerIncarnation(u64::from(*incarnation)),
+                    age_ms: u32::from(*age),
                     run_ms: 20,
                 }],
                 quarantined: None,
@@ -553,78 +632,83 @@
                 running: false,
             });
         }
-        let good = |ago: &u16| QuarantineRow {
-            fingerprint: WORK,
+        let success = |age: &u16| QuarantineRow {
+            fingerprint: REQUEST,
             crashes: Vec::new(),
             quarantined: None,
             released: None,
-            succeeded: Some(u32::from(*ago)),
+            succeeded: Some(u32::from(*age)),
             running: false,
         };
-        rows.extend(goods.iter().take(3).map(good));
+        rows.extend(successes.iter().take(3).map(success));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut known = |rows: &mut Vec<QuarantineRow>| {
+        let mut merge = |rows: &mut Vec<QuarantineRow>| {
             rows.shuffle(&mut rng);
-            let mut it = Quarantine::default();
+            let mut quarantine = Quarantine::default();
             for row in rows.iter() {
-                it.merge_rows(now, RunScope::Box, "box-2", std::slice::from_ref(row));
+                quarantine.merge_rows(now, RunScope::Box, "box-2", std::slice::from_ref(row));
             }
-            let mut told: Vec<(Vec<CrashRow>, Option<u32>)> = (it.rows(now, RunScope::Box).into_iter())
-                .map(|row| (row.crashes, row.succeeded))
-                .collect();
-            for (lives, _) in &mut told {
-                lives.sort_unstable();
+            let mut merged: Vec<(Vec<CrashRow>, Option<u32>)> =
+                (quarantine.rows(now, RunScope::Box).into_iter())
+                    .map(|row| (row.crashes, row.succeeded))
+                    .collect();
+            for (crashes, _) in &mut merged {
+                crashes.sort_unstable();
             }
-            (admit(&mut it, now), told)
+            (admit(&mut quarantine, now), merged)
         };
-        let first = known(&mut rows);
+        let first = merge(&mut rows);
         let twice = rows.clone();
         rows.extend(twice);
-        first == known(&mut rows)
+        first == merge(&mut rows)
     }
 }
 
-fn keep_all(it: &mut Quarantine, now: Time) -> Vec<(RequestFingerprint, StoredFact)> {
-    let facts = it.unstored_facts(now, false);
-    for &(work, fact) in &facts {
-        it.apply_fact(now, work, fact);
+fn store_all(quarantine: &mut Quarantine, now: Time) -> Vec<(RequestFingerprint, StoredFact)> {
+    let facts = quarantine.unstored_facts(now, false);
+    for &(fingerprint, fact) in &facts {
+        quarantine.apply_fact(now, fingerprint, fact);
     }
     facts
 }
 
 #[test]
-fn what_a_store_lost_with_a_copy_is_written_again_once() {
-    let mut it = after(3);
-    let written = keep_all(&mut it, at(1_500));
+fn facts_lost_by_a_restored_store_are_written_again_once() {
+    let mut quarantine = after_crashes(3);
+    let written = store_all(&mut quarantine, at(1_500));
 
-    it.on_store_restored();
-    let again = keep_all(&mut it, at(1_600));
+    quarantine.on_store_restored();
+    let again = store_all(&mut quarantine, at(1_600));
 
     assert_eq!(again, written);
-    assert_eq!(it.unstored_facts(at(1_700), false), []);
-    let mut told = Quarantine::default();
-    told.merge_rows(
+    assert_eq!(quarantine.unstored_facts(at(1_700), false), []);
+    let mut informed = Quarantine::default();
+    informed.merge_rows(
         at(1_500),
         RunScope::Box,
         "box-2",
-        &after(3).rows(at(1_500), RunScope::Box),
+        &after_crashes(3).rows(at(1_500), RunScope::Box),
+    );
+    informed.on_store_restored();
+    assert_eq!(
+        informed.unstored_facts(at(1_600), false),
+        [],
+        "the box that observed the crashes writes them"
     );
-    told.on_store_restored();
-    assert_eq!(told.unstored_facts(at(1_600), false), [], "others write it");
 }
 
 #[test]
-fn a_release_that_a_store_lost_is_written_again_unless_the_work_is_held_since() {
-    let mut it = after(3);
-    keep_all(&mut it, at(1_500));
-    it.apply_fact(at(2_000), WORK, StoredFact::Released);
-    let released = (WORK, StoredFact::Released);
+fn lost_release_is_written_again_unless_the_request_is_quarantined_anew() {
+    let mut quarantine = after_crashes(3);
+    store_all(&mut quarantine, at(1_500));
+    quarantine.apply_fact(at(2_000), REQUEST, StoredFact::Released);
+    let released = (REQUEST, StoredFact::Released);
 
-    it.on_store_restored();
-    let before = it.unstored_facts(at(2_100), false);
-    end(&mut it, at(2_200), WORK, 9);
-    let after = it.unstored_facts(at(2_300), false);
+    quarantine.on_store_restored();
+    let before = quarantine.unstored_facts(at(2_100), false);
+    crash(&mut quarantine, at(2_200), REQUEST, 9);
+    let after = quarantine.unstored_facts(at(2_300), false);
 
     assert!(before.contains(&released));
-    assert!(!after.contains(&released) && after.contains(&(WORK, StoredFact::Quarantined)));
+    assert!(!after.contains(&released) && after.contains(&(REQUEST, StoredFact::Quarantined)));
 }
--- a/lib/tests/test_relay_request_fingerprint.rs
+++ b/lib/tests/test_relay_request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! What identifies a piece of work and a life of a server.
+//! Request fingerprints and server incarnation ids.
 
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::ids::WorkspaceName;
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn each_part_tells_works_apart_and_the_case_of_the_host_does_not() {
+fn fingerprint_depends_on_each_part_but_not_on_host_case() {
     let (one, other) = (WorkspaceName::new("one"), WorkspaceName::new("other"));
     let base = parts(&one, b"body");
-    let key = RequestFingerprint::of(&base);
-    let others = [
+    let fingerprint = RequestFingerprint::of(&base);
+    let variants = [
         FingerprintInput {
             method: "GET",
             ..base
@@ -42,7 +42,7 @@
         },
         parts(&other, b"body"),
         parts(&one, b"bodz"),
-        // The same bytes, divided in another way.
+        // The same bytes, split differently between the parts.
         FingerprintInput {
             host: "host.example/stream",
             target: "/a?b=c",
@@ -55,42 +55,42 @@
         ..base
     });
 
-    assert_eq!(key, same);
-    for parts in others {
-        assert_ne!(key, RequestFingerprint::of(&parts), "{parts:?}");
+    assert_eq!(fingerprint, same);
+    for parts in variants {
+        assert_ne!(fingerprint, RequestFingerprint::of(&parts), "{parts:?}");
     }
 }
 
 #[test]
-fn a_key_is_read_back_from_text_and_from_a_frame() {
-    let key = RequestFingerprint::of(&parts(&WorkspaceName::new("one"), b"body"));
+fn fingerprint_round_trips_through_text_and_binary() {
+    let fingerprint = RequestFingerprint::of(&parts(&WorkspaceName::new("one"), b"body"));
 
-    let json = serde_json::to_string(&key).expect("a key can be written");
-    let frame = postcard::to_stdvec(&key).expect("a key can be encoded");
+    let json = serde_json::to_string(&fingerprint).expect("a fingerprint can be serialized");
+    let binary = postcard::to_stdvec(&fingerprint).expect("a fingerprint can be encoded");
 
-    assert_eq!(json, format!("\"{key}\""));
+    assert_eq!(json, format!("\"{fingerprint}\""));
     assert_eq!(
         serde_json::from_str::<RequestFingerprint>(&json).ok(),
-        Some(key)
+        Some(fingerprint)
     );
     assert_eq!(
-        postcard::from_bytes::<RequestFingerprint>(&frame).ok(),
-        Some(key)
+        postcard::from_bytes::<RequestFingerprint>(&binary).ok(),
+        Some(fingerprint)
     );
 }
 
 #[test]
-fn a_server_that_starts_again_under_its_name_has_another_life() {
+fn restarted_server_has_another_incarnation() {
     let name = ServerName::new("i-1");
 
-    let lives = [None, Some(1), Some(2)].map(|born| ServerIncarnation::of(&name, born));
+    let incarnations = [None, Some(1), Some(2)].map(|born| ServerIncarnation::of(&name, born));
 
-    assert_ne!(lives[1], lives[2]);
-    assert_ne!(lives[0], lives[1]);
+    assert_ne!(incarnations[1], incarnations[2]);
+    assert_ne!(incarnations[0], incarnations[1]);
 }
 
 quickcheck! {
-    fn text_that_is_no_key_is_turned_down(text: String) -> TestResult {
+    fn text_that_is_not_a_fingerprint_is_rejected(text: String) -> TestResult {
         if text.len() == 24 && text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return TestResult::discard();
         }
--- a/lib/tests/test_relay_retry_window.rs
+++ b/lib/tests/test_relay_retry_window.rs
@@ -1,4 +1,4 @@
-//! The fleet-wide retry budget, summed over boxes that do not talk to each other.
+//! Fleet-wide retry budget, summed over boxes that do not communicate.
 
 use std::time::Duration;
 
@@ -9,78 +9,78 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const RULE: RetryBudgetRule = RetryBudgetRule {
+const BUDGET: RetryBudgetRule = RetryBudgetRule {
     window: Duration::from_secs(10),
     ratio: 0.2,
     slack: 100.0,
 };
 
-fn repeats_taken(window: &mut RetryWindow, now: Time, wanted: u32, boxes: usize) -> u32 {
+fn spend_retries(window: &mut RetryWindow, now: Time, wanted: u32, boxes: usize) -> u32 {
     (0..wanted)
-        .filter(|_| window.try_spend(now, &RULE, boxes))
+        .filter(|_| window.try_spend(now, &BUDGET, boxes))
         .count() as u32
 }
 
 #[test]
-fn a_box_alone_keeps_half_of_the_slack_for_one_it_has_not_heard_of() {
+fn single_box_spends_at_most_half_of_the_slack() {
     let mut window = RetryWindow::default();
 
-    let taken = repeats_taken(&mut window, Time::from_millis(1), 1_000, 1);
+    let spent = spend_retries(&mut window, Time::from_millis(1), 1_000, 1);
 
-    assert_eq!(taken, 50);
+    assert_eq!(spent, 50);
 }
 
 #[test]
-fn repeats_come_back_when_the_window_has_passed() {
+fn retries_are_available_again_after_the_window() {
     let mut window = RetryWindow::default();
     assert_eq!(
-        repeats_taken(&mut window, Time::from_millis(1), 1_000, 1),
+        spend_retries(&mut window, Time::from_millis(1), 1_000, 1),
         50
     );
 
-    let at_once = repeats_taken(&mut window, Time::from_millis(9_000), 1_000, 1);
-    let later = repeats_taken(&mut window, Time::from_millis(11_100), 1_000, 1);
+    let at_once = spend_retries(&mut window, Time::from_millis(9_000), 1_000, 1);
+    let later = spend_retries(&mut window, Time::from_millis(11_100), 1_000, 1);
 
     assert_eq!((at_once, later), (0, 50));
 }
 
 #[test]
-fn first_sends_earn_repeats() {
+fn first_sends_earn_retries() {
     let mut window = RetryWindow::default();
     let now = Time::from_millis(500);
     for _ in 0..100 {
-        window.record_first_send(now, &RULE);
+        window.record_first_send(now, &BUDGET);
     }
 
-    let taken = repeats_taken(&mut window, now, 1_000, 50);
+    let spent = spend_retries(&mut window, now, 1_000, 50);
 
-    // Four fifths of a fifth of 100, and an even part of the slack for 100 assumed boxes.
-    assert_eq!(taken, 17);
+    // 0.8 * 0.2 * 100 earned retries, and an equal share of the slack for 100 assumed boxes.
+    assert_eq!(spent, 17);
 }
 
-/// All boxes repeat as often as they may, some start again and forget: the sum stays in budget.
+/// All boxes retry as often as they may, and all lose their counts in a restart halfway.
 #[test]
-fn the_sum_over_boxes_stays_in_budget_in_every_sliding_window() {
+fn sum_over_boxes_stays_within_the_budget_in_every_sliding_window() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let known = rng.random_range(1..12);
         let mut windows: Vec<RetryWindow> = (0..known).map(|_| RetryWindow::default()).collect();
-        let mut firsts: Vec<u64> = Vec::new();
-        let mut repeats: Vec<u64> = Vec::new();
+        let mut first_sends: Vec<u64> = Vec::new();
+        let mut retries: Vec<u64> = Vec::new();
         for step in 0..600_u64 {
             let millis = step * 50;
             let now = Time::from_millis(millis);
             for window in &mut windows {
                 for _ in 0..rng.random_range(0..3) {
-                    window.record_first_send(now, &RULE);
-                    firsts.push(millis);
+                    window.record_first_send(now, &BUDGET);
+                    first_sends.push(millis);
                 }
-                for _ in 0..repeats_taken(window, now, rng.random_range(0..5), known) {
-                    repeats.push(millis);
+                for _ in 0..spend_retries(window, now, rng.random_range(0..5), known) {
+                    retries.push(millis);
                 }
             }
             if step == 300 {
-                // Every box starts again within one window and forgets what it spent.
+                // All boxes restart within one window and lose their counts.
                 windows.fill_with(RetryWindow::default);
             }
         }
@@ -88,11 +88,11 @@
             let within = |times: &[u64], from: u64, to: u64| {
                 times.iter().filter(|&&at| at > from && at <= to).count() as f64
             };
-            let earned = within(&firsts, end - 10_000, end);
-            let spent = within(&repeats, end - 10_000, end);
+            let earned = within(&first_sends, end - 10_000, end);
+            let spent = within(&retries, end - 10_000, end);
             assert!(
-                spent <= RULE.ratio * earned + RULE.slack,
-                "seed {seed}: {spent} repeats for {earned} calls until {end} ms"
+                spent <= BUDGET.ratio * earned + BUDGET.slack,
+                "seed {seed}: {spent} retries for {earned} first sends in the window ending at {end} ms"
             );
         }
     }
