--- a/lib/src/relay/event_join.rs
+++ b/lib/src/relay/event_join.rs
@@ -52,7 +52,7 @@
         self.last
     }
 
-    /// Number of complete events received so far.
+    /// Number of complete events received so far, without comments.
     pub const fn event_count(&self) -> u64 {
         self.event_count
     }
--- a/lib/src/relay/lost_calls.rs
+++ b/lib/src/relay/lost_calls.rs
@@ -19,7 +19,8 @@
 /// Fraction of the objective above which the wait for engines is the cause. The remaining time is
 /// then too short for the prefill of most prompts.
 const WAIT_FRACTION: f64 = 0.4;
-/// Fraction of the objective above which the estimate counts as expected to be late at dispatch.
+/// Fraction of the objective above which the estimate at dispatch is the cause: the call was
+/// expected to be late.
 const EXPECTED_FRACTION: f64 = 0.8;
 /// Ratio of prefill time to estimate above which slow prefill is the cause. Nine of ten prompts
 /// stay below it.
--- a/lib/tests/test_relay_quarantine.rs
+++ b/lib/tests/test_relay_quarantine.rs
@@ -227,8 +227,8 @@
     assert_eq!(admit_as(&mut there, at(2_601), "box-2", false), SUSPECT_RUN);
 }
 
-/// A request crashed a fourth server 1 ms after the third: a datagram holds only six rows, and a
-/// box took the missing row for the end of the run and started a concurrent one.
+/// About ten requests were lost with one server, but a datagram holds only six rows: a box took a
+/// missing row for the end of a run and started a concurrent one, which crashed a fourth server.
 #[test]
 fn run_missing_in_a_datagram_stays_in_progress() {
     let mut here = after_crashes(1);
@@ -259,8 +259,8 @@
 fn hall_report_covers_the_runs_of_all_its_boxes() {
     let mut runner = after_crashes(1);
     admit_as(&mut runner, at(1_020), "box-2", true);
-    let mut speaker = Quarantine::default();
-    speaker.merge_rows(
+    let mut delegate = Quarantine::default();
+    delegate.merge_rows(
         at(1_021),
         RunScope::Box,
         "box-2",
@@ -272,11 +272,11 @@
         at(1_040),
         RunScope::Hall,
         "hall-a",
-        &speaker.rows(at(1_022), RunScope::Hall),
+        &delegate.rows(at(1_022), RunScope::Hall),
     );
 
     assert_eq!(admit(&mut remote, at(1_900)), Admission::Wait);
-    let local_rows = speaker.rows(at(1_041), RunScope::Box);
+    let local_rows = delegate.rows(at(1_041), RunScope::Box);
     assert!(
         !local_rows[0].running,
         "boxes of the same hall get this from the box that runs the request"
