--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -40,14 +40,14 @@
 use tokio::time::timeout;
 
 use crate::relay::answer_body::AnswerBody;
+use crate::relay::call_attempt;
+use crate::relay::call_attempt::AttemptResult;
 use crate::relay::caller_answer;
 use crate::relay::candidates::NO_SERVER_RETRY;
 use crate::relay::live_stream;
 use crate::relay::log_lines;
 use crate::relay::server_gate::MOST_PATIENCE;
 use crate::relay::state::Relay;
-use crate::relay::tries;
-use crate::relay::tries::TryResult;
 use crate::traffic::lock;
 
 /// How long a call waits at most for the first routes of a box that has just started; half of its
@@ -284,7 +284,7 @@
     loop {
         let result = match timeout(
             call.time_left(),
-            tries::try_once(&call, &mut attempts, &mut tried, None),
+            call_attempt::run_attempt(&call, &mut attempts, &mut tried, None),
         )
         .await
         {
@@ -295,17 +295,17 @@
             }
         };
         let (end, own_failure) = match result {
-            TryResult::Whole(answer) => {
+            AttemptResult::Complete(answer) => {
                 log_lines::ended(&call, &attempts, "answered", answer.status());
                 return answer;
             }
-            TryResult::Live(live) => return live_stream::respond(call, attempts, tried, live),
-            TryResult::NoServer(reason, retry_after) => {
+            AttemptResult::Live(live) => return live_stream::respond(call, attempts, tried, live),
+            AttemptResult::NoServer(reason, retry_after) => {
                 let next = attempts.give_up(reason, retry_after);
                 return finish(&call, &attempts, next);
             }
-            TryResult::ServerError(answer) => (AttemptEnd::ServerError, Some(answer)),
-            TryResult::Ended(end) => (end, None),
+            AttemptResult::ServerError(answer) => (AttemptEnd::ServerError, Some(answer)),
+            AttemptResult::Ended(end) => (end, None),
         };
         match attempts.on_attempt_end(end, NO_SERVER_RETRY, || call.may_repeat()) {
             NextStep::TryElsewhere => {}
--- a/daemon/src/relay/tries.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -26,18 +26,18 @@
 
 use crate::relay::answer_body::AnswerBody;
 use crate::relay::call::Call;
-use crate::relay::engines;
-use crate::relay::engines::Chosen;
+use crate::relay::connection_pool::Connection;
+use crate::relay::connection_pool::Reuse;
+use crate::relay::connection_pool::SendError;
 use crate::relay::log_lines;
 use crate::relay::server_gate::Entrant;
 use crate::relay::server_gate::MOST_ASKED;
 use crate::relay::server_gate::NO_KEEPER;
 use crate::relay::server_gate::Pass;
+use crate::relay::server_selection;
+use crate::relay::server_selection::Selection;
 use crate::relay::suspects;
 use crate::relay::suspects::Run;
-use crate::relay::upstream::Connection;
-use crate::relay::upstream::Reuse;
-use crate::relay::upstream::SendError;
 use crate::traffic::lock;
 
 /// Largest answer of a plain call that is read whole before it is passed on.
@@ -45,11 +45,11 @@
 
 /// How a try went.
 #[derive(Debug)]
-pub enum TryResult {
+pub enum AttemptResult {
     /// A whole answer to pass on.
-    Whole(Response<AnswerBody>),
+    Complete(Response<AnswerBody>),
     /// A stream whose first events are here.
-    Live(Box<Live>),
+    Live(Box<StreamingResponse>),
     /// No server can take the call.
     NoServer(RefusalReason, Duration),
     /// The server ran the call and answered with a failure of its own, here whole.
@@ -60,7 +60,7 @@
 
 /// A stream that a server is sending.
 #[derive(Debug)]
-pub struct Live {
+pub struct StreamingResponse {
     /// Head of the answer.
     pub head: http::response::Parts,
     /// Events that are here already.
@@ -74,18 +74,18 @@
     /// The connection that it comes on.
     pub connection: Connection,
     /// What was chosen for it; its books are closed when this is dropped.
-    pub flight: Flight,
+    pub attempt: AttemptGuard,
     /// What becomes of the connection after the answer.
-    pub after: After,
+    pub after: AfterResponse,
 }
 
 /// What becomes of a connection after a whole answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
+pub enum AfterResponse {
     /// It ends.
     Close,
     /// It may carry another call.
-    Rest {
+    Pool {
         /// Within this time, if the server says so.
         keep_alive: Option<Duration>,
     },
@@ -94,7 +94,7 @@
 /// An answer whose head is here.
 #[derive(Debug)]
 struct Received {
-    flight: Flight,
+    attempt: AttemptGuard,
     connection: Connection,
     parts: http::response::Parts,
     head: AnswerHead,
@@ -102,11 +102,11 @@
 }
 
 impl Received {
-    const fn after(&self) -> After {
+    const fn after(&self) -> AfterResponse {
         if self.head.closes {
-            After::Close
+            AfterResponse::Close
         } else {
-            After::Rest {
+            AfterResponse::Pool {
                 keep_alive: self.head.keep_alive,
             }
         }
@@ -115,7 +115,7 @@
 
 /// A try in the books: dropped, it counts as ended with nothing to say of the server.
 #[derive(Debug)]
-pub struct Flight {
+pub struct AttemptGuard {
     call: Arc<Call>,
     run: Run,
     /// When it was sent.
@@ -123,60 +123,60 @@
     /// Whether the end of its answer shows that the server has lived on.
     is_framed: bool,
     /// Where it went.
-    pub chosen: Chosen,
+    pub selection: Selection,
     open: bool,
 }
 
-impl Flight {
-    fn new(call: &Arc<Call>, run: Run, chosen: Chosen) -> Self {
+impl AttemptGuard {
+    fn new(call: &Arc<Call>, run: Run, selection: Selection) -> Self {
         let now = call.relay.clock.now();
-        lock(&call.relay.tracker).call_sent(now, &chosen.server);
+        lock(&call.relay.tracker).call_sent(now, &selection.server);
         Self {
             call: Arc::clone(call),
             run,
             began: now,
             is_framed: false,
-            chosen,
+            selection,
             open: true,
         }
     }
 
     /// Closes the books on a run that broke off, perhaps with its server.
-    pub async fn broke_off(self) {
-        suspects::broke_off(&self.call, &self.chosen, self.began).await;
-        self.end(ServerOutcome::Failure);
+    pub async fn finish_broken(self) {
+        suspects::broke_off(&self.call, &self.selection, self.began).await;
+        self.finish(ServerOutcome::Failure);
     }
 
     /// Closes the books on a run that was served. The end of an answer without a length looks like its
     /// server's own: it speaks for the work only where it shows by itself.
-    pub async fn served(self) {
+    pub async fn finish_served(self) {
         if self.is_framed {
-            self.runs_well();
+            self.record_success();
         } else {
-            suspects::broke_off(&self.call, &self.chosen, self.began).await;
+            suspects::broke_off(&self.call, &self.selection, self.began).await;
         }
-        self.end(ServerOutcome::Success);
+        self.finish(ServerOutcome::Success);
     }
 
     /// Notes that its server serves it well, so that it does not end servers.
-    pub fn runs_well(&self) {
+    pub fn record_success(&self) {
         self.run.record_success();
     }
 
     /// Closes the books with what the try says of the server.
-    pub fn end(mut self, evidence: ServerOutcome) {
+    pub fn finish(mut self, evidence: ServerOutcome) {
         self.close(evidence);
     }
 
     fn close(&mut self, evidence: ServerOutcome) {
         if std::mem::take(&mut self.open) {
             let now = self.call.relay.clock.now();
-            lock(&self.call.relay.tracker).call_ended(now, &self.chosen.server, evidence);
+            lock(&self.call.relay.tracker).call_ended(now, &self.selection.server, evidence);
         }
     }
 }
 
-impl Drop for Flight {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         self.close(ServerOutcome::Inconclusive);
     }
@@ -184,90 +184,92 @@
 
 /// Why a run of a stream is over before its end.
 #[derive(Debug)]
-pub enum Broken {
+pub enum StreamFailure {
     /// Its connection ended; perhaps its server did.
-    Off(String),
+    ConnectionLost(String),
     /// Its bytes can't be used.
-    Spoiled(String),
+    InvalidData(String),
     /// Nothing came in time.
-    Silent(&'static str),
+    TimedOut(&'static str),
 }
 
-impl Broken {
+impl StreamFailure {
     /// Ends the run's books.
-    pub async fn end(self, call: &Call, flight: Flight) -> TryResult {
+    pub async fn finish(self, call: &Call, attempt: AttemptGuard) -> AttemptResult {
         let why = match &self {
-            Self::Off(why) | Self::Spoiled(why) => why,
-            Self::Silent(why) => *why,
+            Self::ConnectionLost(why) | Self::InvalidData(why) => why,
+            Self::TimedOut(why) => *why,
         };
-        log_lines::unusable(call, &flight.chosen, StatusCode::OK, why);
+        log_lines::unusable(call, &attempt.selection, StatusCode::OK, why);
         match self {
-            Self::Off(_) => flight.broke_off().await,
-            Self::Spoiled(_) | Self::Silent(_) => flight.end(ServerOutcome::Failure),
+            Self::ConnectionLost(_) => attempt.finish_broken().await,
+            Self::InvalidData(_) | Self::TimedOut(_) => attempt.finish(ServerOutcome::Failure),
         }
-        TryResult::Ended(AttemptEnd::Lost)
+        AttemptResult::Ended(AttemptEnd::Lost)
     }
 }
 
 /// Tries the call once; `join` is given where an earlier run's events are passed on already.
-pub async fn try_once(
+pub async fn run_attempt(
     call: &Arc<Call>,
     attempts: &mut Attempts,
     tried: &mut Vec<ServerName>,
     join: Option<&EventJoin>,
-) -> TryResult {
-    let (run, chosen, pass) = match admit(call, tried).await {
+) -> AttemptResult {
+    let (run, selection, pass) = match admit(call, tried).await {
         Ok(admitted) => admitted,
         Err((reason, retry_after)) => {
             log_lines::no_server_takes(call, reason, retry_after);
-            return TryResult::NoServer(reason, retry_after);
+            return AttemptResult::NoServer(reason, retry_after);
         }
     };
-    tried.push(chosen.server.clone());
-    log_lines::routed(call, attempts, &chosen);
+    tried.push(selection.server.clone());
+    log_lines::routed(call, attempts, &selection);
     let resume_after = join.and_then(EventJoin::last);
-    let request = request(call, &chosen, resume_after);
-    let mut flight = Flight::new(call, run, chosen);
+    let request = request(call, &selection, resume_after);
+    let mut attempt = AttemptGuard::new(call, run, selection);
     attempts.send();
     let reuse = if call.route.kind.is_repeatable() {
         Reuse::Allowed
     } else {
         Reuse::Never
     };
-    let upstream = &call.relay.upstream;
-    let (server, address) = (&flight.chosen.server, &flight.chosen.address);
-    let sent = upstream.send(server, address, reuse, request, pass).await;
+    let connection_pool = &call.relay.connection_pool;
+    let (server, address) = (&attempt.selection.server, &attempt.selection.address);
+    let sent = connection_pool
+        .send(server, address, reuse, request, pass)
+        .await;
     let (answer, connection) = match sent {
         Ok(sent) => sent,
-        Err(cause) => return not_answered(call, flight, &cause).await,
+        Err(cause) => return not_answered(call, attempt, &cause).await,
     };
     let (parts, body) = answer.into_parts();
     let head = headers::read_answer(parts.status, &parts.headers, call.head.id.as_deref());
     let relay = &call.relay;
-    let server = &flight.chosen.server;
+    let server = &attempt.selection.server;
     relay
         .unknown_headers
         .note(call.id(), server, &parts.headers);
-    flight.is_framed = headers::is_framed(&parts.headers);
+    attempt.is_framed = headers::is_framed(&parts.headers);
     let now = call.relay.clock.now();
-    lock(&call.relay.tracker).call_answered(now, &flight.chosen.server);
+    lock(&call.relay.tracker).call_answered(now, &attempt.selection.server);
     if let Some(load) = head.load {
         let told = ReportedLoad {
             calls: load.running + load.waiting,
             at: call.relay.clock.now(),
         };
-        lock(&call.relay.tracker).record_load(&flight.chosen.server, told);
+        lock(&call.relay.tracker).record_load(&attempt.selection.server, told);
     }
     // Neither a late answer to another call nor one of another server speaks for this one.
     let speaks = head.is_ours && head.word != RunWord::OtherServer;
     if speaks {
-        let target = &flight.chosen.target;
+        let target = &attempt.selection.target;
         call.relay
             .gate
             .answered(call.id(), target, &head.notice, head.has_proof);
     }
     let received = Received {
-        flight,
+        attempt,
         connection,
         parts,
         head,
@@ -281,12 +283,12 @@
 async fn admit(
     call: &Arc<Call>,
     tried: &[ServerName],
-) -> Result<(Run, Chosen, Pass), (RefusalReason, Duration)> {
+) -> Result<(Run, Selection, Pass), (RefusalReason, Duration)> {
     loop {
         let run = suspects::admit(call).await?;
-        let (chosen, pass) = place(call, tried, run.is_apart).await?;
+        let (selection, pass) = place(call, tried, run.is_apart).await?;
         if run.may_send() {
-            return Ok((run, chosen, pass));
+            return Ok((run, selection, pass));
         }
     }
 }
@@ -296,30 +298,30 @@
 async fn place(
     call: &Arc<Call>,
     tried: &[ServerName],
-    is_apart: bool,
-) -> Result<(Chosen, Pass), (RefusalReason, Duration)> {
+    is_isolated: bool,
+) -> Result<(Selection, Pass), (RefusalReason, Duration)> {
     for _ in 0..MOST_ASKED {
-        let chosen = engines::choose(call, tried, is_apart).await?;
+        let selection = server_selection::select(call, tried, is_isolated).await?;
         let entrant = Entrant {
             id: call.id(),
-            target: &chosen.target,
+            target: &selection.target,
             patience: call.patience(tried.is_empty()),
         };
         if let Ok(pass) = call.relay.gate.enter(&entrant).await {
-            return Ok((chosen, pass));
+            return Ok((selection, pass));
         }
     }
     Err((RefusalReason::ServersLimited, NO_KEEPER))
 }
 
-fn request(call: &Call, chosen: &Chosen, resume_after: Option<u64>) -> Request<Full<Bytes>> {
+fn request(call: &Call, selection: &Selection, resume_after: Option<u64>) -> Request<Full<Bytes>> {
     let dispatch = Dispatch {
-        server: &chosen.server,
+        server: &selection.server,
         time_left: call.time_left(),
         workspace: call.workspace.as_ref(),
         takes_key: !call.routes.table().workspaces.is_empty(),
-        readers: &chosen.readers,
-        rank: chosen.rank,
+        readers: &selection.helpers,
+        rank: selection.rank,
         resume_after,
     };
     let mut request = Request::new(Full::new(call.body.clone()));
@@ -329,20 +331,20 @@
     request
 }
 
-async fn not_answered(call: &Call, flight: Flight, cause: &SendError) -> TryResult {
-    log_lines::try_failed(call, &flight.chosen, cause);
+async fn not_answered(call: &Call, attempt: AttemptGuard, cause: &SendError) -> AttemptResult {
+    log_lines::try_failed(call, &attempt.selection, cause);
     match cause {
         SendError::NotSent(_) => {
-            flight.end(ServerOutcome::Unreachable);
-            TryResult::Ended(AttemptEnd::NoConnection)
+            attempt.finish(ServerOutcome::Unreachable);
+            AttemptResult::Ended(AttemptEnd::NoConnection)
         }
-        SendError::NoAnswer => {
-            flight.end(ServerOutcome::ConnectTimeout);
-            TryResult::Ended(AttemptEnd::NoConnection)
+        SendError::ConnectTimeout => {
+            attempt.finish(ServerOutcome::ConnectTimeout);
+            AttemptResult::Ended(AttemptEnd::NoConnection)
         }
         SendError::Lost(_) => {
-            flight.broke_off().await;
-            TryResult::Ended(AttemptEnd::Lost)
+            attempt.finish_broken().await;
+            AttemptResult::Ended(AttemptEnd::Lost)
         }
     }
 }
@@ -352,16 +354,21 @@
     attempts: &Attempts,
     received: Received,
     join: Option<&EventJoin>,
-) -> TryResult {
+) -> AttemptResult {
     let (head, status) = (&received.head, received.parts.status);
     if head.word != RunWord::Nothing && !status.is_success() {
         return declined(call, received).await;
     }
     if !head.is_ours {
-        return unusable(call, received.flight, status, "it answers another call");
+        return unusable(call, received.attempt, status, "it answers another call");
     }
     if status.is_success() && !head.has_proof {
-        return unusable(call, received.flight, status, "it lacks the server's proof");
+        return unusable(
+            call,
+            received.attempt,
+            status,
+            "it lacks the server's proof",
+        );
     }
     if status.is_success() && call.route.kind.is_stream() {
         let join = match join {
@@ -373,71 +380,78 @@
     whole_answer(call, received).await
 }
 
-fn unusable(call: &Call, flight: Flight, status: StatusCode, why: &str) -> TryResult {
-    log_lines::unusable(call, &flight.chosen, status, why);
-    flight.end(ServerOutcome::Failure);
-    TryResult::Ended(AttemptEnd::Lost)
+fn unusable(call: &Call, attempt: AttemptGuard, status: StatusCode, why: &str) -> AttemptResult {
+    log_lines::unusable(call, &attempt.selection, status, why);
+    attempt.finish(ServerOutcome::Failure);
+    AttemptResult::Ended(AttemptEnd::Lost)
 }
 
-async fn declined(call: &Call, received: Received) -> TryResult {
+async fn declined(call: &Call, received: Received) -> AttemptResult {
     let after = received.after();
     let Received {
-        flight,
+        attempt,
         connection,
         parts,
         head,
         body,
     } = received;
-    log_lines::declined(call, &flight.chosen, parts.status, &head);
+    log_lines::declined(call, &attempt.selection, parts.status, &head);
     if let Some(address) = &head.at_fault {
         let now = call.relay.clock.now();
         lock(&call.relay.tracker).record_fault(now, address);
         call.relay.urgent_changed.notify_one();
     }
     if read_whole(body).await.is_some() {
-        put_back(call, &flight.chosen.server, connection, after);
+        return_connection(call, &attempt.selection.server, connection, after);
     }
-    flight.end(match head.word {
+    attempt.finish(match head.word {
         RunWord::OtherServer => ServerOutcome::Unreachable,
         RunWord::NotRun | RunWord::Nothing => ServerOutcome::Inconclusive,
     });
     let pause = head.notice.retry_after.value().unwrap_or_default();
-    TryResult::Ended(if pause.is_zero() {
+    AttemptResult::Ended(if pause.is_zero() {
         AttemptEnd::Declined
     } else {
         AttemptEnd::Shed
     })
 }
 
-async fn whole_answer(call: &Call, received: Received) -> TryResult {
+async fn whole_answer(call: &Call, received: Received) -> AttemptResult {
     let after = received.after();
     let Received {
-        flight,
+        attempt,
         connection,
         parts,
         body,
         ..
     } = received;
     let Some(bytes) = read_whole(body).await else {
-        log_lines::unusable(call, &flight.chosen, parts.status, "it ended early");
-        flight.broke_off().await;
-        return TryResult::Ended(AttemptEnd::Lost);
+        log_lines::unusable(call, &attempt.selection, parts.status, "it ended early");
+        attempt.finish_broken().await;
+        return AttemptResult::Ended(AttemptEnd::Lost);
     };
-    put_back(call, &flight.chosen.server, connection, after);
-    let answer = pass_on(&parts, AnswerBody::whole(bytes));
+    return_connection(call, &attempt.selection.server, connection, after);
+    let answer = response_to_caller(&parts, AnswerBody::whole(bytes));
     if parts.status.is_server_error() {
-        flight.end(ServerOutcome::Failure);
-        TryResult::ServerError(answer)
+        attempt.finish(ServerOutcome::Failure);
+        AttemptResult::ServerError(answer)
     } else {
-        flight.served().await;
-        TryResult::Whole(answer)
+        attempt.finish_served().await;
+        AttemptResult::Complete(answer)
     }
 }
 
 /// Lets a connection rest whose answer was whole, if it may.
-pub fn put_back(call: &Call, server: &ServerName, connection: Connection, after: After) {
-    if let After::Rest { keep_alive } = after {
-        call.relay.upstream.rest(server, connection, keep_alive);
+pub fn return_connection(
+    call: &Call,
+    server: &ServerName,
+    connection: Connection,
+    after: AfterResponse,
+) {
+    if let AfterResponse::Pool { keep_alive } = after {
+        call.relay
+            .connection_pool
+            .put(server, connection, keep_alive);
     }
 }
 
@@ -450,7 +464,7 @@
 }
 
 /// The server's head without what concerns its own connection.
-pub fn pass_on(parts: &http::response::Parts, body: AnswerBody) -> Response<AnswerBody> {
+pub fn response_to_caller(parts: &http::response::Parts, body: AnswerBody) -> Response<AnswerBody> {
     let mut answer = Response::new(body);
     *answer.status_mut() = parts.status;
     *answer.headers_mut() = headers::without_connection(&parts.headers);
@@ -458,10 +472,10 @@
 }
 
 /// How long a server may be silent before its run is taken for broken.
-pub fn silence(call: &Call, chosen: &Chosen, first: bool) -> Duration {
+pub fn silence_timeout(call: &Call, selection: &Selection, first: bool) -> Duration {
     let objective = call.route.objective;
     match (first, call.route.max_gap) {
-        (true, _) => (chosen.expected * 3).max(objective) + FIRST_EVENT_SLACK,
+        (true, _) => (selection.expected_first_event * 3).max(objective) + FIRST_EVENT_SLACK,
         (false, Some(pause)) => (pause * 4).max(NEXT_EVENT_SLACK),
         (false, None) => Duration::MAX,
     }
@@ -477,45 +491,45 @@
     attempts: &Attempts,
     received: Received,
     mut join: EventJoin,
-) -> TryResult {
+) -> AttemptResult {
     let after = received.after();
     let Received {
-        flight,
+        attempt,
         connection,
         parts,
         mut body,
         ..
     } = received;
-    let mut patience = silence(call, &flight.chosen, true);
+    let mut patience = silence_timeout(call, &attempt.selection, true);
     let (events, complete) = loop {
         let broken = match timeout(patience, body.frame()).await {
             Ok(Some(Ok(frame))) => match join.push(&frame.into_data().unwrap_or_default()) {
                 Ok(events) if events.is_empty() => continue,
                 Ok(events) => break (events, false),
-                Err(cause) => Broken::Spoiled(cause.to_string()),
+                Err(cause) => StreamFailure::InvalidData(cause.to_string()),
             },
             Ok(None) if !join.is_inside_event() => break (Bytes::new(), true),
-            Ok(None) => Broken::Off("it ended inside an event".to_owned()),
-            Ok(Some(Err(cause))) => Broken::Off(cause.to_string()),
+            Ok(None) => StreamFailure::ConnectionLost("it ended inside an event".to_owned()),
+            Ok(Some(Err(cause))) => StreamFailure::ConnectionLost(cause.to_string()),
             Err(_elapsed) if attempts.may_retry() && call.has_retry_budget() => {
-                Broken::Silent("no first event in time")
+                StreamFailure::TimedOut("no first event in time")
             }
             Err(_elapsed) => {
                 patience = Duration::MAX;
                 continue;
             }
         };
-        return broken.end(call, flight).await;
+        return broken.finish(call, attempt).await;
     };
-    flight.chosen.prefill_done(call);
-    TryResult::Live(Box::new(Live {
+    attempt.selection.prefill_done(call);
+    AttemptResult::Live(Box::new(StreamingResponse {
         head: parts,
         events,
         complete,
         body,
         join,
         connection,
-        flight,
+        attempt,
         after,
     }))
 }
--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -21,21 +21,21 @@
 
 /// Why a call can't be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotNow {
+pub enum NoCandidate {
     /// There are none that can take it.
-    NoEngines,
+    NoServers,
     /// All that there are take no call of this box before so long.
-    AllClosed(Duration, RefusalReason),
+    RetryIn(Duration, RefusalReason),
     /// All that there are leave.
     AllLeaving,
 }
 
-impl NotNow {
+impl NoCandidate {
     /// What its caller is told, and when to come back.
     pub fn refusal(self) -> (RefusalReason, Duration) {
         match self {
-            Self::NoEngines => (RefusalReason::NoServer, NO_SERVER_RETRY),
-            Self::AllClosed(retry_in, why) => {
+            Self::NoServers => (RefusalReason::NoServer, NO_SERVER_RETRY),
+            Self::RetryIn(retry_in, why) => {
                 // Callers that are refused together do not come back in one instant.
                 let spread = rand::rng().random_range(0.0..RETURN_SPREAD);
                 (why, retry_in + retry_in.mul_f64(spread))
@@ -47,8 +47,8 @@
     /// Whether nothing changes in a call's favour before this time.
     pub fn lasts_until(self, now: Time, at: Time) -> bool {
         match self {
-            Self::NoEngines => false,
-            Self::AllClosed(retry_in, _) => now + retry_in >= at,
+            Self::NoServers => false,
+            Self::RetryIn(retry_in, _) => now + retry_in >= at,
             Self::AllLeaving => true,
         }
     }
@@ -56,7 +56,7 @@
 
 /// What a call is to be sent to.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct CandidateQuery<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// Servers that it was sent to.
@@ -75,9 +75,9 @@
     relay: &Relay,
     now: Time,
     tracker: &'a ServerTracker,
-    wanted: &Wanted<'_>,
-) -> Result<Vec<(&'a ServerRecord, Availability)>, NotNow> {
-    let Wanted {
+    wanted: &CandidateQuery<'_>,
+) -> Result<Vec<(&'a ServerRecord, Availability)>, NoCandidate> {
+    let CandidateQuery {
         service,
         tried,
         patience,
@@ -100,7 +100,7 @@
     let listed = tracker.of_service(service);
     let mut listed = listed.filter(|record| !record.info.leaving).peekable();
     if listed.peek().is_none() {
-        return Err(NotNow::NoEngines);
+        return Err(NoCandidate::NoServers);
     }
     let available_in =
         |record: &'a ServerRecord| Some((notices.available_in(now, record.life)?, record));
@@ -108,13 +108,13 @@
         .filter_map(available_in)
         .min_by_key(|(wait, _)| *wait);
     match first {
-        None => Err(NotNow::AllLeaving),
+        None => Err(NoCandidate::AllLeaving),
         Some((wait, record)) if wait > patience => {
             let why = match availability(record.life) {
                 Availability::BackOff => RefusalReason::ServersShedding,
                 _ => RefusalReason::ServersLimited,
             };
-            Err(NotNow::AllClosed(wait, why))
+            Err(NoCandidate::RetryIn(wait, why))
         }
         Some((_, record)) => {
             usable.retain(|(other, _)| other.key != record.key);
--- a/daemon/src/relay/upstream.rs
+++ b/daemon/src/relay/connection_pool.rs
@@ -45,7 +45,7 @@
     NotSent(String),
     /// Nothing was sent: nobody answered to the connection.
     #[error("no answer to the connection")]
-    NoAnswer,
+    ConnectTimeout,
     /// The call may have run.
     #[error("lost: {0}")]
     Lost(String),
@@ -95,7 +95,7 @@
 
 /// Resting connections by server.
 #[derive(Debug, Default)]
-pub struct Upstream {
+pub struct ConnectionPool {
     resting: Mutex<HashMap<ServerName, Vec<Resting>>>,
 }
 
@@ -108,7 +108,7 @@
     Never,
 }
 
-impl Upstream {
+impl ConnectionPool {
     /// Sends a call once and waits for the head of the answer.
     ///
     /// # Errors
@@ -123,7 +123,7 @@
         pass: Pass,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let rested = match reuse {
-            Reuse::Allowed => self.take(server),
+            Reuse::Allowed => self.take_idle(server),
             Reuse::Never => None,
         };
         let mut connection = match rested {
@@ -134,7 +134,7 @@
         Ok((answer, connection))
     }
 
-    fn take(&self, server: &ServerName) -> Option<Connection> {
+    fn take_idle(&self, server: &ServerName) -> Option<Connection> {
         let mut resting = lock(&self.resting);
         let rows = resting.get_mut(server)?;
         let now = Instant::now();
@@ -152,7 +152,7 @@
     }
 
     /// Takes a connection back whose answer was whole and its own.
-    pub fn rest(&self, server: &ServerName, connection: Connection, keep_alive: Option<Duration>) {
+    pub fn put(&self, server: &ServerName, connection: Connection, keep_alive: Option<Duration>) {
         let rest = match keep_alive {
             Some(told) => told.saturating_sub(REST_MARGIN).min(MAX_REST),
             None => MAX_REST,
@@ -171,7 +171,7 @@
     }
 
     /// Closes connections that rested too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         let mut resting = lock(&self.resting);
         for rows in resting.values_mut() {
@@ -191,7 +191,7 @@
     let stream = match timeout(CONNECT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(cause)) => return Err(not_sent(&cause)),
-        Err(_elapsed) => return Err(SendError::NoAnswer),
+        Err(_elapsed) => return Err(SendError::ConnectTimeout),
     };
     if let Err(cause) = guard_against_silence(&stream) {
         tracing::warn!(address, %cause, "a socket option could not be set");
--- a/daemon/src/relay/engine_call.rs
+++ b/daemon/src/relay/engine_call.rs
@@ -8,8 +8,8 @@
 use http_body_util::Limited;
 use hyper::body::Bytes;
 
+use crate::relay::connection_pool;
 use crate::relay::server_gate::Pass;
-use crate::relay::upstream;
 
 /// Largest answer; reports of many reservations take some kilobytes.
 const MAX_ANSWER_BYTES: usize = 256 << 10;
@@ -24,7 +24,7 @@
     call: EngineCall,
     pass: Pass,
 ) -> anyhow::Result<(StatusCode, Bytes)> {
-    let mut connection = upstream::connect(address).await?;
+    let mut connection = connection_pool::connect(address).await?;
     let request = Request::builder()
         .method(call.method)
         .uri(call.path)
--- a/daemon/src/relay/late_calls.rs
+++ b/daemon/src/relay/first_event_watchdog.rs
@@ -14,7 +14,7 @@
 
 use crate::relay::call::Call;
 use crate::relay::engine_call;
-use crate::relay::engines::Engine;
+use crate::relay::server_selection::Engine;
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
@@ -23,11 +23,11 @@
 
 /// Watches for a call's first event to be late; ends when dropped.
 #[derive(Debug)]
-pub struct LateWatch(AbortHandle);
+pub struct FirstEventWatchdog(AbortHandle);
 
-impl LateWatch {
+impl FirstEventWatchdog {
     /// Begins; the first event is expected after so long.
-    pub fn begin(call: &Arc<Call>, engines: Vec<Engine>, expected: Duration) -> Self {
+    pub fn start(call: &Arc<Call>, engines: Vec<Engine>, expected: Duration) -> Self {
         let call = Arc::clone(call);
         let late = slow_engine_tracker::late_after(expected);
         let watch = async move {
@@ -38,14 +38,14 @@
     }
 
     /// Ends: the first event is here.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.0.abort();
     }
 }
 
-impl Drop for LateWatch {
+impl Drop for FirstEventWatchdog {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
 
--- a/daemon/src/relay/live_stream.rs
+++ b/daemon/src/relay/live_stream.rs
@@ -20,13 +20,13 @@
 use crate::relay::answer_body::PIECES;
 use crate::relay::answer_body::Piece;
 use crate::relay::call::Call;
+use crate::relay::call_attempt;
+use crate::relay::call_attempt::AttemptResult;
+use crate::relay::call_attempt::StreamFailure;
+use crate::relay::call_attempt::StreamingResponse;
 use crate::relay::candidates::NO_SERVER_RETRY;
 use crate::relay::log_lines;
 use crate::relay::log_lines::StreamTimes;
-use crate::relay::tries;
-use crate::relay::tries::Broken;
-use crate::relay::tries::Live;
-use crate::relay::tries::TryResult;
 
 /// Why a run of a stream is over.
 enum RunEnd {
@@ -44,10 +44,10 @@
     call: Arc<Call>,
     attempts: Attempts,
     tried: Vec<ServerName>,
-    live: Box<Live>,
+    live: Box<StreamingResponse>,
 ) -> Response<AnswerBody> {
     let (tx, rx) = mpsc::channel(PIECES);
-    let answer = tries::pass_on(&live.head, AnswerBody::pieces(rx));
+    let answer = call_attempt::response_to_caller(&live.head, AnswerBody::pieces(rx));
     log_lines::streaming(&call, &live);
     call.has_begun.store(true, Ordering::Relaxed);
     tokio::spawn(run(call, attempts, tried, live, tx));
@@ -58,7 +58,7 @@
     call: Arc<Call>,
     mut attempts: Attempts,
     mut tried: Vec<ServerName>,
-    live: Box<Live>,
+    live: Box<StreamingResponse>,
     tx: mpsc::Sender<Piece>,
 ) {
     let mut times = StreamTimes::begin(&call, &live);
@@ -110,7 +110,7 @@
     call: &Arc<Call>,
     attempts: &mut Attempts,
     tried: &mut Vec<ServerName>,
-    mut live: Box<Live>,
+    mut live: Box<StreamingResponse>,
     tx: &mpsc::Sender<Piece>,
     pauses: &mut Pauses,
 ) -> &'static str {
@@ -130,15 +130,15 @@
             }
             join.discard_partial();
             let next = tokio::select! {
-                next = tries::try_once(call, attempts, tried, Some(&join)) => next,
+                next = call_attempt::run_attempt(call, attempts, tried, Some(&join)) => next,
                 () = tx.closed() => return "caller_gone",
             };
             end = match next {
-                TryResult::Live(live) => break live,
-                TryResult::Ended(end) => end,
-                TryResult::ServerError(_) => AttemptEnd::ServerError,
-                TryResult::Whole(_) => AttemptEnd::Lost,
-                TryResult::NoServer(..) => return "no_server",
+                AttemptResult::Live(live) => break live,
+                AttemptResult::Ended(end) => end,
+                AttemptResult::ServerError(_) => AttemptEnd::ServerError,
+                AttemptResult::Complete(_) => AttemptEnd::Lost,
+                AttemptResult::NoServer(..) => return "no_server",
             };
         };
     }
@@ -147,24 +147,24 @@
 async fn pump(
     call: &Call,
     attempts: &Attempts,
-    live: Box<Live>,
+    live: Box<StreamingResponse>,
     tx: &mpsc::Sender<Piece>,
     pauses: &mut Pauses,
 ) -> RunEnd {
-    let Live {
+    let StreamingResponse {
         events,
         mut complete,
         mut body,
         mut join,
         connection,
-        flight,
+        attempt,
         after,
         ..
     } = *live;
     if !forward(events, tx, pauses).await {
         return RunEnd::CallerGone;
     }
-    let mut patience = tries::silence(call, &flight.chosen, false);
+    let mut patience = call_attempt::silence_timeout(call, &attempt.selection, false);
     let mut lived_on = Some(Instant::now() + LIVED_ON);
     while !complete {
         let frame = tokio::select! {
@@ -179,22 +179,22 @@
                     Ok(events) => {
                         if lived_on.is_some_and(|at| Instant::now() >= at) {
                             lived_on = None;
-                            flight.runs_well();
+                            attempt.record_success();
                         }
                         if !forward(events, tx, pauses).await {
                             return RunEnd::CallerGone;
                         }
                         continue;
                     }
-                    Err(cause) => Broken::Spoiled(cause.to_string()),
+                    Err(cause) => StreamFailure::InvalidData(cause.to_string()),
                 }
             }
             Ok(None) if !join.is_inside_event() => {
                 complete = true;
                 continue;
             }
-            Ok(None) => Broken::Off("it ended inside an event".to_owned()),
-            Ok(Some(Err(cause))) => Broken::Off(cause.to_string()),
+            Ok(None) => StreamFailure::ConnectionLost("it ended inside an event".to_owned()),
+            Ok(Some(Err(cause))) => StreamFailure::ConnectionLost(cause.to_string()),
             Err(_elapsed) => {
                 // Silence alone ends no answer: without another server to go on, it is waited for.
                 repeat_paid = attempts.may_retry() && call.may_repeat();
@@ -202,14 +202,14 @@
                     patience = Duration::MAX;
                     continue;
                 }
-                Broken::Silent("it was silent too long")
+                StreamFailure::TimedOut("it was silent too long")
             }
         };
-        broken.end(call, flight).await;
+        broken.finish(call, attempt).await;
         return RunEnd::Broken { join, repeat_paid };
     }
-    tries::put_back(call, &flight.chosen.server, connection, after);
-    flight.served().await;
+    call_attempt::return_connection(call, &attempt.selection.server, connection, after);
+    attempt.finish_served().await;
     RunEnd::Complete
 }
 
--- a/daemon/src/relay/log_lines.rs
+++ b/daemon/src/relay/log_lines.rs
@@ -15,11 +15,11 @@
 use metrics::histogram;
 
 use crate::relay::call::Call;
-use crate::relay::engines::Chosen;
+use crate::relay::call_attempt::StreamingResponse;
+use crate::relay::connection_pool::SendError;
 use crate::relay::line_budget::GOOD_LINES;
 use crate::relay::line_budget::LATE_LINES;
-use crate::relay::tries::Live;
-use crate::relay::upstream::SendError;
+use crate::relay::server_selection::Selection;
 
 /// A call was turned down before it had a route.
 pub fn turned_away(id: &str, why: &str) {
@@ -34,10 +34,10 @@
 }
 
 /// A server was chosen.
-pub fn routed(call: &Call, attempts: &Attempts, chosen: &Chosen) {
-    if !chosen.waited.is_zero() {
+pub fn routed(call: &Call, attempts: &Attempts, selection: &Selection) {
+    if !selection.waited.is_zero() {
         histogram!("badgerferry_relay_engine_wait_seconds", "service" => call.service.to_string())
-            .record(chosen.waited.as_secs_f64());
+            .record(selection.waited.as_secs_f64());
     }
     if attempts.sent() == 0 && !GOOD_LINES.take() {
         return;
@@ -48,15 +48,15 @@
         version = call.routes.table().version,
         service = %call.service,
         sent = attempts.sent(),
-        server = %chosen.server,
-        address = chosen.address,
-        part_ms = chosen.part.map(|part| part.as_millis() as u64),
-        long = chosen.is_long(),
-        readers = chosen.readers.len(),
-        read_at = chosen.read_at(),
+        server = %selection.server,
+        address = selection.address,
+        part_ms = selection.chunk_prefill.map(|part| part.as_millis() as u64),
+        long = selection.is_long(),
+        readers = selection.helpers.len(),
+        read_at = selection.prefill_addresses(),
         tokens = call.head.prompt.map(|prompt| prompt.tokens),
-        waited_ms = chosen.waited.as_millis() as u64,
-        expected_ms = chosen.expected.as_millis() as u64,
+        waited_ms = selection.waited.as_millis() as u64,
+        expected_ms = selection.expected_first_event.as_millis() as u64,
         left_ms = call.time_left().as_millis() as u64,
         "call routed"
     );
@@ -90,13 +90,13 @@
 }
 
 /// A try got no head of an answer.
-pub fn try_failed(call: &Call, chosen: &Chosen, cause: &SendError) {
+pub fn try_failed(call: &Call, selection: &Selection, cause: &SendError) {
     counter!("badgerferry_tries_failed_total", "why" => "no_answer").increment(1);
     // What it asks for matters where it may have run.
     let work = matches!(cause, SendError::Lost(_)).then(|| call.work());
     tracing::info!(
         call = call.id(),
-        server = %chosen.server,
+        server = %selection.server,
         work = work.map(tracing::field::display),
         %cause,
         "try failed"
@@ -104,11 +104,11 @@
 }
 
 /// A server declined.
-pub fn declined(call: &Call, chosen: &Chosen, status: StatusCode, head: &AnswerHead) {
+pub fn declined(call: &Call, selection: &Selection, status: StatusCode, head: &AnswerHead) {
     counter!("badgerferry_tries_failed_total", "why" => "declined").increment(1);
     tracing::info!(
         call = call.id(),
-        server = %chosen.server,
+        server = %selection.server,
         status = status.as_u16(),
         at_fault = head.at_fault,
         // Saturates: a server may name any time.
@@ -120,11 +120,11 @@
 }
 
 /// An answer can't be used.
-pub fn unusable(call: &Call, chosen: &Chosen, status: StatusCode, why: &str) {
+pub fn unusable(call: &Call, selection: &Selection, status: StatusCode, why: &str) {
     counter!("badgerferry_tries_failed_total", "why" => "unusable").increment(1);
     tracing::info!(
         call = call.id(),
-        server = %chosen.server,
+        server = %selection.server,
         status = status.as_u16(),
         work = %call.work(),
         why,
@@ -133,7 +133,7 @@
 }
 
 /// The first event is on its way to the caller.
-pub fn streaming(call: &Call, live: &Live) {
+pub fn streaming(call: &Call, live: &StreamingResponse) {
     let took = call.relay.clock.now().since(call.arrived);
     histogram!("badgerferry_relay_first_event_seconds", "service" => call.service.to_string())
         .record(took.as_secs_f64());
@@ -142,9 +142,9 @@
     }
     tracing::info!(
         call = call.id(),
-        server = %live.flight.chosen.server,
+        server = %live.attempt.selection.server,
         first_event_ms = took.as_millis() as u64,
-        expected_ms = live.flight.chosen.expected.as_millis() as u64,
+        expected_ms = live.attempt.selection.expected_first_event.as_millis() as u64,
         "stream begins"
     );
 }
@@ -169,11 +169,11 @@
 
 impl StreamTimes {
     /// The times of a stream that begins now.
-    pub fn begin(call: &Call, live: &Live) -> Self {
+    pub fn begin(call: &Call, live: &StreamingResponse) -> Self {
         Self {
             first_event: call.relay.clock.now().since(call.arrived),
-            waited: live.flight.chosen.waited,
-            expected: live.flight.chosen.expected,
+            waited: live.attempt.selection.waited,
+            expected: live.attempt.selection.expected_first_event,
             longest_pause: Duration::ZERO,
         }
     }
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -10,14 +10,15 @@
 
 mod answer_body;
 mod call;
+mod call_attempt;
 mod caller_answer;
 mod caller_io;
 mod candidates;
+mod connection_pool;
 mod engine_call;
-mod engines;
+mod first_event_watchdog;
 mod followed;
 mod front;
-mod late_calls;
 mod line_budget;
 mod listener;
 mod live_stream;
@@ -28,13 +29,12 @@
 mod pulls;
 mod reservations;
 mod server_gate;
+mod server_selection;
 mod state;
 mod stop;
 mod store_follow;
 mod suspects;
-mod tries;
 mod unknown_headers;
-mod upstream;
 
 /// Runs the daemon until it is told to stop.
 ///
--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -17,8 +17,8 @@
 
 use crate::relay::call::Call;
 use crate::relay::engine_call;
-use crate::relay::engines::Engine;
 use crate::relay::server_gate::Pass;
+use crate::relay::server_selection::Engine;
 use crate::relay::state::Relay;
 
 /// How long memory is set aside without renewal; what lapses later counts as leaked.
@@ -45,10 +45,10 @@
     /// # Errors
     ///
     /// Which engines did not set it aside, and why.
-    pub async fn make(
+    pub async fn reserve(
         call: &Arc<Call>,
         wanted: Vec<(Engine, u64)>,
-    ) -> Result<Self, Vec<(String, NotReserved)>> {
+    ) -> Result<Self, Vec<(String, ReservationFailure)>> {
         let id = format!("{:016x}", rand::random::<u64>());
         let hold = HOLD.min(call.relay.settings.longest_hold);
         let relay = &call.relay;
@@ -72,7 +72,7 @@
         });
         let answers = join_all(orders).await;
         let refused = answers.into_iter().zip(reserved.engines.iter());
-        let refused: Vec<(String, NotReserved)> = refused
+        let refused: Vec<(String, ReservationFailure)> = refused
             .filter_map(|(answer, (engine, _))| {
                 Some((engine.address.clone(), not_reserved(answer)?))
             })
@@ -101,7 +101,7 @@
 
 /// Why an engine set no memory aside.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotReserved {
+pub enum ReservationFailure {
     /// It has no room now.
     NoRoom,
     /// It takes no reservations, or none so large.
@@ -110,12 +110,12 @@
     Silent,
 }
 
-fn not_reserved(answer: Option<StatusCode>) -> Option<NotReserved> {
+fn not_reserved(answer: Option<StatusCode>) -> Option<ReservationFailure> {
     match answer.map(orders::read_reserved) {
         Some(Reserved::Held) => None,
-        Some(Reserved::NoRoom) => Some(NotReserved::NoRoom),
-        Some(Reserved::Impossible) => Some(NotReserved::Refused),
-        None => Some(NotReserved::Silent),
+        Some(Reserved::NoRoom) => Some(ReservationFailure::NoRoom),
+        Some(Reserved::Impossible) => Some(ReservationFailure::Refused),
+        None => Some(ReservationFailure::Silent),
     }
 }
 
--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -30,12 +30,12 @@
 
 use crate::relay::call::Call;
 use crate::relay::candidates;
+use crate::relay::candidates::CandidateQuery;
 use crate::relay::candidates::NO_SERVER_RETRY;
-use crate::relay::candidates::NotNow;
-use crate::relay::candidates::Wanted;
-use crate::relay::late_calls::LateWatch;
+use crate::relay::candidates::NoCandidate;
+use crate::relay::first_event_watchdog::FirstEventWatchdog;
 use crate::relay::log_lines;
-use crate::relay::reservations::NotReserved;
+use crate::relay::reservations::ReservationFailure;
 use crate::relay::reservations::Reservations;
 use crate::relay::server_gate::Target;
 use crate::relay::state::Relay;
@@ -48,7 +48,7 @@
 
 /// Where a try goes.
 #[derive(Debug)]
-pub struct Chosen {
+pub struct Selection {
     /// The server that runs it.
     pub server: ServerName,
     /// The life of the server that is meant, and its hall.
@@ -56,28 +56,28 @@
     /// Where it listens.
     pub address: String,
     /// Engines that read parts of the prompt.
-    pub readers: Vec<Reader>,
+    pub helpers: Vec<Reader>,
     /// What each engine reads of the prompt, by the operators' figures.
-    pub part: Option<Duration>,
+    pub chunk_prefill: Option<Duration>,
     /// Rank at the engine.
     pub rank: Option<u8>,
     /// Expected time to the first event.
-    pub expected: Duration,
+    pub expected_first_event: Duration,
     /// How long the call waited for engines, in the order over all boxes.
     pub waited: Duration,
     /// Own work entered in the load table, until dropped.
     works: Works,
     /// Asks its engines for their pace if the first event is late.
-    late: Option<LateWatch>,
+    late: Option<FirstEventWatchdog>,
     /// Memory set aside, until dropped.
     _reservations: Option<Reservations>,
 }
 
-impl Chosen {
+impl Selection {
     /// Addresses of the engines that read parts, for logs; none where there is one reader.
-    pub fn read_at(&self) -> Option<String> {
+    pub fn prefill_addresses(&self) -> Option<String> {
         let addresses: Vec<&str> = self
-            .readers
+            .helpers
             .iter()
             .map(|row| row.address.as_str())
             .collect();
@@ -92,7 +92,7 @@
     /// Notes that all reading is over.
     pub fn prefill_done(&self, call: &Call) {
         if let Some(late) = &self.late {
-            late.end();
+            late.stop();
         }
         let mut loads = lock(&call.relay.loads);
         for &id in &self.works.ids {
@@ -166,26 +166,28 @@
 }
 
 /// Chooses; `tried` servers are used again only where there is no other. One that
-/// `is_apart` and needs no group of engines goes where few others are.
+/// `is_isolated` and needs no group of engines goes where few others are.
 ///
 /// # Errors
 ///
 /// Why no server can take the call now, and when to come back.
-pub async fn choose(
+pub async fn select(
     call: &Arc<Call>,
     tried: &[ServerName],
-    is_apart: bool,
-) -> Result<Chosen, (RefusalReason, Duration)> {
+    is_isolated: bool,
+) -> Result<Selection, (RefusalReason, Duration)> {
     let service = call.routes.service(&call.service);
     let model = service.and_then(|service| service.engine);
     match (model, call.head.prompt) {
-        (Some(model), Some(prompt)) => choose_engines(call, tried, &model, &prompt, is_apart).await,
+        (Some(model), Some(prompt)) => {
+            choose_engines(call, tried, &model, &prompt, is_isolated).await
+        }
         _ => choose_plain(call, tried),
     }
 }
 
-fn wanted<'a>(call: &'a Call, tried: &'a [ServerName]) -> Wanted<'a> {
-    Wanted {
+fn wanted<'a>(call: &'a Call, tried: &'a [ServerName]) -> CandidateQuery<'a> {
+    CandidateQuery {
         service: &call.service,
         tried,
         patience: call.patience(tried.is_empty()),
@@ -195,23 +197,23 @@
 fn choose_plain(
     call: &Arc<Call>,
     tried: &[ServerName],
-) -> Result<Chosen, (RefusalReason, Duration)> {
+) -> Result<Selection, (RefusalReason, Duration)> {
     let relay = &call.relay;
     let now = relay.clock.now();
     let tracker = lock(&relay.tracker);
     let hall = &relay.settings.hall;
     let candidates = candidates::of_service(relay, now, &tracker, &wanted(call, tried));
-    let candidates = candidates.map_err(NotNow::refusal)?;
+    let candidates = candidates.map_err(NoCandidate::refusal)?;
     let record = ServerTracker::pick(now, candidates, hall, &mut rand::rng());
-    let record = record.ok_or(NotNow::NoEngines.refusal())?;
-    Ok(Chosen {
+    let record = record.ok_or(NoCandidate::NoServers.refusal())?;
+    Ok(Selection {
         server: record.info.name.clone(),
         target: target(record),
         address: record.info.address.clone(),
-        readers: Vec::new(),
-        part: None,
+        helpers: Vec::new(),
+        chunk_prefill: None,
         rank: None,
-        expected: PLAIN_EXPECTED,
+        expected_first_event: PLAIN_EXPECTED,
         waited: Duration::ZERO,
         works: Works {
             relay: Arc::clone(relay),
@@ -228,19 +230,19 @@
     tried: &[ServerName],
     model: &EngineModel,
     prompt: &PromptSize,
-    is_apart: bool,
-) -> Result<Chosen, (RefusalReason, Duration)> {
+    is_isolated: bool,
+) -> Result<Selection, (RefusalReason, Duration)> {
     if !engine_plan::is_long(model, prompt, call.route.max_gap) {
-        let apart = is_apart.then(|| plan(call, tried, model, prompt, Among::Apart));
+        let apart = is_isolated.then(|| plan(call, tried, model, prompt, Among::Apart));
         let planned = if let Some(Ok(planned)) = apart {
             planned
         } else {
             let all = Among::All { late_chunk: None };
-            plan(call, tried, model, prompt, all).map_err(NotNow::refusal)?
+            plan(call, tried, model, prompt, all).map_err(NoCandidate::refusal)?
         };
         let started = enter(&call.relay, planned);
         started.works.changed();
-        return Ok(chosen(call, started, None, Duration::ZERO));
+        return Ok(selection(call, started, None, Duration::ZERO));
     }
     let since = call.relay.clock.now();
     loop {
@@ -248,54 +250,60 @@
         let waited = call.relay.clock.now().since(since);
         started.works.changed();
         if !started.plan.reserve_memory {
-            return Ok(chosen(call, started, None, waited));
+            return Ok(selection(call, started, None, waited));
         }
         // Where an engine sets no memory aside, nothing was sent: the prompt waits again.
         match reserve(call, &started).await {
-            Ok(reserved) => return Ok(chosen(call, started, Some(reserved), waited)),
+            Ok(reserved) => return Ok(selection(call, started, Some(reserved), waited)),
             Err(refused) => note_refused(&call.relay, &refused),
         }
         tokio::time::sleep(RESERVATION_RETRY_DELAY).await;
     }
 }
 
-fn chosen(
+fn selection(
     call: &Arc<Call>,
     started: Started,
     reservations: Option<Reservations>,
     waited: Duration,
-) -> Chosen {
+) -> Selection {
     let Started {
         addresses,
         plan,
         works,
     } = started;
-    let readers = readers(&addresses, reservations.as_ref());
+    let helpers = helpers(&addresses, reservations.as_ref());
     let lead = &addresses[0];
     let reading = addresses.clone();
-    Chosen {
+    Selection {
         server: lead.server.clone(),
         target: lead.target.clone(),
         address: lead.address.clone(),
-        readers,
-        part: plan.assignments.first().map(|part| part.prefill),
+        helpers,
+        chunk_prefill: plan.assignments.first().map(|part| part.prefill),
         rank: Some(call.priority.min(LAST_RANK)),
-        expected: plan.expected_first_event,
+        expected_first_event: plan.expected_first_event,
         waited,
         works,
-        late: Some(LateWatch::begin(call, reading, plan.expected_first_event)),
+        late: Some(FirstEventWatchdog::start(
+            call,
+            reading,
+            plan.expected_first_event,
+        )),
         _reservations: reservations,
     }
 }
 
 /// Engines that take no reservations rest; those that have no room now may have some soon.
-fn note_refused(relay: &Relay, refused: &[(String, NotReserved)]) {
+fn note_refused(relay: &Relay, refused: &[(String, ReservationFailure)]) {
     let now = relay.clock.now();
     let mut tracker = lock(&relay.tracker);
     for (address, why) in refused {
         match why {
-            NotReserved::NoRoom => {}
-            NotReserved::Refused | NotReserved::Silent => tracker.record_fault(now, address),
+            ReservationFailure::NoRoom => {}
+            ReservationFailure::Refused | ReservationFailure::Silent => {
+                tracker.record_fault(now, address)
+            }
         }
     }
 }
@@ -347,7 +355,7 @@
     model: &EngineModel,
     prompt: &PromptSize,
     among: Among,
-) -> Result<Planned, NotNow> {
+) -> Result<Planned, NoCandidate> {
     let relay = &call.relay;
     let now = relay.clock.now();
     let scope = lock(&relay.followed).scope();
@@ -397,7 +405,7 @@
     };
     let plan = planner
         .plan(prompt, targets, rng)
-        .ok_or(NotNow::NoEngines)?;
+        .ok_or(NoCandidate::NoServers)?;
     let address = |part: &Assignment| Engine::of(usable[part.engine]);
     Ok(Planned {
         addresses: plan.assignments.iter().map(address).collect(),
@@ -468,7 +476,7 @@
     relay.urgent_changed.notify_one();
     loop {
         let now = relay.clock.now();
-        let mut not_now = NotNow::NoEngines;
+        let mut not_now = NoCandidate::NoServers;
         let own = &relay.settings.name;
         let turn = {
             let mut queue = lock(&relay.long_prompt_queue);
@@ -501,14 +509,14 @@
 async fn reserve(
     call: &Arc<Call>,
     started: &Started,
-) -> Result<Reservations, Vec<(String, NotReserved)>> {
+) -> Result<Reservations, Vec<(String, ReservationFailure)>> {
     let wanted = started.addresses.iter().zip(&started.plan.assignments);
     let wanted = wanted.map(|(engine, part)| (engine.clone(), part.memory_tokens));
-    Reservations::make(call, wanted.collect()).await
+    Reservations::reserve(call, wanted.collect()).await
 }
 
 /// Who reads beside the engine that leads; with reservations, it lists its own first.
-fn readers(addresses: &[Engine], reservations: Option<&Reservations>) -> Vec<Reader> {
+fn helpers(addresses: &[Engine], reservations: Option<&Reservations>) -> Vec<Reader> {
     let skip = usize::from(reservations.is_none());
     let reader = |engine: &Engine| Reader {
         address: engine.address.clone(),
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -39,11 +39,11 @@
 use tokio::time::timeout;
 
 use crate::clock::Clock;
+use crate::relay::connection_pool::ConnectionPool;
 use crate::relay::followed::Followed;
 use crate::relay::server_gate::GateParts;
 use crate::relay::server_gate::ServerGate;
 use crate::relay::unknown_headers::UnknownHeaders;
-use crate::relay::upstream::Upstream;
 use crate::traffic::lock;
 
 /// A store that answered within this time is followed; a watch takes little less.
@@ -105,7 +105,7 @@
     /// Headers of servers that nothing reads.
     pub unknown_headers: UnknownHeaders,
     /// Connections to servers.
-    pub upstream: Upstream,
+    pub connection_pool: ConnectionPool,
     /// What control knows of the platform's state.
     pub followed: Arc<Mutex<Followed>>,
     /// The route table in force as other boxes are told it.
@@ -164,7 +164,7 @@
             suspects_changed: Notify::new(),
             gate,
             unknown_headers: UnknownHeaders::default(),
-            upstream: Upstream::default(),
+            connection_pool: ConnectionPool::default(),
             followed,
             encoded_table: Mutex::default(),
             load_changed,
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -52,7 +52,7 @@
             _ = signals.term.recv() => break,
             _ = signals.interrupt.recv() => break,
             _ = signals.hangup.recv() => reload(relay),
-            _ = sweep.tick() => relay.upstream.sweep(),
+            _ = sweep.tick() => relay.connection_pool.close_expired(),
         }
     }
     let began = Instant::now();
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -30,8 +30,8 @@
 use tokio::time::timeout_at;
 
 use crate::relay::call::Call;
-use crate::relay::engines::Chosen;
 use crate::relay::neighbours::teller_name;
+use crate::relay::server_selection::Selection;
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
@@ -156,22 +156,22 @@
 /// A broken connection alone proves nothing: connections are reset, answers are cut short. Where
 /// nobody listens any more, the server is gone; one that leaves by plan ends by itself. `began` is when
 /// the run was sent.
-pub async fn broke_off(call: &Arc<Call>, chosen: &Chosen, began: Time) {
+pub async fn broke_off(call: &Arc<Call>, selection: &Selection, began: Time) {
     let relay = &call.relay;
     let is_listed = {
         let tracker = lock(&relay.tracker);
-        let record = tracker.get(&chosen.server);
-        record.is_some_and(|record| !record.info.leaving && record.life == chosen.target.life)
+        let record = tracker.get(&selection.server);
+        record.is_some_and(|record| !record.info.leaving && record.life == selection.target.life)
     };
-    if !is_listed || relay.gate.leaves(&chosen.target) {
+    if !is_listed || relay.gate.leaves(&selection.target) {
         return;
     }
     let ended = ServerEnd {
-        server: chosen.server.clone(),
-        life: chosen.target.life,
+        server: selection.server.clone(),
+        life: selection.target.life,
         began,
     };
-    let address = chosen.address.clone();
+    let address = selection.address.clone();
     match has_ended(&address, ENDS_WITHIN).await {
         Ending::Ended => ended.record(call),
         Ending::Lives => {}
--- a/daemon/tests/runner.rs
+++ b/daemon/tests/runner.rs
@@ -12,7 +12,7 @@
 mod test_relay_eras;
 mod test_relay_leaving;
 mod test_relay_limits;
-mod test_relay_paces;
 mod test_relay_reservations;
 mod test_relay_shedding;
+mod test_relay_slow_engines;
 mod test_whole_path;
