--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -1,4 +1,5 @@
-//! Servers that may have a part in a call now, by what they said and how they do.
+//! Selects the servers that may take part in a call now, by the availability that they announced
+//! and by their recorded health.
 
 use std::time::Duration;
 
@@ -14,37 +15,37 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// When to come back where no server took the call; a restarting one needs about that long.
+/// Retry delay if no server accepts the call; a server restart takes about that long.
 pub const NO_SERVER_RETRY: Duration = Duration::from_millis(250);
-/// Part of the time until a server opens over which callers that are refused come back.
-const RETURN_SPREAD: f64 = 0.25;
+/// Fraction of the retry delay over which the retries of refused callers are spread.
+const RETRY_JITTER: f64 = 0.25;
 
-/// Why a call can't be sent now.
+/// Why no server can take a call now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoCandidate {
-    /// There are none that can take it.
+    /// No usable server is listed.
     NoServers,
-    /// All that there are take no call of this box before so long.
+    /// Every listed server refuses calls of this box for at least this long.
     RetryIn(Duration, RefusalReason),
-    /// All that there are leave.
+    /// Every listed server is leaving.
     AllLeaving,
 }
 
 impl NoCandidate {
-    /// What its caller is told, and when to come back.
+    /// Reason and retry delay for the caller.
     pub fn refusal(self) -> (RefusalReason, Duration) {
         match self {
             Self::NoServers => (RefusalReason::NoServer, NO_SERVER_RETRY),
-            Self::RetryIn(retry_in, why) => {
-                // Callers that are refused together do not come back in one instant.
-                let spread = rand::rng().random_range(0.0..RETURN_SPREAD);
-                (why, retry_in + retry_in.mul_f64(spread))
+            Self::RetryIn(retry_in, reason) => {
+                // Jitter keeps callers that were refused together from retrying at the same instant.
+                let jitter = rand::rng().random_range(0.0..RETRY_JITTER);
+                (reason, retry_in + retry_in.mul_f64(jitter))
             }
             Self::AllLeaving => (RefusalReason::ServersLeaving, NO_SERVER_RETRY),
         }
     }
 
-    /// Whether nothing changes in a call's favour before this time.
+    /// Whether no server can become available before the time `at`.
     pub fn lasts_until(self, now: Time, at: Time) -> bool {
         match self {
             Self::NoServers => false,
@@ -54,34 +55,34 @@
     }
 }
 
-/// What a call is to be sent to.
+/// Which servers a call may use.
 #[derive(Debug, Clone, Copy)]
 pub struct CandidateQuery<'a> {
-    /// The service.
+    /// Service that the call is routed to.
     pub service: &'a ServiceName,
-    /// Servers that it was sent to.
+    /// Servers that the call was already sent to.
     pub tried: &'a [ServerName],
-    /// How long it may wait for a place.
-    pub patience: Duration,
+    /// Longest time that the call may wait for a server.
+    pub max_wait: Duration,
 }
 
-/// Servers that may have a part in a call, and whether each takes it. Where none does, the one that
-/// opens first may be waited for.
+/// Servers that may take part in a call, with the availability of each. If none accepts calls now,
+/// the one that will accept them first is included if that is within `max_wait`.
 ///
 /// # Errors
 ///
-/// Why none can take the call now.
+/// No server can take the call now.
 pub fn of_service<'a>(
     relay: &Relay,
     now: Time,
     tracker: &'a ServerTracker,
-    wanted: &CandidateQuery<'_>,
+    query: &CandidateQuery<'_>,
 ) -> Result<Vec<(&'a ServerRecord, Availability)>, NoCandidate> {
     let CandidateQuery {
         service,
         tried,
-        patience,
-    } = *wanted;
+        max_wait,
+    } = *query;
     let notices = lock(&relay.gate.notices);
     let availability = |life| {
         if tried.is_empty() {
@@ -109,12 +110,12 @@
         .min_by_key(|(wait, _)| *wait);
     match first {
         None => Err(NoCandidate::AllLeaving),
-        Some((wait, record)) if wait > patience => {
-            let why = match availability(record.life) {
+        Some((wait, record)) if wait > max_wait => {
+            let reason = match availability(record.life) {
                 Availability::BackOff => RefusalReason::ServersShedding,
                 _ => RefusalReason::ServersLimited,
             };
-            Err(NoCandidate::RetryIn(wait, why))
+            Err(NoCandidate::RetryIn(wait, reason))
         }
         Some((_, record)) => {
             usable.retain(|(other, _)| other.key != record.key);
@@ -124,7 +125,7 @@
     }
 }
 
-/// Leaves engines out that are slow, unless nothing that takes calls is left then.
+/// Removes slow engines, unless no engine that accepts calls would remain.
 pub fn without_slow<'a>(
     relay: &Relay,
     now: Time,
--- a/daemon/src/relay/engine_call.rs
+++ b/daemon/src/relay/engine_call.rs
@@ -1,4 +1,4 @@
-//! One call to an engine beside the calls of callers, on a connection of its own.
+//! Internal requests of the box to an engine, each on a connection of its own.
 
 use badgerferry_platform::orders::EngineCall;
 use http::Request;
@@ -11,14 +11,14 @@
 use crate::relay::connection_pool;
 use crate::relay::server_gate::Pass;
 
-/// Largest answer; reports of many reservations take some kilobytes.
-const MAX_ANSWER_BYTES: usize = 256 << 10;
+/// Largest response body; a report with many reservations takes a few kilobytes.
+const MAX_RESPONSE_BYTES: usize = 256 << 10;
 
-/// Makes the call and reads the whole answer.
+/// Sends the request and reads the complete response.
 ///
 /// # Errors
 ///
-/// There is no whole answer.
+/// The connection failed, or the response was incomplete or larger than `MAX_RESPONSE_BYTES`.
 pub async fn exchange(
     address: &str,
     call: EngineCall,
@@ -31,9 +31,9 @@
         .header(http::header::HOST, address)
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(call.body)))?;
-    let answer = connection.send(request, pass).await?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
+    let response = connection.send(request, pass).await?;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
     let body = body.collect().await.map_err(anyhow::Error::from_boxed)?;
     Ok((status, body.to_bytes()))
 }
--- a/daemon/src/relay/first_event_watchdog.rs
+++ b/daemon/src/relay/first_event_watchdog.rs
@@ -1,4 +1,4 @@
-//! Asks the engines that read for a late call for their pace.
+//! Queries the pace of the engines of a call whose first event is late.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,26 +18,26 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Longest wait for a report; engines answer it at once, whatever they do.
-const REPORT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a pace query; engines respond at once even when they are busy.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Watches for a call's first event to be late; ends when dropped.
+/// Detects a late first event of a call; stopped when dropped.
 #[derive(Debug)]
 pub struct FirstEventWatchdog(AbortHandle);
 
 impl FirstEventWatchdog {
-    /// Begins; the first event is expected after so long.
+    /// Starts the timer; `expected` is the estimated time to the first event.
     pub fn start(call: &Arc<Call>, engines: Vec<Engine>, expected: Duration) -> Self {
         let call = Arc::clone(call);
-        let late = slow_engine_tracker::late_after(expected);
+        let late_after = slow_engine_tracker::late_after(expected);
         let watch = async move {
-            tokio::time::sleep(late).await;
-            ask_engines(&call, engines);
+            tokio::time::sleep(late_after).await;
+            query_engines(&call, engines);
         };
         Self(tokio::spawn(watch).abort_handle())
     }
 
-    /// Ends: the first event is here.
+    /// Stops the timer once the first event has arrived.
     pub fn stop(&self) {
         self.0.abort();
     }
@@ -49,42 +49,42 @@
     }
 }
 
-fn ask_engines(call: &Call, engines: Vec<Engine>) {
+fn query_engines(call: &Call, engines: Vec<Engine>) {
     let relay = &call.relay;
     let now = relay.clock.now();
-    let mut paces = lock(&relay.paces);
-    let asked = engines
+    let mut slow_engines = lock(&relay.paces);
+    let queried = engines
         .into_iter()
-        .filter(|engine| paces.should_query(now, engine.key));
-    let asked: Vec<Engine> = asked.collect();
-    drop(paces);
+        .filter(|engine| slow_engines.should_query(now, engine.key));
+    let queried: Vec<Engine> = queried.collect();
+    drop(slow_engines);
     tracing::info!(
         call = call.id(),
-        engines = asked.len(),
-        "first event late, engines asked for their pace"
+        engines = queried.len(),
+        "first event late; querying engine pace"
     );
-    for engine in asked {
-        // What it answers is of use whatever becomes of the call.
-        tokio::spawn(ask(Arc::clone(relay), engine));
+    for engine in queried {
+        // The report is useful even if the call ends first.
+        tokio::spawn(query_while_slow(Arc::clone(relay), engine));
     }
 }
 
-/// Asks an engine, and again while it is slow and no other box does.
-async fn ask(relay: Arc<Relay>, engine: Engine) {
+/// Queries an engine, and repeats the query while it is slow and no other box queries it.
+async fn query_while_slow(relay: Arc<Relay>, engine: Engine) {
     let key = engine.key;
-    while let Some(pace) = pace_of(&relay, &engine).await {
+    while let Some(pace) = fetch_pace(&relay, &engine).await {
         let now = relay.clock.now();
         let is_slow = lock(&relay.paces).record_pace(now, key, pace);
         tracing::info!(
             engine = engine.address,
             pace,
             is_slow,
-            "engine told its pace"
+            "engine pace reported"
         );
         if !is_slow {
             return;
         }
-        // The others are told at once.
+        // Announces the slow engine to the other boxes at once.
         relay.urgent_changed.notify_one();
         let jitter = rand::rng().random_range(0.0..QUERY_JITTER);
         tokio::time::sleep(QUERY_INTERVAL + QUERY_INTERVAL.mul_f64(jitter)).await;
@@ -94,22 +94,23 @@
     }
 }
 
-/// Its pace, as a multiple of the usual time; none where it has no room for the question either.
-async fn pace_of(relay: &Relay, engine: &Engine) -> Option<f64> {
+/// Pace of the engine as a multiple of its usual time; `None` if the query fails or the engine
+/// admits no request now.
+async fn fetch_pace(relay: &Relay, engine: &Engine) -> Option<f64> {
     let pass = relay.gate.enter_idle(&engine.target).await.ok()?;
     let address = &engine.address;
     let report = async {
         let (_, body) = engine_call::exchange(address, reports::ask(), pass).await?;
         anyhow::Ok(reports::read_pace(&body)?)
     };
-    let outcome = match timeout(REPORT_LIMIT, report).await {
+    let outcome = match timeout(REPORT_TIMEOUT, report).await {
         Ok(Ok(pace)) => Ok(pace),
         Ok(Err(cause)) => Err(format!("{cause:#}")),
-        Err(_elapsed) => Err("no answer in time".to_owned()),
+        Err(_elapsed) => Err("response timed out".to_owned()),
     };
     let label = if outcome.is_ok() { "told" } else { "no_report" };
     counter!("badgerferry_engine_reports_total", "outcome" => label).increment(1);
     outcome
-        .inspect_err(|cause| tracing::info!(address, cause, "an engine gave no report"))
+        .inspect_err(|cause| tracing::info!(address, cause, "engine pace query failed"))
         .ok()
 }
--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -1,8 +1,8 @@
-//! Memory set aside at several engines for one prompt: all of it or none.
+//! Memory reservations for a prompt that needs the memory of several engines: all or none.
 //!
-//! A reservation is held briefly and renewed while it is used, so that what a dead box leaves
-//! behind lapses soon. It is given back on every way out; an order whose answer was lost may
-//! still be carried out later, and lapses by its own hold time.
+//! A reservation has a short TTL and is renewed while it is in use, so that reservations of a failed
+//! box expire soon. It is released on every exit path. An engine may still carry out an order whose
+//! response was lost; such a reservation expires by its TTL.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 use crate::relay::server_selection::Engine;
 use crate::relay::state::Relay;
 
-/// How long memory is set aside without renewal; what lapses later counts as leaked.
-const HOLD: Duration = Duration::from_secs(3);
-/// Between renewals; two may be lost before memory lapses under a call.
-const RENEW: Duration = Duration::from_secs(1);
-/// Longest wait for the answer to an order.
-const ORDER_LIMIT: Duration = Duration::from_millis(500);
-/// Times that memory is given back where the engine does not answer.
-const RELEASE_TRIES: u32 = 3;
+/// Time until a reservation expires without renewal; memory held longer counts as leaked.
+const RESERVATION_TTL: Duration = Duration::from_secs(3);
+/// Interval between renewals; a reservation in use survives the loss of two.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of one order to an engine.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Attempts to release memory at an engine that does not respond.
+const RELEASE_ATTEMPTS: u32 = 3;
 
-/// Memory held until dropped.
+/// Memory reserved at several engines; renewed until dropped, then released.
 #[derive(Debug)]
 pub struct Reservations {
     id: String,
@@ -40,26 +40,26 @@
 }
 
 impl Reservations {
-    /// Sets memory aside at each address, or nowhere.
+    /// Reserves the given number of tokens at every engine, or at none.
     ///
     /// # Errors
     ///
-    /// Which engines did not set it aside, and why.
+    /// Addresses of the engines that did not reserve the memory, each with the cause.
     pub async fn reserve(
         call: &Arc<Call>,
-        wanted: Vec<(Engine, u64)>,
+        requested: Vec<(Engine, u64)>,
     ) -> Result<Self, Vec<(String, ReservationFailure)>> {
         let id = format!("{:016x}", rand::random::<u64>());
-        let hold = HOLD.min(call.relay.settings.longest_hold);
+        let ttl = RESERVATION_TTL.min(call.relay.settings.longest_hold);
         let relay = &call.relay;
-        let engines = Arc::new(wanted);
-        // Dropped on any way out, also when the caller leaves meanwhile.
+        let engines = Arc::new(requested);
+        // Releases on every exit path, including cancellation when the caller disconnects.
         let reserved = Self {
             renewal: tokio::spawn(renew(
                 Arc::clone(relay),
                 id.clone(),
                 Arc::clone(&engines),
-                hold,
+                ttl,
             ))
             .abort_handle(),
             relay: Arc::clone(relay),
@@ -68,13 +68,13 @@
         };
         let orders = reserved.engines.iter().map(async |(engine, tokens)| {
             let pass = relay.gate.enter_order(&engine.target).ok()?;
-            give(engine, orders::reserve(&reserved.id, *tokens, hold), pass).await
+            send_order(engine, orders::reserve(&reserved.id, *tokens, ttl), pass).await
         });
-        let answers = join_all(orders).await;
-        let refused = answers.into_iter().zip(reserved.engines.iter());
+        let statuses = join_all(orders).await;
+        let refused = statuses.into_iter().zip(reserved.engines.iter());
         let refused: Vec<(String, ReservationFailure)> = refused
-            .filter_map(|(answer, (engine, _))| {
-                Some((engine.address.clone(), not_reserved(answer)?))
+            .filter_map(|(status, (engine, _))| {
+                Some((engine.address.clone(), reservation_failure(status)?))
             })
             .collect();
         tracing::info!(
@@ -84,7 +84,7 @@
             refused = refused.len(),
             first_refused = refused.first().map(|(address, _)| address),
             why = refused.first().map(|(_, why)| format!("{why:?}")),
-            "memory asked for"
+            "memory reservation requested"
         );
         if refused.is_empty() {
             Ok(reserved)
@@ -93,25 +93,25 @@
         }
     }
 
-    /// Its id, the same at each engine.
+    /// Reservation id, the same at every engine.
     pub fn id(&self) -> &str {
         &self.id
     }
 }
 
-/// Why an engine set no memory aside.
+/// Why an engine reserved no memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReservationFailure {
-    /// It has no room now.
+    /// Not enough free memory at the moment.
     NoRoom,
-    /// It takes no reservations, or none so large.
+    /// The engine supports no reservations, or none of this size.
     Refused,
-    /// It did not answer.
+    /// No response, or no request admitted to the engine.
     Silent,
 }
 
-fn not_reserved(answer: Option<StatusCode>) -> Option<ReservationFailure> {
-    match answer.map(orders::read_reserved) {
+fn reservation_failure(status: Option<StatusCode>) -> Option<ReservationFailure> {
+    match status.map(orders::read_reserved) {
         Some(Reserved::Held) => None,
         Some(Reserved::NoRoom) => Some(ReservationFailure::NoRoom),
         Some(Reserved::Impossible) => Some(ReservationFailure::Refused),
@@ -133,56 +133,52 @@
     }
 }
 
-async fn renew(relay: Arc<Relay>, id: String, engines: Arc<Vec<(Engine, u64)>>, hold: Duration) {
+async fn renew(relay: Arc<Relay>, id: String, engines: Arc<Vec<(Engine, u64)>>, ttl: Duration) {
     loop {
-        tokio::time::sleep(RENEW).await;
-        let orders = engines
-            .iter()
-            .map(|(engine, tokens)| order(&relay, engine, orders::reserve(&id, *tokens, hold)));
-        for ((engine, _), answer) in engines.iter().zip(join_all(orders).await) {
-            if answer.is_none() {
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
+        let orders = engines.iter().map(|(engine, tokens)| {
+            charge_and_send(&relay, engine, orders::reserve(&id, *tokens, ttl))
+        });
+        for ((engine, _), status) in engines.iter().zip(join_all(orders).await) {
+            if status.is_none() {
                 let address = &engine.address;
-                tracing::warn!(reservation = id, address, "a renewal got no answer");
+                tracing::warn!(reservation = id, address, "reservation renewal unanswered");
             }
         }
     }
 }
 
 async fn release(relay: &Relay, engine: &Engine, id: &str) {
-    for _ in 0..RELEASE_TRIES {
-        let answer = order(relay, engine, orders::release(id)).await;
-        if answer.is_some() {
+    for _ in 0..RELEASE_ATTEMPTS {
+        let status = charge_and_send(relay, engine, orders::release(id)).await;
+        if status.is_some() {
             return;
         }
     }
     tracing::warn!(
         reservation = id,
         address = engine.address,
-        "memory lapses by itself: no answer to its release"
+        "reservation release unanswered; memory stays reserved until it expires"
     );
 }
 
-/// Renews or gives back. A limited engine counts it: held back, it would leave memory set aside, or
-/// lose it under a prompt.
-async fn order(relay: &Relay, engine: &Engine, call: EngineCall) -> Option<StatusCode> {
-    give(engine, call, relay.gate.charge(&engine.target)).await
+/// Sends a renewal or a release, charged to the engine's quota but never delayed by it: a delayed
+/// release would leave memory reserved, and a delayed renewal would lose memory that is in use.
+async fn charge_and_send(relay: &Relay, engine: &Engine, call: EngineCall) -> Option<StatusCode> {
+    send_order(engine, call, relay.gate.charge(&engine.target)).await
 }
 
-/// Gives an order on a connection of its own; no answer gives nothing.
-async fn give(engine: &Engine, call: EngineCall, pass: Pass) -> Option<StatusCode> {
+/// Sends an order on a connection of its own; `None` if there is no response.
+async fn send_order(engine: &Engine, call: EngineCall, pass: Pass) -> Option<StatusCode> {
     let address = &engine.address;
-    match timeout(ORDER_LIMIT, engine_call::exchange(address, call, pass)).await {
+    match timeout(ORDER_TIMEOUT, engine_call::exchange(address, call, pass)).await {
         Ok(Ok((status, _))) => Some(status),
         Ok(Err(cause)) => {
-            tracing::info!(
-                address,
-                cause = format!("{cause:#}"),
-                "an order got no answer"
-            );
+            tracing::info!(address, cause = format!("{cause:#}"), "engine order failed");
             None
         }
         Err(_elapsed) => {
-            tracing::info!(address, "an order got no answer in time");
+            tracing::info!(address, "engine order timed out");
             None
         }
     }
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -1,4 +1,4 @@
-//! Chooses where a try goes: a plain service's server, or engines by the library's plan.
+//! Selects where an attempt is sent: a server of a plain service, or the engines of a plan.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,79 +41,79 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Estimate of a plain call's time where nothing is known, for patience with a silent server.
-const PLAIN_EXPECTED: Duration = Duration::from_millis(300);
-/// The last rank that engines know.
-const LAST_RANK: u8 = 9;
+/// Assumed response time of a plain call; the silence timeout of its server is derived from it.
+const PLAIN_EXPECTED_RESPONSE: Duration = Duration::from_millis(300);
+/// Largest rank that engines accept.
+const MAX_RANK: u8 = 9;
 
-/// Where a try goes.
+/// The server or engines selected for an attempt.
 #[derive(Debug)]
 pub struct Selection {
-    /// The server that runs it.
+    /// Server that runs the call.
     pub server: ServerName,
-    /// The life of the server that is meant, and its hall.
+    /// Incarnation and hall of that server.
     pub target: Target,
-    /// Where it listens.
+    /// Address of that server.
     pub address: String,
-    /// Engines that read parts of the prompt.
+    /// Engines that prefill chunks of the prompt; includes the lead if memory is reserved.
     pub helpers: Vec<Reader>,
-    /// What each engine reads of the prompt, by the operators' figures.
+    /// Estimated prefill time of one chunk, by the configured engine model.
     pub chunk_prefill: Option<Duration>,
-    /// Rank at the engine.
+    /// Rank at the engine, from 0 to 9.
     pub rank: Option<u8>,
     /// Expected time to the first event.
     pub expected_first_event: Duration,
-    /// How long the call waited for engines, in the order over all boxes.
+    /// Time spent in the queue of long prompts, which is ordered over all boxes.
     pub waited: Duration,
-    /// Own work entered in the load table, until dropped.
-    works: Works,
-    /// Asks its engines for their pace if the first event is late.
-    late: Option<FirstEventWatchdog>,
-    /// Memory set aside, until dropped.
+    /// Work registered in the load table until dropped.
+    load_entries: LoadEntries,
+    /// Queries the pace of the engines if the first event is late.
+    watchdog: Option<FirstEventWatchdog>,
+    /// Memory reserved at the engines until dropped.
     _reservations: Option<Reservations>,
 }
 
 impl Selection {
-    /// Addresses of the engines that read parts, for logs; none where there is one reader.
+    /// Addresses of the helpers, for logs; `None` if there are none.
     pub fn prefill_addresses(&self) -> Option<String> {
         let addresses: Vec<&str> = self
             .helpers
             .iter()
-            .map(|row| row.address.as_str())
+            .map(|helper| helper.address.as_str())
             .collect();
         (!addresses.is_empty()).then(|| addresses.join(" "))
     }
 
-    /// Whether it is a long prompt, whose engines read for no other one meanwhile.
+    /// Whether the prompt is long: its engines prefill no other long prompt at the same time.
     pub const fn is_long(&self) -> bool {
-        self.works.long
+        self.load_entries.long
     }
 
-    /// Notes that all reading is over.
+    /// Records that the prefill is complete.
     pub fn prefill_done(&self, call: &Call) {
-        if let Some(late) = &self.late {
-            late.stop();
+        if let Some(watchdog) = &self.watchdog {
+            watchdog.stop();
         }
         let mut loads = lock(&call.relay.loads);
-        for &id in &self.works.ids {
+        for &id in &self.load_entries.ids {
             loads.prefill_done(id);
         }
         drop(loads);
-        self.works.changed();
+        self.load_entries.notify_peers();
     }
 }
 
-/// Entries in the load table that end when dropped.
+/// Entries in the load table, removed when dropped.
 #[derive(Debug)]
-struct Works {
+struct LoadEntries {
     relay: Arc<Relay>,
     ids: Vec<EngineWorkId>,
     long: bool,
 }
 
-impl Works {
-    /// Lets the other boxes know.
-    fn changed(&self) {
+impl LoadEntries {
+    /// Triggers gossip of the change to the other boxes.
+    fn notify_peers(&self) {
         if self.long {
             self.relay.urgent_changed.notify_one();
         } else {
@@ -122,27 +122,27 @@
     }
 }
 
-impl Drop for Works {
+impl Drop for LoadEntries {
     fn drop(&mut self) {
         let mut loads = lock(&self.relay.loads);
         for &id in &self.ids {
             loads.end(id);
         }
         drop(loads);
-        self.changed();
+        self.notify_peers();
     }
 }
 
-/// An engine of a plan.
+/// An engine assigned by a plan.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its name.
+    /// Name of the server entry.
     pub server: ServerName,
-    /// The life of it that is meant, and its hall.
+    /// Incarnation and hall.
     pub target: Target,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: String,
-    /// Its key.
+    /// Key in the load table.
     pub key: EngineKey,
 }
 
@@ -165,12 +165,12 @@
     }
 }
 
-/// Chooses; `tried` servers are used again only where there is no other. One that
-/// `is_isolated` and needs no group of engines goes where few others are.
+/// Selects a server or engines. Servers in `tried` are used again only if there is no other.
+/// With `is_isolated`, a short call goes to one of the least loaded engines.
 ///
 /// # Errors
 ///
-/// Why no server can take the call now, and when to come back.
+/// The reason why no server can take the call now, and the delay before a retry.
 pub async fn select(
     call: &Arc<Call>,
     tried: &[ServerName],
@@ -180,21 +180,21 @@
     let model = service.and_then(|service| service.engine);
     match (model, call.head.prompt) {
         (Some(model), Some(prompt)) => {
-            choose_engines(call, tried, &model, &prompt, is_isolated).await
+            select_engines(call, tried, &model, &prompt, is_isolated).await
         }
-        _ => choose_plain(call, tried),
+        _ => select_plain(call, tried),
     }
 }
 
-fn wanted<'a>(call: &'a Call, tried: &'a [ServerName]) -> CandidateQuery<'a> {
+fn candidate_query<'a>(call: &'a Call, tried: &'a [ServerName]) -> CandidateQuery<'a> {
     CandidateQuery {
         service: &call.service,
         tried,
-        patience: call.patience(tried.is_empty()),
+        max_wait: call.patience(tried.is_empty()),
     }
 }
 
-fn choose_plain(
+fn select_plain(
     call: &Arc<Call>,
     tried: &[ServerName],
 ) -> Result<Selection, (RefusalReason, Duration)> {
@@ -202,7 +202,7 @@
     let now = relay.clock.now();
     let tracker = lock(&relay.tracker);
     let hall = &relay.settings.hall;
-    let candidates = candidates::of_service(relay, now, &tracker, &wanted(call, tried));
+    let candidates = candidates::of_service(relay, now, &tracker, &candidate_query(call, tried));
     let candidates = candidates.map_err(NoCandidate::refusal)?;
     let record = ServerTracker::pick(now, candidates, hall, &mut rand::rng());
     let record = record.ok_or(NoCandidate::NoServers.refusal())?;
@@ -213,19 +213,19 @@
         helpers: Vec::new(),
         chunk_prefill: None,
         rank: None,
-        expected_first_event: PLAIN_EXPECTED,
+        expected_first_event: PLAIN_EXPECTED_RESPONSE,
         waited: Duration::ZERO,
-        works: Works {
+        load_entries: LoadEntries {
             relay: Arc::clone(relay),
             ids: Vec::new(),
             long: false,
         },
-        late: None,
+        watchdog: None,
         _reservations: None,
     })
 }
 
-async fn choose_engines(
+async fn select_engines(
     call: &Arc<Call>,
     tried: &[ServerName],
     model: &EngineModel,
@@ -233,29 +233,29 @@
     is_isolated: bool,
 ) -> Result<Selection, (RefusalReason, Duration)> {
     if !engine_plan::is_long(model, prompt, call.route.max_gap) {
-        let apart = is_isolated.then(|| plan(call, tried, model, prompt, Among::Apart));
-        let planned = if let Some(Ok(planned)) = apart {
+        let isolated = is_isolated.then(|| plan(call, tried, model, prompt, EngineSet::Isolated));
+        let planned = if let Some(Ok(planned)) = isolated {
             planned
         } else {
-            let all = Among::All { late_chunk: None };
+            let all = EngineSet::All { late_chunk: None };
             plan(call, tried, model, prompt, all).map_err(NoCandidate::refusal)?
         };
-        let started = enter(&call.relay, planned);
-        started.works.changed();
-        return Ok(selection(call, started, None, Duration::ZERO));
+        let registered = register(&call.relay, planned);
+        registered.load_entries.notify_peers();
+        return Ok(selection(call, registered, None, Duration::ZERO));
     }
-    let since = call.relay.clock.now();
+    let queued_at = call.relay.clock.now();
     loop {
-        let started = wait_for_engines(call, tried, model, prompt).await?;
-        let waited = call.relay.clock.now().since(since);
-        started.works.changed();
-        if !started.plan.reserve_memory {
-            return Ok(selection(call, started, None, waited));
+        let registered = wait_for_engines(call, tried, model, prompt).await?;
+        let waited = call.relay.clock.now().since(queued_at);
+        registered.load_entries.notify_peers();
+        if !registered.plan.reserve_memory {
+            return Ok(selection(call, registered, None, waited));
         }
-        // Where an engine sets no memory aside, nothing was sent: the prompt waits again.
-        match reserve(call, &started).await {
-            Ok(reserved) => return Ok(selection(call, started, Some(reserved), waited)),
-            Err(refused) => note_refused(&call.relay, &refused),
+        // If an engine refuses the reservation, nothing was sent, so the prompt is queued again.
+        match reserve(call, &registered).await {
+            Ok(reserved) => return Ok(selection(call, registered, Some(reserved), waited)),
+            Err(refused) => record_refusals(&call.relay, &refused),
         }
         tokio::time::sleep(RESERVATION_RETRY_DELAY).await;
     }
@@ -263,39 +263,43 @@
 
 fn selection(
     call: &Arc<Call>,
-    started: Started,
+    registered: RegisteredPlan,
     reservations: Option<Reservations>,
     waited: Duration,
 ) -> Selection {
-    let Started {
-        addresses,
+    let RegisteredPlan {
+        engines,
         plan,
-        works,
-    } = started;
-    let helpers = helpers(&addresses, reservations.as_ref());
-    let lead = &addresses[0];
-    let reading = addresses.clone();
+        load_entries,
+    } = registered;
+    let helpers = helpers(&engines, reservations.as_ref());
+    let lead = &engines[0];
+    let prefill_engines = engines.clone();
     Selection {
         server: lead.server.clone(),
         target: lead.target.clone(),
         address: lead.address.clone(),
         helpers,
-        chunk_prefill: plan.assignments.first().map(|part| part.prefill),
-        rank: Some(call.priority.min(LAST_RANK)),
+        chunk_prefill: plan
+            .assignments
+            .first()
+            .map(|assignment| assignment.prefill),
+        rank: Some(call.priority.min(MAX_RANK)),
         expected_first_event: plan.expected_first_event,
         waited,
-        works,
-        late: Some(FirstEventWatchdog::start(
+        load_entries,
+        watchdog: Some(FirstEventWatchdog::start(
             call,
-            reading,
+            prefill_engines,
             plan.expected_first_event,
         )),
         _reservations: reservations,
     }
 }
 
-/// Engines that take no reservations rest; those that have no room now may have some soon.
-fn note_refused(relay: &Relay, refused: &[(String, ReservationFailure)]) {
+/// Records a fault of engines that refuse reservations or do not respond, which may exclude them.
+/// Engines without room are not at fault: they may have room again soon.
+fn record_refusals(relay: &Relay, refused: &[(String, ReservationFailure)]) {
     let now = relay.clock.now();
     let mut tracker = lock(&relay.tracker);
     for (address, why) in refused {
@@ -308,25 +312,25 @@
     }
 }
 
-/// A plan whose work is entered in the load table.
-struct Started {
-    addresses: Vec<Engine>,
+/// A plan whose work is registered in the load table.
+struct RegisteredPlan {
+    engines: Vec<Engine>,
     plan: EnginePlan,
-    works: Works,
+    load_entries: LoadEntries,
 }
 
-/// A plan with the engines that it names; nothing is entered yet.
-struct Planned {
-    addresses: Vec<Engine>,
-    /// Work at each of them.
-    works: Vec<EngineWork>,
+/// A plan whose work is not registered in the load table yet.
+struct UnregisteredPlan {
+    engines: Vec<Engine>,
+    /// Work of each engine.
+    engine_work: Vec<EngineWork>,
     plan: EnginePlan,
 }
 
-/// The hall of each engine as a number; 0 is this box's own.
-fn hall_numbers(engines: &[&ServerRecord], own: &HallName) -> Vec<usize> {
-    let mut halls = vec![own];
-    let mut number = |hall| {
+/// The hall of each engine as an index; 0 is the hall of this box.
+fn hall_indices(engines: &[&ServerRecord], own_hall: &HallName) -> Vec<usize> {
+    let mut halls = vec![own_hall];
+    let mut index = |hall| {
         let known = halls.iter().position(|known| *known == hall);
         known.unwrap_or_else(|| {
             halls.push(hall);
@@ -335,46 +339,46 @@
     };
     engines
         .iter()
-        .map(|record| number(&record.info.hall))
+        .map(|record| index(&record.info.hall))
         .collect()
 }
 
-/// Among which engines a call is placed.
+/// Engines considered for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Among {
-    /// All; a large prompt that will be late may be read in parts up to a length.
+enum EngineSet {
+    /// All engines. `late_chunk` limits the prefill chunks of a late large prompt.
     All { late_chunk: Option<Duration> },
-    /// A quiet one, apart from other calls.
-    Apart,
+    /// One lightly loaded engine, to keep a suspect request apart from other calls.
+    Isolated,
 }
 
-/// Plans the call, if it may be sent now.
+/// Plans the call on the engines that accept it now.
 fn plan(
     call: &Call,
     tried: &[ServerName],
     model: &EngineModel,
     prompt: &PromptSize,
-    among: Among,
-) -> Result<Planned, NoCandidate> {
+    engine_set: EngineSet,
+) -> Result<UnregisteredPlan, NoCandidate> {
     let relay = &call.relay;
     let now = relay.clock.now();
     let scope = lock(&relay.followed).scope();
     let boxes = relay.boxes_beside(scope);
     let tracker = lock(&relay.tracker);
     let table = lock(&relay.loads).table(now);
-    let candidates = candidates::of_service(relay, now, &tracker, &wanted(call, tried))?;
+    let candidates = candidates::of_service(relay, now, &tracker, &candidate_query(call, tried))?;
     let mut candidates = candidates::without_slow(relay, now, candidates);
-    if among == Among::Apart {
-        let busy = |(record, _): &(&ServerRecord, Availability)| {
+    if engine_set == EngineSet::Isolated {
+        let call_count = |(record, _): &(&ServerRecord, Availability)| {
             let load = table.get(&record.key);
             load.map_or(0, |load| {
                 u32::from(load.short_calls) + u32::from(load.long_calls)
             })
         };
         candidates.retain(|(_, availability)| availability.accepts_calls());
-        candidates = quarantine::pick_isolated(candidates, busy, &mut rand::rng());
+        candidates = quarantine::pick_isolated(candidates, call_count, &mut rand::rng());
     }
-    // Engines kept for short calls are the first ones, which must take them.
+    // The first engines are reserved for short calls, so they must be open.
     candidates.sort_by_key(|(_, availability)| *availability != Availability::Open);
     let state = |(record, availability): &(&ServerRecord, Availability)| EngineState {
         load: table.get(&record.key).copied().unwrap_or_default(),
@@ -389,9 +393,9 @@
         due_in: now.until(call.due()),
         max_gap: call.route.max_gap,
         tightest_gap: call.routes.tightest_gap(&call.service),
-        late_chunk: match among {
-            Among::All { late_chunk } => late_chunk,
-            Among::Apart => None,
+        late_chunk: match engine_set {
+            EngineSet::All { late_chunk } => late_chunk,
+            EngineSet::Isolated => None,
         },
     };
     let planner = HallPlanner {
@@ -400,52 +404,52 @@
             engines: &states,
             boxes,
         },
-        halls: &hall_numbers(&usable, &relay.settings.hall),
+        halls: &hall_indices(&usable, &relay.settings.hall),
         scope,
     };
     let plan = planner
         .plan(prompt, targets, rng)
         .ok_or(NoCandidate::NoServers)?;
-    let address = |part: &Assignment| Engine::of(usable[part.engine]);
-    Ok(Planned {
-        addresses: plan.assignments.iter().map(address).collect(),
-        works: plan.engine_work(&states),
+    let engine = |assignment: &Assignment| Engine::of(usable[assignment.engine]);
+    Ok(UnregisteredPlan {
+        engines: plan.assignments.iter().map(engine).collect(),
+        engine_work: plan.engine_work(&states),
         plan,
     })
 }
 
-/// Enters the work of a plan.
-fn enter(relay: &Arc<Relay>, planned: Planned) -> Started {
-    let Planned {
-        addresses,
-        works,
+/// Registers the work of a plan in the load table.
+fn register(relay: &Arc<Relay>, planned: UnregisteredPlan) -> RegisteredPlan {
+    let UnregisteredPlan {
+        engines,
+        engine_work,
         plan,
     } = planned;
     let now = relay.clock.now();
     let mut loads = lock(&relay.loads);
-    let entered = addresses.iter().zip(works);
-    let ids = entered.map(|(engine, work)| loads.begin(now, engine.key, work));
+    let registered = engines.iter().zip(engine_work);
+    let ids = registered.map(|(engine, work)| loads.begin(now, engine.key, work));
     let ids = ids.collect();
     drop(loads);
-    let works = Works {
+    let load_entries = LoadEntries {
         relay: Arc::clone(relay),
         ids,
         long: plan.is_long,
     };
-    Started {
-        addresses,
+    RegisteredPlan {
+        engines,
         plan,
-        works,
+        load_entries,
     }
 }
 
-/// A place in the queue of long prompts, given up when dropped.
-struct Place<'a> {
+/// An entry in the queue of long prompts, removed when dropped.
+struct QueueEntry<'a> {
     relay: &'a Relay,
     ticket: Ticket,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         lock(&self.relay.long_prompt_queue).remove(self.ticket);
         self.relay.urgent_changed.notify_one();
@@ -457,9 +461,9 @@
     tried: &[ServerName],
     model: &EngineModel,
     prompt: &PromptSize,
-) -> Result<Started, (RefusalReason, Duration)> {
+) -> Result<RegisteredPlan, (RefusalReason, Duration)> {
     let relay = &call.relay;
-    let waiting = QueuedPrompt {
+    let queued = QueuedPrompt {
         prefill: model.prefill_time(prompt.tokens),
         due: call.due(),
         objective: call.route.objective,
@@ -468,38 +472,38 @@
         arrived: call.arrived,
         deadline: call.deadline,
     };
-    let expires_at = waiting.expires_at();
-    let place = Place {
+    let expires_at = queued.expires_at();
+    let queue_entry = QueueEntry {
         relay,
-        ticket: lock(&relay.long_prompt_queue).push(relay.clock.now(), waiting),
+        ticket: lock(&relay.long_prompt_queue).push(relay.clock.now(), queued),
     };
     relay.urgent_changed.notify_one();
     loop {
         let now = relay.clock.now();
-        let mut not_now = NoCandidate::NoServers;
-        let own = &relay.settings.name;
-        let turn = {
+        let mut no_candidate = NoCandidate::NoServers;
+        let own_box = &relay.settings.name;
+        let ready = {
             let mut queue = lock(&relay.long_prompt_queue);
-            let late_chunk = queue.late_chunk(now, place.ticket);
+            let late_chunk = queue.late_chunk(now, queue_entry.ticket);
             let planned = || {
-                let planned = plan(call, tried, model, prompt, Among::All { late_chunk });
-                planned.inspect_err(|why| not_now = *why).ok()
+                let planned = plan(call, tried, model, prompt, EngineSet::All { late_chunk });
+                planned.inspect_err(|why| no_candidate = *why).ok()
             };
-            queue.try_start(now, place.ticket, own, planned)
+            queue.try_start(now, queue_entry.ticket, own_box, planned)
         };
-        if let Some(planned) = turn {
-            return Ok(enter(relay, planned));
+        if let Some(planned) = ready {
+            return Ok(register(relay, planned));
         }
-        // What comes too late is not waited for.
-        if not_now.lasts_until(now, expires_at) {
-            return Err(not_now.refusal());
+        // Nothing can change before the prompt expires, so it fails at once.
+        if no_candidate.lasts_until(now, expires_at) {
+            return Err(no_candidate.refusal());
         }
         if relay.refuses() {
             return Err((RefusalReason::Leaving, NO_SERVER_RETRY));
         }
         if now >= expires_at {
-            let looks = lock(&relay.long_prompt_queue).blocked_polls(place.ticket);
-            log_lines::gave_up_waiting(call, looks);
+            let blocked_polls = lock(&relay.long_prompt_queue).blocked_polls(queue_entry.ticket);
+            log_lines::gave_up_waiting(call, blocked_polls);
             return Err((RefusalReason::WouldMissDeadline, NO_SERVER_RETRY));
         }
         tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
@@ -508,19 +512,20 @@
 
 async fn reserve(
     call: &Arc<Call>,
-    started: &Started,
+    registered: &RegisteredPlan,
 ) -> Result<Reservations, Vec<(String, ReservationFailure)>> {
-    let wanted = started.addresses.iter().zip(&started.plan.assignments);
-    let wanted = wanted.map(|(engine, part)| (engine.clone(), part.memory_tokens));
-    Reservations::reserve(call, wanted.collect()).await
+    let requested = registered.engines.iter().zip(&registered.plan.assignments);
+    let requested =
+        requested.map(|(engine, assignment)| (engine.clone(), assignment.memory_tokens));
+    Reservations::reserve(call, requested.collect()).await
 }
 
-/// Who reads beside the engine that leads; with reservations, it lists its own first.
-fn helpers(addresses: &[Engine], reservations: Option<&Reservations>) -> Vec<Reader> {
+/// Engines that prefill besides the lead; with reservations, the row of the lead itself is first.
+fn helpers(engines: &[Engine], reservations: Option<&Reservations>) -> Vec<Reader> {
     let skip = usize::from(reservations.is_none());
-    let reader = |engine: &Engine| Reader {
+    let helper = |engine: &Engine| Reader {
         address: engine.address.clone(),
         reservation: reservations.map(|held| held.id().to_owned()),
     };
-    addresses.iter().skip(skip).map(reader).collect()
+    engines.iter().skip(skip).map(helper).collect()
 }
--- a/daemon/tests/test_relay_slow_engines.rs
+++ b/daemon/tests/test_relay_slow_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that turn slow are found and left out.
+//! Detection and avoidance of slow engines.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use badgerferry_standin::relay_box::World;
 use badgerferry_standin::server::Server;
 
-/// First events of these engines come far later than a short prompt takes to be read.
-const LATE: Duration = Duration::from_millis(700);
+/// Interval between events; far longer than the estimated prefill time of a short prompt.
+const LATE_EVENT_INTERVAL: Duration = Duration::from_millis(700);
 
 async fn engines(count: usize) -> anyhow::Result<(World, Vec<Server>)> {
-    crate::engines::world(count, LATE).await
+    crate::engines::world(count, LATE_EVENT_INTERVAL).await
 }
 
-async fn ask(world: &World, id: &str) -> anyhow::Result<u16> {
+async fn send_call(world: &World, id: &str) -> anyhow::Result<u16> {
     let tokens = "Badgerferry-Token-Counts: 1000,100\r\n";
     let text = call("POST", "/long/stream", id, tokens, "").replace("Ms: 5000", "Ms: 20000");
     let mut caller = Caller::connect(world.relay.front()).await?;
@@ -22,39 +22,43 @@
     Ok(caller.answer().await?.status)
 }
 
-fn calls(engines: &[Server]) -> Vec<usize> {
+fn call_counts(engines: &[Server]) -> Vec<usize> {
     engines.iter().map(|engine| engine.seen().len()).collect()
 }
 
 #[tokio::test]
-async fn an_engine_that_is_late_and_says_it_is_slow_gets_no_more_calls() -> anyhow::Result<()> {
+async fn late_engine_that_reports_a_slow_pace_gets_no_more_calls() -> anyhow::Result<()> {
     let (world, engines) = engines(4).await?;
     for engine in &engines {
         engine.tell_pace(5.0);
     }
 
-    assert_eq!(ask(&world, "id-1").await?, 200);
-    world.relay.wait_line(&["engine told its pace"]).await?;
-    let first = calls(&engines);
-    assert_eq!(ask(&world, "id-2").await?, 200);
+    assert_eq!(send_call(&world, "id-1").await?, 200);
+    world.relay.wait_line(&["engine pace reported"]).await?;
+    let first = call_counts(&engines);
+    assert_eq!(send_call(&world, "id-2").await?, 200);
 
     let slow = first.iter().position(|count| *count == 1);
     let slow = slow.expect("one engine took the first call");
     assert!(engines[slow].reports() > 0);
-    assert_eq!(calls(&engines)[slow], 1, "the second call went elsewhere");
+    assert_eq!(
+        call_counts(&engines)[slow],
+        1,
+        "the second call went elsewhere"
+    );
     Ok(())
 }
 
 #[tokio::test]
-async fn an_engine_that_is_late_and_says_nothing_of_it_is_used_on() -> anyhow::Result<()> {
+async fn late_engine_that_does_not_report_a_slow_pace_is_still_used() -> anyhow::Result<()> {
     let (world, engines) = engines(4).await?;
 
-    assert_eq!(ask(&world, "id-1").await?, 200);
-    world.relay.wait_line(&["engine told its pace"]).await?;
-    let first = calls(&engines);
-    assert_eq!(ask(&world, "id-2").await?, 200);
+    assert_eq!(send_call(&world, "id-1").await?, 200);
+    world.relay.wait_line(&["engine pace reported"]).await?;
+    let first = call_counts(&engines);
+    assert_eq!(send_call(&world, "id-2").await?, 200);
 
     let twice: Vec<usize> = first.iter().map(|count| count * 2).collect();
-    assert_eq!(calls(&engines), twice);
+    assert_eq!(call_counts(&engines), twice);
     Ok(())
 }
