--- a/daemon/src/relay/call_attempt.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a call: a server is chosen, the call sent, and the answer classified.
+//! One attempt of a call: selects a server, sends the call and classifies the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,58 +40,58 @@
 use crate::relay::suspects::Run;
 use crate::traffic::lock;
 
-/// Largest answer of a plain call that is read whole before it is passed on.
-const MAX_WHOLE_BYTES: usize = 4 << 20;
+/// Largest body of a unary response, which is read completely before it is forwarded.
+const MAX_UNARY_BODY_BYTES: usize = 4 << 20;
 
-/// How a try went.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum AttemptResult {
-    /// A whole answer to pass on.
+    /// A complete response to forward.
     Complete(Response<AnswerBody>),
-    /// A stream whose first events are here.
+    /// A stream whose first events have arrived.
     Live(Box<StreamingResponse>),
-    /// No server can take the call.
+    /// No server can take the call; the reason and the delay before a retry.
     NoServer(RefusalReason, Duration),
-    /// The server ran the call and answered with a failure of its own, here whole.
+    /// The server ran the call and failed; its complete error response.
     ServerError(Response<AnswerBody>),
-    /// It ended without an answer that can be passed on.
+    /// The attempt ended without a response that can be forwarded.
     Ended(AttemptEnd),
 }
 
-/// A stream that a server is sending.
+/// A response stream in progress.
 #[derive(Debug)]
 pub struct StreamingResponse {
-    /// Head of the answer.
+    /// Head of the response.
     pub head: http::response::Parts,
-    /// Events that are here already.
+    /// Events received so far that were not forwarded yet.
     pub events: Bytes,
-    /// Whether all of it is here already.
+    /// Whether the stream has already ended.
     pub complete: bool,
-    /// The rest.
+    /// Remaining body.
     pub body: Incoming,
-    /// Events joined so far.
+    /// Joins events over the attempts of the call.
     pub join: EventJoin,
-    /// The connection that it comes on.
+    /// Connection that carries the stream.
     pub connection: Connection,
-    /// What was chosen for it; its books are closed when this is dropped.
+    /// Records the end of the attempt when dropped.
     pub attempt: AttemptGuard,
-    /// What becomes of the connection after the answer.
+    /// What to do with the connection after the response.
     pub after: AfterResponse,
 }
 
-/// What becomes of a connection after a whole answer.
+/// What to do with a connection after a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterResponse {
-    /// It ends.
+    /// Close it: the server ends it with this response.
     Close,
-    /// It may carry another call.
+    /// Return it to the pool for another call.
     Pool {
-        /// Within this time, if the server says so.
+        /// Idle timeout of the server, if it sent one.
         keep_alive: Option<Duration>,
     },
 }
 
-/// An answer whose head is here.
+/// A response whose head has arrived.
 #[derive(Debug)]
 struct Received {
     attempt: AttemptGuard,
@@ -113,18 +113,20 @@
     }
 }
 
-/// A try in the books: dropped, it counts as ended with nothing to say of the server.
+/// Registers a sent attempt with the server tracker. If dropped without an outcome, it records
+/// [`ServerOutcome::Inconclusive`].
 #[derive(Debug)]
 pub struct AttemptGuard {
     call: Arc<Call>,
     run: Run,
-    /// When it was sent.
-    began: Time,
-    /// Whether the end of its answer shows that the server has lived on.
+    /// Time at which the call was sent.
+    sent_at: Time,
+    /// Whether the response has its own framing, so that its end does not depend on the end of the
+    /// connection.
     is_framed: bool,
-    /// Where it went.
+    /// Server or engines of the attempt.
     pub selection: Selection,
-    open: bool,
+    is_open: bool,
 }
 
 impl AttemptGuard {
@@ -134,67 +136,67 @@
         Self {
             call: Arc::clone(call),
             run,
-            began: now,
+            sent_at: now,
             is_framed: false,
             selection,
-            open: true,
+            is_open: true,
         }
     }
 
-    /// Closes the books on a run that broke off, perhaps with its server.
+    /// Ends an attempt whose connection was lost, and checks whether the server crashed.
     pub async fn finish_broken(self) {
-        suspects::broke_off(&self.call, &self.selection, self.began).await;
+        suspects::broke_off(&self.call, &self.selection, self.sent_at).await;
         self.finish(ServerOutcome::Failure);
     }
 
-    /// Closes the books on a run that was served. The end of an answer without a length looks like its
-    /// server's own: it speaks for the work only where it shows by itself.
+    /// Ends a served attempt. The end of a response without framing looks like a server crash, so
+    /// only a framed response counts as a success of the request; otherwise the server is checked.
     pub async fn finish_served(self) {
         if self.is_framed {
             self.record_success();
         } else {
-            suspects::broke_off(&self.call, &self.selection, self.began).await;
+            suspects::broke_off(&self.call, &self.selection, self.sent_at).await;
         }
         self.finish(ServerOutcome::Success);
     }
 
-    /// Notes that its server serves it well, so that it does not end servers.
+    /// Records that the server serves the request without crashing.
     pub fn record_success(&self) {
         self.run.record_success();
     }
 
-    /// Closes the books with what the try says of the server.
-    pub fn finish(mut self, evidence: ServerOutcome) {
-        self.close(evidence);
+    /// Ends the attempt with its outcome for the server.
+    pub fn finish(mut self, outcome: ServerOutcome) {
+        self.record_end(outcome);
     }
 
-    fn close(&mut self, evidence: ServerOutcome) {
-        if std::mem::take(&mut self.open) {
+    fn record_end(&mut self, outcome: ServerOutcome) {
+        if std::mem::take(&mut self.is_open) {
             let now = self.call.relay.clock.now();
-            lock(&self.call.relay.tracker).call_ended(now, &self.selection.server, evidence);
+            lock(&self.call.relay.tracker).call_ended(now, &self.selection.server, outcome);
         }
     }
 }
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.close(ServerOutcome::Inconclusive);
+        self.record_end(ServerOutcome::Inconclusive);
     }
 }
 
-/// Why a run of a stream is over before its end.
+/// Why a stream broke off before its end.
 #[derive(Debug)]
 pub enum StreamFailure {
-    /// Its connection ended; perhaps its server did.
+    /// The connection ended; the server may have crashed.
     ConnectionLost(String),
-    /// Its bytes can't be used.
+    /// The stream could not be parsed.
     InvalidData(String),
-    /// Nothing came in time.
+    /// No event arrived within the silence timeout.
     TimedOut(&'static str),
 }
 
 impl StreamFailure {
-    /// Ends the run's books.
+    /// Logs the failure and records the end of the attempt.
     pub async fn finish(self, call: &Call, attempt: AttemptGuard) -> AttemptResult {
         let why = match &self {
             Self::ConnectionLost(why) | Self::InvalidData(why) => why,
@@ -209,7 +211,7 @@
     }
 }
 
-/// Tries the call once; `join` is given where an earlier run's events are passed on already.
+/// Runs one attempt; `join` is set if events of an earlier attempt were already forwarded.
 pub async fn run_attempt(
     call: &Arc<Call>,
     attempts: &mut Attempts,
@@ -239,11 +241,11 @@
     let sent = connection_pool
         .send(server, address, reuse, request, pass)
         .await;
-    let (answer, connection) = match sent {
+    let (response, connection) = match sent {
         Ok(sent) => sent,
-        Err(cause) => return not_answered(call, attempt, &cause).await,
+        Err(cause) => return handle_send_error(call, attempt, &cause).await,
     };
-    let (parts, body) = answer.into_parts();
+    let (parts, body) = response.into_parts();
     let head = headers::read_answer(parts.status, &parts.headers, call.head.id.as_deref());
     let relay = &call.relay;
     let server = &attempt.selection.server;
@@ -254,15 +256,15 @@
     let now = call.relay.clock.now();
     lock(&call.relay.tracker).call_answered(now, &attempt.selection.server);
     if let Some(load) = head.load {
-        let told = ReportedLoad {
+        let reported = ReportedLoad {
             calls: load.running + load.waiting,
             at: call.relay.clock.now(),
         };
-        lock(&call.relay.tracker).record_load(&attempt.selection.server, told);
+        lock(&call.relay.tracker).record_load(&attempt.selection.server, reported);
     }
-    // Neither a late answer to another call nor one of another server speaks for this one.
-    let speaks = head.is_ours && head.word != RunWord::OtherServer;
-    if speaks {
+    // A late response to another call, or one by another server, tells nothing about the target.
+    let is_from_target = head.is_ours && head.word != RunWord::OtherServer;
+    if is_from_target {
         let target = &attempt.selection.target;
         call.relay
             .gate
@@ -278,24 +280,24 @@
     classify(call, attempts, received, join).await
 }
 
-/// Lets a run begin and finds its place. Between the two it may have waited for engines, for memory or
-/// for a limited server: what is known of its work is asked again, last before the send.
+/// Admits the request and acquires a server. As the call may have waited in between for engines,
+/// memory or a limited server, the quarantine is checked again immediately before the send.
 async fn admit(
     call: &Arc<Call>,
     tried: &[ServerName],
 ) -> Result<(Run, Selection, Pass), (RefusalReason, Duration)> {
     loop {
         let run = suspects::admit(call).await?;
-        let (selection, pass) = place(call, tried, run.is_apart).await?;
+        let (selection, pass) = acquire_server(call, tried, run.is_apart).await?;
         if run.may_send() {
             return Ok((run, selection, pass));
         }
     }
 }
 
-/// Chooses until a server has room for the call. One that has none is closed to this box for a
-/// while, so that it isn't chosen again.
-async fn place(
+/// Selects servers until one has room for the call. A server without room takes no calls from this
+/// box for a while, so that it is not selected again.
+async fn acquire_server(
     call: &Arc<Call>,
     tried: &[ServerName],
     is_isolated: bool,
@@ -331,7 +333,7 @@
     request
 }
 
-async fn not_answered(call: &Call, attempt: AttemptGuard, cause: &SendError) -> AttemptResult {
+async fn handle_send_error(call: &Call, attempt: AttemptGuard, cause: &SendError) -> AttemptResult {
     log_lines::try_failed(call, &attempt.selection, cause);
     match cause {
         SendError::NotSent(_) => {
@@ -360,14 +362,19 @@
         return declined(call, received).await;
     }
     if !head.is_ours {
-        return unusable(call, received.attempt, status, "it answers another call");
+        return unusable(
+            call,
+            received.attempt,
+            status,
+            "response belongs to another call",
+        );
     }
     if status.is_success() && !head.has_proof {
         return unusable(
             call,
             received.attempt,
             status,
-            "it lacks the server's proof",
+            "response lacks the server's proof",
         );
     }
     if status.is_success() && call.route.kind.is_stream() {
@@ -375,9 +382,9 @@
             Some(join) => join.clone(),
             None => EventJoin::after(call.head.resume_after),
         };
-        return first_events(call, attempts, received, join).await;
+        return receive_first_events(call, attempts, received, join).await;
     }
-    whole_answer(call, received).await
+    receive_unary(call, received).await
 }
 
 fn unusable(call: &Call, attempt: AttemptGuard, status: StatusCode, why: &str) -> AttemptResult {
@@ -401,22 +408,22 @@
         lock(&call.relay.tracker).record_fault(now, address);
         call.relay.urgent_changed.notify_one();
     }
-    if read_whole(body).await.is_some() {
+    if read_body(body).await.is_some() {
         return_connection(call, &attempt.selection.server, connection, after);
     }
     attempt.finish(match head.word {
         RunWord::OtherServer => ServerOutcome::Unreachable,
         RunWord::NotRun | RunWord::Nothing => ServerOutcome::Inconclusive,
     });
-    let pause = head.notice.retry_after.value().unwrap_or_default();
-    AttemptResult::Ended(if pause.is_zero() {
+    let retry_after = head.notice.retry_after.value().unwrap_or_default();
+    AttemptResult::Ended(if retry_after.is_zero() {
         AttemptEnd::Declined
     } else {
         AttemptEnd::Shed
     })
 }
 
-async fn whole_answer(call: &Call, received: Received) -> AttemptResult {
+async fn receive_unary(call: &Call, received: Received) -> AttemptResult {
     let after = received.after();
     let Received {
         attempt,
@@ -425,23 +432,28 @@
         body,
         ..
     } = received;
-    let Some(bytes) = read_whole(body).await else {
-        log_lines::unusable(call, &attempt.selection, parts.status, "it ended early");
+    let Some(bytes) = read_body(body).await else {
+        log_lines::unusable(
+            call,
+            &attempt.selection,
+            parts.status,
+            "response body incomplete or too large",
+        );
         attempt.finish_broken().await;
         return AttemptResult::Ended(AttemptEnd::Lost);
     };
     return_connection(call, &attempt.selection.server, connection, after);
-    let answer = response_to_caller(&parts, AnswerBody::whole(bytes));
+    let response = response_to_caller(&parts, AnswerBody::whole(bytes));
     if parts.status.is_server_error() {
         attempt.finish(ServerOutcome::Failure);
-        AttemptResult::ServerError(answer)
+        AttemptResult::ServerError(response)
     } else {
         attempt.finish_served().await;
-        AttemptResult::Complete(answer)
+        AttemptResult::Complete(response)
     }
 }
 
-/// Lets a connection rest whose answer was whole, if it may.
+/// Returns a connection to the pool after a complete response, unless the server closes it.
 pub fn return_connection(
     call: &Call,
     server: &ServerName,
@@ -455,38 +467,40 @@
     }
 }
 
-async fn read_whole(body: Incoming) -> Option<Bytes> {
-    let body = http_body_util::Limited::new(body, MAX_WHOLE_BYTES);
+async fn read_body(body: Incoming) -> Option<Bytes> {
+    let body = http_body_util::Limited::new(body, MAX_UNARY_BODY_BYTES);
     body.collect()
         .await
         .ok()
         .map(http_body_util::Collected::to_bytes)
 }
 
-/// The server's head without what concerns its own connection.
+/// Response for the caller: the server's head without the headers of its own connection.
 pub fn response_to_caller(parts: &http::response::Parts, body: AnswerBody) -> Response<AnswerBody> {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = parts.status;
-    *answer.headers_mut() = headers::without_connection(&parts.headers);
-    answer
+    let mut response = Response::new(body);
+    *response.status_mut() = parts.status;
+    *response.headers_mut() = headers::without_connection(&parts.headers);
+    response
 }
 
-/// How long a server may be silent before its run is taken for broken.
+/// Time without an event after which an attempt counts as failed.
 pub fn silence_timeout(call: &Call, selection: &Selection, first: bool) -> Duration {
     let objective = call.route.objective;
     match (first, call.route.max_gap) {
         (true, _) => (selection.expected_first_event * 3).max(objective) + FIRST_EVENT_SLACK,
-        (false, Some(pause)) => (pause * 4).max(NEXT_EVENT_SLACK),
+        (false, Some(max_gap)) => (max_gap * 4).max(MIN_EVENT_TIMEOUT),
         (false, None) => Duration::MAX,
     }
 }
 
-/// What the first event may take beyond its objective, or three times its estimate.
+/// Added to the limit of the first event, which is the larger of its objective and three times its
+/// estimate.
 const FIRST_EVENT_SLACK: Duration = Duration::from_millis(500);
-/// Shortest silence after which a stream is continued elsewhere; callers leave after two seconds.
-const NEXT_EVENT_SLACK: Duration = Duration::from_secs(1);
+/// Shortest silence after which a stream is resumed on another server; callers disconnect after two
+/// seconds.
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-async fn first_events(
+async fn receive_first_events(
     call: &Arc<Call>,
     attempts: &Attempts,
     received: Received,
@@ -500,26 +514,26 @@
         mut body,
         ..
     } = received;
-    let mut patience = silence_timeout(call, &attempt.selection, true);
+    let mut silence = silence_timeout(call, &attempt.selection, true);
     let (events, complete) = loop {
-        let broken = match timeout(patience, body.frame()).await {
+        let failure = match timeout(silence, body.frame()).await {
             Ok(Some(Ok(frame))) => match join.push(&frame.into_data().unwrap_or_default()) {
                 Ok(events) if events.is_empty() => continue,
                 Ok(events) => break (events, false),
                 Err(cause) => StreamFailure::InvalidData(cause.to_string()),
             },
             Ok(None) if !join.is_inside_event() => break (Bytes::new(), true),
-            Ok(None) => StreamFailure::ConnectionLost("it ended inside an event".to_owned()),
+            Ok(None) => StreamFailure::ConnectionLost("stream ended inside an event".to_owned()),
             Ok(Some(Err(cause))) => StreamFailure::ConnectionLost(cause.to_string()),
             Err(_elapsed) if attempts.may_retry() && call.has_retry_budget() => {
-                StreamFailure::TimedOut("no first event in time")
+                StreamFailure::TimedOut("first event timed out")
             }
             Err(_elapsed) => {
-                patience = Duration::MAX;
+                silence = Duration::MAX;
                 continue;
             }
         };
-        return broken.finish(call, attempt).await;
+        return failure.finish(call, attempt).await;
     };
     attempt.selection.prefill_done(call);
     AttemptResult::Live(Box::new(StreamingResponse {
--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -37,7 +37,7 @@
         match self {
             Self::NoServers => (RefusalReason::NoServer, NO_SERVER_RETRY),
             Self::RetryIn(retry_in, reason) => {
-                // Jitter keeps callers that were refused together from retrying at the same instant.
+                // Jitter keeps callers that were refused together from retrying together.
                 let jitter = rand::rng().random_range(0.0..RETRY_JITTER);
                 (reason, retry_in + retry_in.mul_f64(jitter))
             }
--- a/daemon/src/relay/connection_pool.rs
+++ b/daemon/src/relay/connection_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to backend servers: each is owned, carries one call at a time, and is used
-//! again only when the last answer on it was whole and its own.
+//! Connections to backend servers. Each connection has one owner, carries one call at a time, and
+//! is reused only if the last response on it was complete and belonged to its call.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -24,34 +24,34 @@
 use crate::relay::server_gate::Pass;
 use crate::traffic::lock;
 
-/// Longest wait for a connection; halls are milliseconds apart, regions some tens.
-const CONNECT: Duration = Duration::from_millis(200);
-/// Unacknowledged bytes and unanswered probes end a connection after this time.
-const PEER_SILENCE: Duration = Duration::from_secs(2);
-/// Between probes of a silent peer.
+/// Connect timeout; the latency between halls is a few milliseconds, between regions some tens.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time after which unacknowledged bytes or unanswered probes end a connection.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between keep-alive probes of a silent peer.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest rest before a connection is used again; servers close idle ones unseen.
-const MAX_REST: Duration = Duration::from_millis(1_500);
-/// Taken off what a server says a connection may rest; it counts from its own clock.
-const REST_MARGIN: Duration = Duration::from_secs(1);
-/// Resting connections kept for one server.
-const MAX_RESTING: usize = 4;
-
-/// Why a call got no head of an answer.
+/// Longest idle time before reuse; servers may close idle connections without the box noticing.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1_500);
+/// Subtracted from the idle timeout that a server announces, as the server counts by its own clock.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
+/// Limit of idle connections per server.
+const MAX_IDLE_PER_SERVER: usize = 4;
+
+/// Why a request got no response head.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
     /// Nothing was sent: the connection was refused or is closed.
-    #[error("no connection: {0}")]
+    #[error("request not sent: {0}")]
     NotSent(String),
-    /// Nothing was sent: nobody answered to the connection.
-    #[error("no answer to the connection")]
+    /// Nothing was sent: the connection attempt timed out.
+    #[error("connection attempt timed out")]
     ConnectTimeout,
-    /// The call may have run.
-    #[error("lost: {0}")]
+    /// The connection was lost after the request was sent, so the call may have run.
+    #[error("connection lost: {0}")]
     Lost(String),
 }
 
-/// A connection in use; it is closed when dropped.
+/// A connection to a server, closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     sender: Option<SendRequest<Full<Bytes>>>,
@@ -59,11 +59,11 @@
 }
 
 impl Connection {
-    /// Sends a request once and waits for the head of the answer.
+    /// Sends a request once and waits for the response head.
     ///
     /// # Errors
     ///
-    /// [`SendError::NotSent`] only where no byte was written.
+    /// [`SendError::NotSent`] only if no byte was written.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -72,10 +72,10 @@
         let sender = self.sender.as_mut();
         let sender = sender.ok_or_else(|| SendError::NotSent("closed".to_owned()))?;
         match sender.try_send_request(request).await {
-            Ok(answer) => Ok(answer),
-            Err(mut unsent) => match unsent.take_message() {
-                Some(_request) => Err(SendError::NotSent(unsent.into_error().to_string())),
-                None => Err(SendError::Lost(unsent.into_error().to_string())),
+            Ok(response) => Ok(response),
+            Err(mut error) => match error.take_message() {
+                Some(_request) => Err(SendError::NotSent(error.into_error().to_string())),
+                None => Err(SendError::Lost(error.into_error().to_string())),
             },
         }
     }
@@ -88,32 +88,33 @@
 }
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Resting connections by server.
+/// Idle connections by server.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    resting: Mutex<HashMap<ServerName, Vec<Resting>>>,
+    idle: Mutex<HashMap<ServerName, Vec<IdleConnection>>>,
 }
 
-/// Whether a connection that rested may carry a call.
+/// Whether an idle connection may carry a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// A resting one may be used.
+    /// An idle connection may be used.
     Allowed,
-    /// Only a new one: a resting one may be closed unseen, and the call can't be repeated.
+    /// Only a new connection: the server may have closed an idle one unnoticed, and the call can't
+    /// be retried.
     Never,
 }
 
 impl ConnectionPool {
-    /// Sends a call once and waits for the head of the answer.
+    /// Sends a call once on an idle or a new connection and waits for the response head.
     ///
     /// # Errors
     ///
-    /// [`SendError::NotSent`] only where no byte was written.
+    /// [`SendError::NotSent`] only if no byte was written.
     pub async fn send(
         &self,
         server: &ServerName,
@@ -122,86 +123,91 @@
         request: Request<Full<Bytes>>,
         pass: Pass,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
-        let rested = match reuse {
+        let pooled = match reuse {
             Reuse::Allowed => self.take_idle(server),
             Reuse::Never => None,
         };
-        let mut connection = match rested {
+        let mut connection = match pooled {
             Some(connection) => connection,
             None => connect(address).await?,
         };
-        let answer = connection.send(request, pass).await?;
-        Ok((answer, connection))
+        let response = connection.send(request, pass).await?;
+        Ok((response, connection))
     }
 
     fn take_idle(&self, server: &ServerName) -> Option<Connection> {
-        let mut resting = lock(&self.resting);
-        let rows = resting.get_mut(server)?;
+        let mut idle = lock(&self.idle);
+        let connections = idle.get_mut(server)?;
         let now = Instant::now();
-        while let Some(row) = rows.pop() {
-            let is_ready = row
+        while let Some(entry) = connections.pop() {
+            let is_usable = entry
                 .connection
                 .sender
                 .as_ref()
                 .is_some_and(SendRequest::is_ready);
-            if is_ready && now < row.until {
-                return Some(row.connection);
+            if is_usable && now < entry.expires_at {
+                return Some(entry.connection);
             }
         }
         None
     }
 
-    /// Takes a connection back whose answer was whole and its own.
+    /// Returns a connection to the pool; its last response must be complete and its own.
     pub fn put(&self, server: &ServerName, connection: Connection, keep_alive: Option<Duration>) {
-        let rest = match keep_alive {
-            Some(told) => told.saturating_sub(REST_MARGIN).min(MAX_REST),
-            None => MAX_REST,
+        let idle_time = match keep_alive {
+            Some(advertised) => advertised
+                .saturating_sub(KEEP_ALIVE_MARGIN)
+                .min(MAX_IDLE_TIME),
+            None => MAX_IDLE_TIME,
         };
-        if rest.is_zero() {
+        if idle_time.is_zero() {
             return;
         }
         let now = Instant::now();
-        let mut resting = lock(&self.resting);
-        let rows = resting.entry(server.clone()).or_default();
-        rows.retain(|row| now < row.until);
-        if rows.len() < MAX_RESTING {
-            let until = now + rest;
-            rows.push(Resting { connection, until });
+        let mut idle = lock(&self.idle);
+        let connections = idle.entry(server.clone()).or_default();
+        connections.retain(|entry| now < entry.expires_at);
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            let expires_at = now + idle_time;
+            connections.push(IdleConnection {
+                connection,
+                expires_at,
+            });
         }
     }
 
-    /// Closes connections that rested too long.
+    /// Closes connections whose idle time is over.
     pub fn close_expired(&self) {
         let now = Instant::now();
-        let mut resting = lock(&self.resting);
-        for rows in resting.values_mut() {
-            rows.retain(|row| now < row.until);
+        let mut idle = lock(&self.idle);
+        for connections in idle.values_mut() {
+            connections.retain(|entry| now < entry.expires_at);
         }
-        resting.retain(|_, rows| !rows.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
 
-/// Opens a connection.
+/// Opens a new connection.
 ///
 /// # Errors
 ///
-/// It is refused, or nobody answers.
+/// The connection is refused, or the attempt times out.
 pub async fn connect(address: &str) -> Result<Connection, SendError> {
     let not_sent = |cause: &dyn std::fmt::Display| SendError::NotSent(cause.to_string());
-    let stream = match timeout(CONNECT, TcpStream::connect(address)).await {
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(cause)) => return Err(not_sent(&cause)),
         Err(_elapsed) => return Err(SendError::ConnectTimeout),
     };
-    if let Err(cause) = guard_against_silence(&stream) {
-        tracing::warn!(address, %cause, "a socket option could not be set");
+    if let Err(cause) = set_socket_options(&stream) {
+        tracing::warn!(address, %cause, "failed to set socket options");
     }
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(64 << 10)
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|cause| not_sent(&cause))?;
-    // Its end shows at the sender and in the answer's body.
+    // The end of this task is visible at the sender and in the response body.
     let task = tokio::spawn(connection).abort_handle();
     Ok(Connection {
         sender: Some(sender),
@@ -209,10 +215,10 @@
     })
 }
 
-fn guard_against_silence(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(PEER_SILENCE))?;
+    socket.set_tcp_user_timeout(Some(PEER_TIMEOUT))?;
     let probes = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -1,8 +1,8 @@
 //! Memory reservations for a prompt that needs the memory of several engines: all or none.
 //!
-//! A reservation has a short TTL and is renewed while it is in use, so that reservations of a failed
-//! box expire soon. It is released on every exit path. An engine may still carry out an order whose
-//! response was lost; such a reservation expires by its TTL.
+//! A reservation has a short TTL and is renewed while it is in use, so that reservations of a
+//! failed box expire soon. It is released on every exit path. An engine may still carry out an order
+//! whose response was lost; such a reservation expires by its TTL.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/daemon/tests/test_relay_reservations.rs
+++ b/daemon/tests/test_relay_reservations.rs
@@ -76,8 +76,8 @@
     wait_until(|| all_reservations_are_released(&engines)).await
 }
 
-/// Guards against sending a request that was quarantined while it waited for engines: the quarantine
-/// was checked before a wait of 5 s but not at the send, and the request crashed a fourth server.
+/// Guards against sending a request that was quarantined while it waited for engines: checked only
+/// before a wait of 5 s and not again at the send, it crashed a fourth server.
 async fn request_quarantined_in_the_queue_is_refused(body: &str) -> anyhow::Result<()> {
     let (world, engines) = engines(4).await?;
     for engine in &engines {
