--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -48,7 +48,7 @@
     pub async fn reserve(
         call: &Arc<Call>,
         requested: Vec<(Engine, u64)>,
-    ) -> Result<Self, Vec<(String, ReservationFailure)>> {
+    ) -> Result<Self, Vec<(String, ReserveError)>> {
         let id = format!("{:016x}", rand::random::<u64>());
         let ttl = RESERVATION_TTL.min(call.relay.settings.longest_hold);
         let relay = &call.relay;
@@ -72,9 +72,9 @@
         });
         let statuses = join_all(orders).await;
         let refused = statuses.into_iter().zip(reserved.engines.iter());
-        let refused: Vec<(String, ReservationFailure)> = refused
+        let refused: Vec<(String, ReserveError)> = refused
             .filter_map(|(status, (engine, _))| {
-                Some((engine.address.clone(), reservation_failure(status)?))
+                Some((engine.address.clone(), reserve_error(status)?))
             })
             .collect();
         tracing::info!(
@@ -101,7 +101,7 @@
 
 /// Why an engine reserved no memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReservationFailure {
+pub enum ReserveError {
     /// Not enough free memory at the moment.
     NoRoom,
     /// The engine supports no reservations, or none of this size.
@@ -110,12 +110,12 @@
     Silent,
 }
 
-fn reservation_failure(status: Option<StatusCode>) -> Option<ReservationFailure> {
+fn reserve_error(status: Option<StatusCode>) -> Option<ReserveError> {
     match status.map(orders::read_reserved) {
         Some(Reserved::Held) => None,
-        Some(Reserved::NoRoom) => Some(ReservationFailure::NoRoom),
-        Some(Reserved::Impossible) => Some(ReservationFailure::Refused),
-        None => Some(ReservationFailure::Silent),
+        Some(Reserved::NoRoom) => Some(ReserveError::NoRoom),
+        Some(Reserved::Impossible) => Some(ReserveError::Refused),
+        None => Some(ReserveError::Silent),
     }
 }
 
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -35,8 +35,8 @@
 use crate::relay::candidates::NoCandidate;
 use crate::relay::first_event_watchdog::FirstEventWatchdog;
 use crate::relay::log_lines;
-use crate::relay::reservations::ReservationFailure;
 use crate::relay::reservations::Reservations;
+use crate::relay::reservations::ReserveError;
 use crate::relay::server_gate::Target;
 use crate::relay::state::Relay;
 use crate::traffic::lock;
@@ -299,15 +299,13 @@
 
 /// Records a fault of engines that refuse reservations or do not respond, which may exclude them.
 /// Engines without room are not at fault: they may have room again soon.
-fn record_refusals(relay: &Relay, refused: &[(String, ReservationFailure)]) {
+fn record_refusals(relay: &Relay, refused: &[(String, ReserveError)]) {
     let now = relay.clock.now();
     let mut tracker = lock(&relay.tracker);
     for (address, why) in refused {
         match why {
-            ReservationFailure::NoRoom => {}
-            ReservationFailure::Refused | ReservationFailure::Silent => {
-                tracker.record_fault(now, address)
-            }
+            ReserveError::NoRoom => {}
+            ReserveError::Refused | ReserveError::Silent => tracker.record_fault(now, address),
         }
     }
 }
@@ -513,7 +511,7 @@
 async fn reserve(
     call: &Arc<Call>,
     registered: &RegisteredPlan,
-) -> Result<Reservations, Vec<(String, ReservationFailure)>> {
+) -> Result<Reservations, Vec<(String, ReserveError)>> {
     let requested = registered.engines.iter().zip(&registered.plan.assignments);
     let requested =
         requested.map(|(engine, assignment)| (engine.clone(), assignment.memory_tokens));
