--- a/daemon/src/relay/call_attempt.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -262,7 +262,7 @@
         };
         lock(&call.relay.tracker).record_load(&attempt.selection.server, reported);
     }
-    // A late response to another call, or one by another server, tells nothing about the target.
+    // A late response to another call, or one by another server, says nothing about the target.
     let is_from_target = head.is_ours && head.word != RunWord::OtherServer;
     if is_from_target {
         let target = &attempt.selection.target;
@@ -484,9 +484,9 @@
 }
 
 /// Time without an event after which an attempt counts as failed.
-pub fn silence_timeout(call: &Call, selection: &Selection, first: bool) -> Duration {
+pub fn silence_timeout(call: &Call, selection: &Selection, is_first: bool) -> Duration {
     let objective = call.route.objective;
-    match (first, call.route.max_gap) {
+    match (is_first, call.route.max_gap) {
         (true, _) => (selection.expected_first_event * 3).max(objective) + FIRST_EVENT_SLACK,
         (false, Some(max_gap)) => (max_gap * 4).max(MIN_EVENT_TIMEOUT),
         (false, None) => Duration::MAX,
--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -84,11 +84,11 @@
         max_wait,
     } = *query;
     let notices = lock(&relay.gate.notices);
-    let availability = |life| {
+    let availability = |incarnation| {
         if tried.is_empty() {
-            notices.availability(now, life)
+            notices.availability(now, incarnation)
         } else {
-            notices.availability_for_retry(now, life)
+            notices.availability_for_retry(now, incarnation)
         }
     };
     let mut usable = tracker.usable(now, service, tried, availability);
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -86,7 +86,7 @@
 
     /// Whether the prompt is long: its engines prefill no other long prompt at the same time.
     pub const fn is_long(&self) -> bool {
-        self.load_entries.long
+        self.load_entries.is_long
     }
 
     /// Records that the prefill is complete.
@@ -108,13 +108,13 @@
 struct LoadEntries {
     relay: Arc<Relay>,
     ids: Vec<EngineWorkId>,
-    long: bool,
+    is_long: bool,
 }
 
 impl LoadEntries {
     /// Triggers gossip of the change to the other boxes.
     fn notify_peers(&self) {
-        if self.long {
+        if self.is_long {
             self.relay.urgent_changed.notify_one();
         } else {
             self.relay.load_changed.notify_one();
@@ -218,7 +218,7 @@
         load_entries: LoadEntries {
             relay: Arc::clone(relay),
             ids: Vec::new(),
-            long: false,
+            is_long: false,
         },
         watchdog: None,
         _reservations: None,
@@ -432,7 +432,7 @@
     let load_entries = LoadEntries {
         relay: Arc::clone(relay),
         ids,
-        long: plan.is_long,
+        is_long: plan.is_long,
     };
     RegisteredPlan {
         engines,
