--- /dev/null
+++ b/daemon/src/relay/call_attempt.rs
@@ -0,0 +1,549 @@
+//! One attempt of a call: selects a server, sends the call and classifies the response.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::outcome::RefusalReason;
+use badgerferry_lib::relay::attempts::AttemptEnd;
+use badgerferry_lib::relay::attempts::Attempts;
+use badgerferry_lib::relay::event_join::EventJoin;
+use badgerferry_lib::relay::server_tracker::ReportedLoad;
+use badgerferry_lib::relay::server_tracker::ServerOutcome;
+use badgerferry_lib::time::Time;
+use badgerferry_platform::headers;
+use badgerferry_platform::headers::AnswerHead;
+use badgerferry_platform::headers::Dispatch;
+use badgerferry_platform::headers::RunWord;
+use http::Request;
+use http::Response;
+use http::StatusCode;
+use http_body_util::BodyExt;
+use http_body_util::Full;
+use hyper::body::Bytes;
+use hyper::body::Incoming;
+use tokio::time::timeout;
+
+use crate::relay::answer_body::AnswerBody;
+use crate::relay::call::Call;
+use crate::relay::connection_pool::Connection;
+use crate::relay::connection_pool::Reuse;
+use crate::relay::connection_pool::SendError;
+use crate::relay::log_lines;
+use crate::relay::server_gate::Entrant;
+use crate::relay::server_gate::MOST_ASKED;
+use crate::relay::server_gate::NO_KEEPER;
+use crate::relay::server_gate::Pass;
+use crate::relay::server_selection;
+use crate::relay::server_selection::Selection;
+use crate::relay::suspects;
+use crate::relay::suspects::Run;
+use crate::traffic::lock;
+
+/// Largest body of a unary response, which is read completely before it is forwarded.
+const MAX_UNARY_BODY_BYTES: usize = 4 << 20;
+
+/// Result of an attempt.
+#[derive(Debug)]
+pub enum AttemptResult {
+    /// A complete response to forward.
+    Complete(Response<AnswerBody>),
+    /// A stream whose first events have arrived.
+    Live(Box<StreamingResponse>),
+    /// No server can take the call; the reason and the delay before a retry.
+    NoServer(RefusalReason, Duration),
+    /// The server ran the call and failed; its complete error response.
+    ServerError(Response<AnswerBody>),
+    /// The attempt ended without a response that can be forwarded.
+    Ended(AttemptEnd),
+}
+
+/// A response stream in progress.
+#[derive(Debug)]
+pub struct StreamingResponse {
+    /// Head of the response.
+    pub head: http::response::Parts,
+    /// Events received so far that were not forwarded yet.
+    pub events: Bytes,
+    /// Whether the stream has already ended.
+    pub complete: bool,
+    /// Remaining body.
+    pub body: Incoming,
+    /// Joins events over the attempts of the call.
+    pub join: EventJoin,
+    /// Connection that carries the stream.
+    pub connection: Connection,
+    /// Records the end of the attempt when dropped.
+    pub attempt: AttemptGuard,
+    /// What to do with the connection after the response.
+    pub after: AfterResponse,
+}
+
+/// What to do with a connection after a complete response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AfterResponse {
+    /// Close it: the server ends it with this response.
+    Close,
+    /// Return it to the pool for another call.
+    Pool {
+        /// Idle timeout of the server, if it sent one.
+        keep_alive: Option<Duration>,
+    },
+}
+
+/// A response whose head has arrived.
+#[derive(Debug)]
+struct Received {
+    attempt: AttemptGuard,
+    connection: Connection,
+    parts: http::response::Parts,
+    head: AnswerHead,
+    body: Incoming,
+}
+
+impl Received {
+    const fn after(&self) -> AfterResponse {
+        if self.head.closes {
+            AfterResponse::Close
+        } else {
+            AfterResponse::Pool {
+                keep_alive: self.head.keep_alive,
+            }
+        }
+    }
+}
+
+/// Registers a sent attempt with the server tracker. If dropped without an outcome, it records
+/// [`ServerOutcome::Inconclusive`].
+#[derive(Debug)]
+pub struct AttemptGuard {
+    call: Arc<Call>,
+    run: Run,
+    /// Time at which the call was sent.
+    sent_at: Time,
+    /// Whether the response has its own framing, so that its end does not depend on the end of the
+    /// connection.
+    is_framed: bool,
+    /// Server or engines of the attempt.
+    pub selection: Selection,
+    is_open: bool,
+}
+
+impl AttemptGuard {
+    fn new(call: &Arc<Call>, run: Run, selection: Selection) -> Self {
+        let now = call.relay.clock.now();
+        lock(&call.relay.tracker).call_sent(now, &selection.server);
+        Self {
+            call: Arc::clone(call),
+            run,
+            sent_at: now,
+            is_framed: false,
+            selection,
+            is_open: true,
+        }
+    }
+
+    /// Ends an attempt whose connection was lost, and checks whether the server crashed.
+    pub async fn finish_broken(self) {
+        suspects::broke_off(&self.call, &self.selection, self.sent_at).await;
+        self.finish(ServerOutcome::Failure);
+    }
+
+    /// Ends a served attempt. The end of a response without framing looks like a server crash, so
+    /// only a framed response counts as a success of the request; otherwise the server is checked.
+    pub async fn finish_served(self) {
+        if self.is_framed {
+            self.record_success();
+        } else {
+            suspects::broke_off(&self.call, &self.selection, self.sent_at).await;
+        }
+        self.finish(ServerOutcome::Success);
+    }
+
+    /// Records that the server serves the request without crashing.
+    pub fn record_success(&self) {
+        self.run.record_success();
+    }
+
+    /// Ends the attempt with its outcome for the server.
+    pub fn finish(mut self, outcome: ServerOutcome) {
+        self.record_end(outcome);
+    }
+
+    fn record_end(&mut self, outcome: ServerOutcome) {
+        if std::mem::take(&mut self.is_open) {
+            let now = self.call.relay.clock.now();
+            lock(&self.call.relay.tracker).call_ended(now, &self.selection.server, outcome);
+        }
+    }
+}
+
+impl Drop for AttemptGuard {
+    fn drop(&mut self) {
+        self.record_end(ServerOutcome::Inconclusive);
+    }
+}
+
+/// Why a stream broke off before its end.
+#[derive(Debug)]
+pub enum StreamFailure {
+    /// The connection ended; the server may have crashed.
+    ConnectionLost(String),
+    /// The stream could not be parsed.
+    InvalidData(String),
+    /// No event arrived within the silence timeout.
+    TimedOut(&'static str),
+}
+
+impl StreamFailure {
+    /// Logs the failure and records the end of the attempt.
+    pub async fn finish(self, call: &Call, attempt: AttemptGuard) -> AttemptResult {
+        let why = match &self {
+            Self::ConnectionLost(why) | Self::InvalidData(why) => why,
+            Self::TimedOut(why) => *why,
+        };
+        log_lines::unusable(call, &attempt.selection, StatusCode::OK, why);
+        match self {
+            Self::ConnectionLost(_) => attempt.finish_broken().await,
+            Self::InvalidData(_) | Self::TimedOut(_) => attempt.finish(ServerOutcome::Failure),
+        }
+        AttemptResult::Ended(AttemptEnd::Lost)
+    }
+}
+
+/// Runs one attempt; `join` is set if events of an earlier attempt were already forwarded.
+pub async fn run_attempt(
+    call: &Arc<Call>,
+    attempts: &mut Attempts,
+    tried: &mut Vec<ServerName>,
+    join: Option<&EventJoin>,
+) -> AttemptResult {
+    let (run, selection, pass) = match admit(call, tried).await {
+        Ok(admitted) => admitted,
+        Err((reason, retry_after)) => {
+            log_lines::no_server_takes(call, reason, retry_after);
+            return AttemptResult::NoServer(reason, retry_after);
+        }
+    };
+    tried.push(selection.server.clone());
+    log_lines::routed(call, attempts, &selection);
+    let resume_after = join.and_then(EventJoin::last);
+    let request = request(call, &selection, resume_after);
+    let mut attempt = AttemptGuard::new(call, run, selection);
+    attempts.send();
+    let reuse = if call.route.kind.is_repeatable() {
+        Reuse::Allowed
+    } else {
+        Reuse::Never
+    };
+    let connection_pool = &call.relay.connection_pool;
+    let (server, address) = (&attempt.selection.server, &attempt.selection.address);
+    let sent = connection_pool
+        .send(server, address, reuse, request, pass)
+        .await;
+    let (response, connection) = match sent {
+        Ok(sent) => sent,
+        Err(cause) => return handle_send_error(call, attempt, &cause).await,
+    };
+    let (parts, body) = response.into_parts();
+    let head = headers::read_answer(parts.status, &parts.headers, call.head.id.as_deref());
+    let relay = &call.relay;
+    let server = &attempt.selection.server;
+    relay
+        .unknown_headers
+        .note(call.id(), server, &parts.headers);
+    attempt.is_framed = headers::is_framed(&parts.headers);
+    let now = call.relay.clock.now();
+    lock(&call.relay.tracker).call_answered(now, &attempt.selection.server);
+    if let Some(load) = head.load {
+        let reported = ReportedLoad {
+            calls: load.running + load.waiting,
+            at: call.relay.clock.now(),
+        };
+        lock(&call.relay.tracker).record_load(&attempt.selection.server, reported);
+    }
+    // A late response to another call, or one by another server, says nothing about the target.
+    let is_from_target = head.is_ours && head.word != RunWord::OtherServer;
+    if is_from_target {
+        let target = &attempt.selection.target;
+        call.relay
+            .gate
+            .answered(call.id(), target, &head.notice, head.has_proof);
+    }
+    let received = Received {
+        attempt,
+        connection,
+        parts,
+        head,
+        body,
+    };
+    classify(call, attempts, received, join).await
+}
+
+/// Admits the request and acquires a server. As the call may have waited in between for engines,
+/// memory or a limited server, the quarantine is checked again immediately before the send.
+async fn admit(
+    call: &Arc<Call>,
+    tried: &[ServerName],
+) -> Result<(Run, Selection, Pass), (RefusalReason, Duration)> {
+    loop {
+        let run = suspects::admit(call).await?;
+        let (selection, pass) = acquire_server(call, tried, run.is_apart).await?;
+        if run.may_send() {
+            return Ok((run, selection, pass));
+        }
+    }
+}
+
+/// Selects servers until one has room for the call. A server without room takes no calls from this
+/// box for a while, so that it is not selected again.
+async fn acquire_server(
+    call: &Arc<Call>,
+    tried: &[ServerName],
+    is_isolated: bool,
+) -> Result<(Selection, Pass), (RefusalReason, Duration)> {
+    for _ in 0..MOST_ASKED {
+        let selection = server_selection::select(call, tried, is_isolated).await?;
+        let entrant = Entrant {
+            id: call.id(),
+            target: &selection.target,
+            patience: call.patience(tried.is_empty()),
+        };
+        if let Ok(pass) = call.relay.gate.enter(&entrant).await {
+            return Ok((selection, pass));
+        }
+    }
+    Err((RefusalReason::ServersLimited, NO_KEEPER))
+}
+
+fn request(call: &Call, selection: &Selection, resume_after: Option<u64>) -> Request<Full<Bytes>> {
+    let dispatch = Dispatch {
+        server: &selection.server,
+        time_left: call.time_left(),
+        workspace: call.workspace.as_ref(),
+        takes_key: !call.routes.table().workspaces.is_empty(),
+        readers: &selection.helpers,
+        rank: selection.rank,
+        resume_after,
+    };
+    let mut request = Request::new(Full::new(call.body.clone()));
+    *request.method_mut() = call.method.clone();
+    *request.uri_mut() = call.uri.clone();
+    *request.headers_mut() = headers::to_server(&call.headers, &dispatch);
+    request
+}
+
+async fn handle_send_error(call: &Call, attempt: AttemptGuard, cause: &SendError) -> AttemptResult {
+    log_lines::try_failed(call, &attempt.selection, cause);
+    match cause {
+        SendError::NotSent(_) => {
+            attempt.finish(ServerOutcome::Unreachable);
+            AttemptResult::Ended(AttemptEnd::NoConnection)
+        }
+        SendError::ConnectTimeout => {
+            attempt.finish(ServerOutcome::ConnectTimeout);
+            AttemptResult::Ended(AttemptEnd::NoConnection)
+        }
+        SendError::Lost(_) => {
+            attempt.finish_broken().await;
+            AttemptResult::Ended(AttemptEnd::Lost)
+        }
+    }
+}
+
+async fn classify(
+    call: &Arc<Call>,
+    attempts: &Attempts,
+    received: Received,
+    join: Option<&EventJoin>,
+) -> AttemptResult {
+    let (head, status) = (&received.head, received.parts.status);
+    if head.word != RunWord::Nothing && !status.is_success() {
+        return declined(call, received).await;
+    }
+    if !head.is_ours {
+        return unusable(
+            call,
+            received.attempt,
+            status,
+            "response belongs to another call",
+        );
+    }
+    if status.is_success() && !head.has_proof {
+        return unusable(
+            call,
+            received.attempt,
+            status,
+            "response lacks the server's proof",
+        );
+    }
+    if status.is_success() && call.route.kind.is_stream() {
+        let join = match join {
+            Some(join) => join.clone(),
+            None => EventJoin::after(call.head.resume_after),
+        };
+        return receive_first_events(call, attempts, received, join).await;
+    }
+    receive_unary(call, received).await
+}
+
+fn unusable(call: &Call, attempt: AttemptGuard, status: StatusCode, why: &str) -> AttemptResult {
+    log_lines::unusable(call, &attempt.selection, status, why);
+    attempt.finish(ServerOutcome::Failure);
+    AttemptResult::Ended(AttemptEnd::Lost)
+}
+
+async fn declined(call: &Call, received: Received) -> AttemptResult {
+    let after = received.after();
+    let Received {
+        attempt,
+        connection,
+        parts,
+        head,
+        body,
+    } = received;
+    log_lines::declined(call, &attempt.selection, parts.status, &head);
+    if let Some(address) = &head.at_fault {
+        let now = call.relay.clock.now();
+        lock(&call.relay.tracker).record_fault(now, address);
+        call.relay.urgent_changed.notify_one();
+    }
+    if read_body(body).await.is_some() {
+        return_connection(call, &attempt.selection.server, connection, after);
+    }
+    attempt.finish(match head.word {
+        RunWord::OtherServer => ServerOutcome::Unreachable,
+        RunWord::NotRun | RunWord::Nothing => ServerOutcome::Inconclusive,
+    });
+    let retry_after = head.notice.retry_after.value().unwrap_or_default();
+    AttemptResult::Ended(if retry_after.is_zero() {
+        AttemptEnd::Declined
+    } else {
+        AttemptEnd::Shed
+    })
+}
+
+async fn receive_unary(call: &Call, received: Received) -> AttemptResult {
+    let after = received.after();
+    let Received {
+        attempt,
+        connection,
+        parts,
+        body,
+        ..
+    } = received;
+    let Some(bytes) = read_body(body).await else {
+        log_lines::unusable(
+            call,
+            &attempt.selection,
+            parts.status,
+            "response body incomplete or too large",
+        );
+        attempt.finish_broken().await;
+        return AttemptResult::Ended(AttemptEnd::Lost);
+    };
+    return_connection(call, &attempt.selection.server, connection, after);
+    let response = response_to_caller(&parts, AnswerBody::whole(bytes));
+    if parts.status.is_server_error() {
+        attempt.finish(ServerOutcome::Failure);
+        AttemptResult::ServerError(response)
+    } else {
+        attempt.finish_served().await;
+        AttemptResult::Complete(response)
+    }
+}
+
+/// Returns a connection to the pool after a complete response, unless the server closes it.
+pub fn return_connection(
+    call: &Call,
+    server: &ServerName,
+    connection: Connection,
+    after: AfterResponse,
+) {
+    if let AfterResponse::Pool { keep_alive } = after {
+        call.relay
+            .connection_pool
+            .put(server, connection, keep_alive);
+    }
+}
+
+async fn read_body(body: Incoming) -> Option<Bytes> {
+    let body = http_body_util::Limited::new(body, MAX_UNARY_BODY_BYTES);
+    body.collect()
+        .await
+        .ok()
+        .map(http_body_util::Collected::to_bytes)
+}
+
+/// Response for the caller: the server's head without the headers of its own connection.
+pub fn response_to_caller(parts: &http::response::Parts, body: AnswerBody) -> Response<AnswerBody> {
+    let mut response = Response::new(body);
+    *response.status_mut() = parts.status;
+    *response.headers_mut() = headers::without_connection(&parts.headers);
+    response
+}
+
+/// Time without an event after which an attempt counts as failed.
+pub fn silence_timeout(call: &Call, selection: &Selection, is_first: bool) -> Duration {
+    let objective = call.route.objective;
+    match (is_first, call.route.max_gap) {
+        (true, _) => (selection.expected_first_event * 3).max(objective) + FIRST_EVENT_SLACK,
+        (false, Some(max_gap)) => (max_gap * 4).max(MIN_EVENT_TIMEOUT),
+        (false, None) => Duration::MAX,
+    }
+}
+
+/// Added to the limit of the first event, which is the larger of its objective and three times its
+/// estimate.
+const FIRST_EVENT_SLACK: Duration = Duration::from_millis(500);
+/// Shortest silence after which a stream is resumed on another server; callers disconnect after two
+/// seconds.
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(1);
+
+async fn receive_first_events(
+    call: &Arc<Call>,
+    attempts: &Attempts,
+    received: Received,
+    mut join: EventJoin,
+) -> AttemptResult {
+    let after = received.after();
+    let Received {
+        attempt,
+        connection,
+        parts,
+        mut body,
+        ..
+    } = received;
+    let mut silence = silence_timeout(call, &attempt.selection, true);
+    let (events, complete) = loop {
+        let failure = match timeout(silence, body.frame()).await {
+            Ok(Some(Ok(frame))) => match join.push(&frame.into_data().unwrap_or_default()) {
+                Ok(events) if events.is_empty() => continue,
+                Ok(events) => break (events, false),
+                Err(cause) => StreamFailure::InvalidData(cause.to_string()),
+            },
+            Ok(None) if !join.is_inside_event() => break (Bytes::new(), true),
+            Ok(None) => StreamFailure::ConnectionLost("stream ended inside an event".to_owned()),
+            Ok(Some(Err(cause))) => StreamFailure::ConnectionLost(cause.to_string()),
+            Err(_elapsed) if attempts.may_retry() && call.has_retry_budget() => {
+                StreamFailure::TimedOut("first event timed out")
+            }
+            Err(_elapsed) => {
+                silence = Duration::MAX;
+                continue;
+            }
+        };
+        return failure.finish(call, attempt).await;
+    };
+    attempt.selection.prefill_done(call);
+    AttemptResult::Live(Box::new(StreamingResponse {
+        head: parts,
+        events,
+        complete,
+        body,
+        join,
+        connection,
+        attempt,
+        after,
+    }))
+}
--- /dev/null
+++ b/daemon/src/relay/connection_pool.rs
@@ -0,0 +1,227 @@
+//! Connections to backend servers. Each connection has one owner, carries one call at a time, and
+//! is reused only if the last response on it was complete and belonged to its call.
+
+use std::collections::HashMap;
+use std::sync::Mutex;
+use std::time::Duration;
+
+use badgerferry_lib::ids::ServerName;
+use http::Request;
+use http::Response;
+use http_body_util::Full;
+use hyper::body::Bytes;
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::client::conn::http1::SendRequest;
+use hyper_util::rt::TokioIo;
+use socket2::SockRef;
+use socket2::TcpKeepalive;
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+use tokio::time::timeout;
+
+use crate::relay::server_gate::Pass;
+use crate::traffic::lock;
+
+/// Connect timeout; the latency between halls is a few milliseconds, between regions some tens.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time after which unacknowledged bytes or unanswered probes end a connection.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between keep-alive probes of a silent peer.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest idle time before reuse; servers may close idle connections without the box noticing.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1_500);
+/// Subtracted from the idle timeout that a server announces, as the server counts by its own clock.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
+/// Limit of idle connections per server.
+const MAX_IDLE_PER_SERVER: usize = 4;
+
+/// Why a request got no response head.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum SendError {
+    /// Nothing was sent: the connection was refused or is closed.
+    #[error("request not sent: {0}")]
+    NotSent(String),
+    /// Nothing was sent: the connection attempt timed out.
+    #[error("connection attempt timed out")]
+    ConnectTimeout,
+    /// The connection was lost after the request was sent, so the call may have run.
+    #[error("connection lost: {0}")]
+    Lost(String),
+}
+
+/// A connection to a server, closed when dropped.
+#[derive(Debug)]
+pub struct Connection {
+    sender: Option<SendRequest<Full<Bytes>>>,
+    task: AbortHandle,
+}
+
+impl Connection {
+    /// Sends a request once and waits for the response head.
+    ///
+    /// # Errors
+    ///
+    /// [`SendError::NotSent`] only if no byte was written.
+    pub async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        _pass: Pass,
+    ) -> Result<Response<Incoming>, SendError> {
+        let sender = self.sender.as_mut();
+        let sender = sender.ok_or_else(|| SendError::NotSent("closed".to_owned()))?;
+        match sender.try_send_request(request).await {
+            Ok(response) => Ok(response),
+            Err(mut error) => match error.take_message() {
+                Some(_request) => Err(SendError::NotSent(error.into_error().to_string())),
+                None => Err(SendError::Lost(error.into_error().to_string())),
+            },
+        }
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+#[derive(Debug)]
+struct IdleConnection {
+    connection: Connection,
+    expires_at: Instant,
+}
+
+/// Idle connections by server.
+#[derive(Debug, Default)]
+pub struct ConnectionPool {
+    idle: Mutex<HashMap<ServerName, Vec<IdleConnection>>>,
+}
+
+/// Whether an idle connection may carry a call.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Reuse {
+    /// An idle connection may be used.
+    Allowed,
+    /// Only a new connection: the server may have closed an idle one unnoticed, and the call can't
+    /// be retried.
+    Never,
+}
+
+impl ConnectionPool {
+    /// Sends a call once on an idle or a new connection and waits for the response head.
+    ///
+    /// # Errors
+    ///
+    /// [`SendError::NotSent`] only if no byte was written.
+    pub async fn send(
+        &self,
+        server: &ServerName,
+        address: &str,
+        reuse: Reuse,
+        request: Request<Full<Bytes>>,
+        pass: Pass,
+    ) -> Result<(Response<Incoming>, Connection), SendError> {
+        let pooled = match reuse {
+            Reuse::Allowed => self.take_idle(server),
+            Reuse::Never => None,
+        };
+        let mut connection = match pooled {
+            Some(connection) => connection,
+            None => connect(address).await?,
+        };
+        let response = connection.send(request, pass).await?;
+        Ok((response, connection))
+    }
+
+    fn take_idle(&self, server: &ServerName) -> Option<Connection> {
+        let mut idle = lock(&self.idle);
+        let connections = idle.get_mut(server)?;
+        let now = Instant::now();
+        while let Some(entry) = connections.pop() {
+            let is_usable = entry
+                .connection
+                .sender
+                .as_ref()
+                .is_some_and(SendRequest::is_ready);
+            if is_usable && now < entry.expires_at {
+                return Some(entry.connection);
+            }
+        }
+        None
+    }
+
+    /// Returns a connection to the pool; its last response must be complete and its own.
+    pub fn put(&self, server: &ServerName, connection: Connection, keep_alive: Option<Duration>) {
+        let idle_time = match keep_alive {
+            Some(advertised) => advertised
+                .saturating_sub(KEEP_ALIVE_MARGIN)
+                .min(MAX_IDLE_TIME),
+            None => MAX_IDLE_TIME,
+        };
+        if idle_time.is_zero() {
+            return;
+        }
+        let now = Instant::now();
+        let mut idle = lock(&self.idle);
+        let connections = idle.entry(server.clone()).or_default();
+        connections.retain(|entry| now < entry.expires_at);
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            let expires_at = now + idle_time;
+            connections.push(IdleConnection {
+                connection,
+                expires_at,
+            });
+        }
+    }
+
+    /// Closes connections whose idle time is over.
+    pub fn close_expired(&self) {
+        let now = Instant::now();
+        let mut idle = lock(&self.idle);
+        for connections in idle.values_mut() {
+            connections.retain(|entry| now < entry.expires_at);
+        }
+        idle.retain(|_, connections| !connections.is_empty());
+    }
+}
+
+/// Opens a new connection.
+///
+/// # Errors
+///
+/// The connection is refused, or the attempt times out.
+pub async fn connect(address: &str) -> Result<Connection, SendError> {
+    let not_sent = |cause: &dyn std::fmt::Display| SendError::NotSent(cause.to_string());
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(Ok(stream)) => stream,
+        Ok(Err(cause)) => return Err(not_sent(&cause)),
+        Err(_elapsed) => return Err(SendError::ConnectTimeout),
+    };
+    if let Err(cause) = set_socket_options(&stream) {
+        tracing::warn!(address, %cause, "failed to set socket options");
+    }
+    let (sender, connection) = http1::Builder::new()
+        .max_buf_size(64 << 10)
+        .handshake(TokioIo::new(stream))
+        .await
+        .map_err(|cause| not_sent(&cause))?;
+    // The end of this task is visible at the sender and in the response body.
+    let task = tokio::spawn(connection).abort_handle();
+    Ok(Connection {
+        sender: Some(sender),
+        task,
+    })
+}
+
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
+    stream.set_nodelay(true)?;
+    let socket = SockRef::from(stream);
+    socket.set_tcp_user_timeout(Some(PEER_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(2);
+    socket.set_tcp_keepalive(&probes)
+}
--- /dev/null
+++ b/daemon/src/relay/server_selection.rs
@@ -0,0 +1,529 @@
+//! Selects where an attempt is sent: a server of a plain service, or the engines of a plan.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use badgerferry_lib::ids::HallName;
+use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::outcome::RefusalReason;
+use badgerferry_lib::relay::availability::Availability;
+use badgerferry_lib::relay::call::PromptSize;
+use badgerferry_lib::relay::engine_load::EngineKey;
+use badgerferry_lib::relay::engine_load::EngineWork;
+use badgerferry_lib::relay::engine_load::EngineWorkId;
+use badgerferry_lib::relay::engine_plan;
+use badgerferry_lib::relay::engine_plan::Assignment;
+use badgerferry_lib::relay::engine_plan::EngineModel;
+use badgerferry_lib::relay::engine_plan::EnginePlan;
+use badgerferry_lib::relay::engine_plan::EnginePool;
+use badgerferry_lib::relay::engine_plan::EngineState;
+use badgerferry_lib::relay::engine_plan::LatencyTargets;
+use badgerferry_lib::relay::hall_planner::HallPlanner;
+use badgerferry_lib::relay::long_prompt_queue::QUEUE_POLL_INTERVAL;
+use badgerferry_lib::relay::long_prompt_queue::QueuedPrompt;
+use badgerferry_lib::relay::long_prompt_queue::RESERVATION_RETRY_DELAY;
+use badgerferry_lib::relay::long_prompt_queue::Ticket;
+use badgerferry_lib::relay::quarantine;
+use badgerferry_lib::relay::server_tracker::ServerRecord;
+use badgerferry_lib::relay::server_tracker::ServerTracker;
+use badgerferry_platform::headers::Reader;
+
+use crate::relay::call::Call;
+use crate::relay::candidates;
+use crate::relay::candidates::CandidateQuery;
+use crate::relay::candidates::NO_SERVER_RETRY;
+use crate::relay::candidates::NoCandidate;
+use crate::relay::first_event_watchdog::FirstEventWatchdog;
+use crate::relay::log_lines;
+use crate::relay::reservations::Reservations;
+use crate::relay::reservations::ReserveError;
+use crate::relay::server_gate::Target;
+use crate::relay::state::Relay;
+use crate::traffic::lock;
+
+/// Assumed response time of a plain call; the silence timeout of its server is derived from it.
+const PLAIN_EXPECTED_RESPONSE: Duration = Duration::from_millis(300);
+/// Largest rank that engines accept.
+const MAX_RANK: u8 = 9;
+
+/// The server or engines selected for an attempt.
+#[derive(Debug)]
+pub struct Selection {
+    /// Server that runs the call.
+    pub server: ServerName,
+    /// Incarnation and hall of that server.
+    pub target: Target,
+    /// Address of that server.
+    pub address: String,
+    /// Engines that prefill chunks of the prompt; includes the lead if memory is reserved.
+    pub helpers: Vec<Reader>,
+    /// Estimated prefill time of one chunk, by the configured engine model.
+    pub chunk_prefill: Option<Duration>,
+    /// Rank at the engine, from 0 to 9.
+    pub rank: Option<u8>,
+    /// Expected time to the first event.
+    pub expected_first_event: Duration,
+    /// Time spent in the queue of long prompts, which is ordered over all boxes.
+    pub waited: Duration,
+    /// Work registered in the load table until dropped.
+    load_entries: LoadEntries,
+    /// Queries the pace of the engines if the first event is late.
+    watchdog: Option<FirstEventWatchdog>,
+    /// Memory reserved at the engines until dropped.
+    _reservations: Option<Reservations>,
+}
+
+impl Selection {
+    /// Addresses of the helpers, for logs; `None` if there are none.
+    pub fn prefill_addresses(&self) -> Option<String> {
+        let addresses: Vec<&str> = self
+            .helpers
+            .iter()
+            .map(|helper| helper.address.as_str())
+            .collect();
+        (!addresses.is_empty()).then(|| addresses.join(" "))
+    }
+
+    /// Whether the prompt is long: its engines prefill no other long prompt at the same time.
+    pub const fn is_long(&self) -> bool {
+        self.load_entries.is_long
+    }
+
+    /// Records that the prefill is complete.
+    pub fn prefill_done(&self, call: &Call) {
+        if let Some(watchdog) = &self.watchdog {
+            watchdog.stop();
+        }
+        let mut loads = lock(&call.relay.loads);
+        for &id in &self.load_entries.ids {
+            loads.prefill_done(id);
+        }
+        drop(loads);
+        self.load_entries.notify_peers();
+    }
+}
+
+/// Entries in the load table, removed when dropped.
+#[derive(Debug)]
+struct LoadEntries {
+    relay: Arc<Relay>,
+    ids: Vec<EngineWorkId>,
+    is_long: bool,
+}
+
+impl LoadEntries {
+    /// Triggers gossip of the change to the other boxes.
+    fn notify_peers(&self) {
+        if self.is_long {
+            self.relay.urgent_changed.notify_one();
+        } else {
+            self.relay.load_changed.notify_one();
+        }
+    }
+}
+
+impl Drop for LoadEntries {
+    fn drop(&mut self) {
+        let mut loads = lock(&self.relay.loads);
+        for &id in &self.ids {
+            loads.end(id);
+        }
+        drop(loads);
+        self.notify_peers();
+    }
+}
+
+/// An engine assigned by a plan.
+#[derive(Debug, Clone)]
+pub struct Engine {
+    /// Name of the server entry.
+    pub server: ServerName,
+    /// Incarnation and hall.
+    pub target: Target,
+    /// Address it listens on.
+    pub address: String,
+    /// Key in the load table.
+    pub key: EngineKey,
+}
+
+impl Engine {
+    fn of(record: &ServerRecord) -> Self {
+        Self {
+            server: record.info.name.clone(),
+            target: target(record),
+            address: record.info.address.clone(),
+            key: record.key,
+        }
+    }
+}
+
+fn target(record: &ServerRecord) -> Target {
+    Target {
+        name: record.info.name.clone(),
+        life: record.life,
+        hall: record.info.hall.clone(),
+    }
+}
+
+/// Selects a server or engines. Servers in `tried` are used again only if there is no other.
+/// With `is_isolated`, a short call goes to one of the least loaded engines.
+///
+/// # Errors
+///
+/// The reason why no server can take the call now, and the delay before a retry.
+pub async fn select(
+    call: &Arc<Call>,
+    tried: &[ServerName],
+    is_isolated: bool,
+) -> Result<Selection, (RefusalReason, Duration)> {
+    let service = call.routes.service(&call.service);
+    let model = service.and_then(|service| service.engine);
+    match (model, call.head.prompt) {
+        (Some(model), Some(prompt)) => {
+            select_engines(call, tried, &model, &prompt, is_isolated).await
+        }
+        _ => select_plain(call, tried),
+    }
+}
+
+fn candidate_query<'a>(call: &'a Call, tried: &'a [ServerName]) -> CandidateQuery<'a> {
+    CandidateQuery {
+        service: &call.service,
+        tried,
+        max_wait: call.patience(tried.is_empty()),
+    }
+}
+
+fn select_plain(
+    call: &Arc<Call>,
+    tried: &[ServerName],
+) -> Result<Selection, (RefusalReason, Duration)> {
+    let relay = &call.relay;
+    let now = relay.clock.now();
+    let tracker = lock(&relay.tracker);
+    let hall = &relay.settings.hall;
+    let candidates = candidates::of_service(relay, now, &tracker, &candidate_query(call, tried));
+    let candidates = candidates.map_err(NoCandidate::refusal)?;
+    let record = ServerTracker::pick(now, candidates, hall, &mut rand::rng());
+    let record = record.ok_or(NoCandidate::NoServers.refusal())?;
+    Ok(Selection {
+        server: record.info.name.clone(),
+        target: target(record),
+        address: record.info.address.clone(),
+        helpers: Vec::new(),
+        chunk_prefill: None,
+        rank: None,
+        expected_first_event: PLAIN_EXPECTED_RESPONSE,
+        waited: Duration::ZERO,
+        load_entries: LoadEntries {
+            relay: Arc::clone(relay),
+            ids: Vec::new(),
+            is_long: false,
+        },
+        watchdog: None,
+        _reservations: None,
+    })
+}
+
+async fn select_engines(
+    call: &Arc<Call>,
+    tried: &[ServerName],
+    model: &EngineModel,
+    prompt: &PromptSize,
+    is_isolated: bool,
+) -> Result<Selection, (RefusalReason, Duration)> {
+    if !engine_plan::is_long(model, prompt, call.route.max_gap) {
+        let isolated = is_isolated.then(|| plan(call, tried, model, prompt, EngineSet::Isolated));
+        let planned = if let Some(Ok(planned)) = isolated {
+            planned
+        } else {
+            let all = EngineSet::All { late_chunk: None };
+            plan(call, tried, model, prompt, all).map_err(NoCandidate::refusal)?
+        };
+        let registered = register(&call.relay, planned);
+        registered.load_entries.notify_peers();
+        return Ok(selection(call, registered, None, Duration::ZERO));
+    }
+    let queued_at = call.relay.clock.now();
+    loop {
+        let registered = wait_for_engines(call, tried, model, prompt).await?;
+        let waited = call.relay.clock.now().since(queued_at);
+        registered.load_entries.notify_peers();
+        if !registered.plan.reserve_memory {
+            return Ok(selection(call, registered, None, waited));
+        }
+        // If an engine refuses the reservation, nothing was sent, so the prompt is queued again.
+        match reserve(call, &registered).await {
+            Ok(reserved) => return Ok(selection(call, registered, Some(reserved), waited)),
+            Err(refused) => record_refusals(&call.relay, &refused),
+        }
+        tokio::time::sleep(RESERVATION_RETRY_DELAY).await;
+    }
+}
+
+fn selection(
+    call: &Arc<Call>,
+    registered: RegisteredPlan,
+    reservations: Option<Reservations>,
+    waited: Duration,
+) -> Selection {
+    let RegisteredPlan {
+        engines,
+        plan,
+        load_entries,
+    } = registered;
+    let helpers = helpers(&engines, reservations.as_ref());
+    let lead = &engines[0];
+    let prefill_engines = engines.clone();
+    Selection {
+        server: lead.server.clone(),
+        target: lead.target.clone(),
+        address: lead.address.clone(),
+        helpers,
+        chunk_prefill: plan
+            .assignments
+            .first()
+            .map(|assignment| assignment.prefill),
+        rank: Some(call.priority.min(MAX_RANK)),
+        expected_first_event: plan.expected_first_event,
+        waited,
+        load_entries,
+        watchdog: Some(FirstEventWatchdog::start(
+            call,
+            prefill_engines,
+            plan.expected_first_event,
+        )),
+        _reservations: reservations,
+    }
+}
+
+/// Records a fault of engines that refuse reservations or do not respond, which may exclude them.
+/// Engines without room are not at fault: they may have room again soon.
+fn record_refusals(relay: &Relay, refused: &[(String, ReserveError)]) {
+    let now = relay.clock.now();
+    let mut tracker = lock(&relay.tracker);
+    for (address, why) in refused {
+        match why {
+            ReserveError::NoRoom => {}
+            ReserveError::Refused | ReserveError::Silent => tracker.record_fault(now, address),
+        }
+    }
+}
+
+/// A plan whose work is registered in the load table.
+struct RegisteredPlan {
+    engines: Vec<Engine>,
+    plan: EnginePlan,
+    load_entries: LoadEntries,
+}
+
+/// A plan whose work is not registered in the load table yet.
+struct UnregisteredPlan {
+    engines: Vec<Engine>,
+    /// Work of each engine.
+    engine_work: Vec<EngineWork>,
+    plan: EnginePlan,
+}
+
+/// The hall of each engine as an index; 0 is the hall of this box.
+fn hall_indices(engines: &[&ServerRecord], own_hall: &HallName) -> Vec<usize> {
+    let mut halls = vec![own_hall];
+    let mut index = |hall| {
+        let known = halls.iter().position(|known| *known == hall);
+        known.unwrap_or_else(|| {
+            halls.push(hall);
+            halls.len() - 1
+        })
+    };
+    engines
+        .iter()
+        .map(|record| index(&record.info.hall))
+        .collect()
+}
+
+/// Engines considered for a call.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum EngineSet {
+    /// All engines. `late_chunk` limits the prefill chunks of a late large prompt.
+    All { late_chunk: Option<Duration> },
+    /// One lightly loaded engine, to keep a suspect request apart from other calls.
+    Isolated,
+}
+
+/// Plans the call on the engines that accept it now.
+fn plan(
+    call: &Call,
+    tried: &[ServerName],
+    model: &EngineModel,
+    prompt: &PromptSize,
+    engine_set: EngineSet,
+) -> Result<UnregisteredPlan, NoCandidate> {
+    let relay = &call.relay;
+    let now = relay.clock.now();
+    let scope = lock(&relay.followed).scope();
+    let boxes = relay.boxes_beside(scope);
+    let tracker = lock(&relay.tracker);
+    let table = lock(&relay.loads).table(now);
+    let candidates = candidates::of_service(relay, now, &tracker, &candidate_query(call, tried))?;
+    let mut candidates = candidates::without_slow(relay, now, candidates);
+    if engine_set == EngineSet::Isolated {
+        let call_count = |(record, _): &(&ServerRecord, Availability)| {
+            let load = table.get(&record.key);
+            load.map_or(0, |load| {
+                u32::from(load.short_calls) + u32::from(load.long_calls)
+            })
+        };
+        candidates.retain(|(_, availability)| availability.accepts_calls());
+        candidates = quarantine::pick_isolated(candidates, call_count, &mut rand::rng());
+    }
+    // The first engines are reserved for short calls, so they must be open.
+    candidates.sort_by_key(|(_, availability)| *availability != Availability::Open);
+    let state = |(record, availability): &(&ServerRecord, Availability)| EngineState {
+        load: table.get(&record.key).copied().unwrap_or_default(),
+        is_local: record.info.hall == relay.settings.hall,
+        preference: relay.preference(record.key),
+        availability: *availability,
+    };
+    let states: Vec<EngineState> = candidates.iter().map(state).collect();
+    let usable: Vec<&ServerRecord> = candidates.iter().map(|(record, _)| *record).collect();
+    let rng = &mut rand::rng();
+    let targets = LatencyTargets {
+        due_in: now.until(call.due()),
+        max_gap: call.route.max_gap,
+        tightest_gap: call.routes.tightest_gap(&call.service),
+        late_chunk: match engine_set {
+            EngineSet::All { late_chunk } => late_chunk,
+            EngineSet::Isolated => None,
+        },
+    };
+    let planner = HallPlanner {
+        pool: EnginePool {
+            model,
+            engines: &states,
+            boxes,
+        },
+        halls: &hall_indices(&usable, &relay.settings.hall),
+        scope,
+    };
+    let plan = planner
+        .plan(prompt, targets, rng)
+        .ok_or(NoCandidate::NoServers)?;
+    let engine = |assignment: &Assignment| Engine::of(usable[assignment.engine]);
+    Ok(UnregisteredPlan {
+        engines: plan.assignments.iter().map(engine).collect(),
+        engine_work: plan.engine_work(&states),
+        plan,
+    })
+}
+
+/// Registers the work of a plan in the load table.
+fn register(relay: &Arc<Relay>, planned: UnregisteredPlan) -> RegisteredPlan {
+    let UnregisteredPlan {
+        engines,
+        engine_work,
+        plan,
+    } = planned;
+    let now = relay.clock.now();
+    let mut loads = lock(&relay.loads);
+    let registered = engines.iter().zip(engine_work);
+    let ids = registered.map(|(engine, work)| loads.begin(now, engine.key, work));
+    let ids = ids.collect();
+    drop(loads);
+    let load_entries = LoadEntries {
+        relay: Arc::clone(relay),
+        ids,
+        is_long: plan.is_long,
+    };
+    RegisteredPlan {
+        engines,
+        plan,
+        load_entries,
+    }
+}
+
+/// An entry in the queue of long prompts, removed when dropped.
+struct QueueEntry<'a> {
+    relay: &'a Relay,
+    ticket: Ticket,
+}
+
+impl Drop for QueueEntry<'_> {
+    fn drop(&mut self) {
+        lock(&self.relay.long_prompt_queue).remove(self.ticket);
+        self.relay.urgent_changed.notify_one();
+    }
+}
+
+async fn wait_for_engines(
+    call: &Arc<Call>,
+    tried: &[ServerName],
+    model: &EngineModel,
+    prompt: &PromptSize,
+) -> Result<RegisteredPlan, (RefusalReason, Duration)> {
+    let relay = &call.relay;
+    let queued = QueuedPrompt {
+        prefill: model.prefill_time(prompt.tokens),
+        due: call.due(),
+        objective: call.route.objective,
+        random_rank: rand::random(),
+        engines: lock(&relay.tracker).of_service(&call.service).count(),
+        arrived: call.arrived,
+        deadline: call.deadline,
+    };
+    let expires_at = queued.expires_at();
+    let queue_entry = QueueEntry {
+        relay,
+        ticket: lock(&relay.long_prompt_queue).push(relay.clock.now(), queued),
+    };
+    relay.urgent_changed.notify_one();
+    loop {
+        let now = relay.clock.now();
+        let mut no_candidate = NoCandidate::NoServers;
+        let own_box = &relay.settings.name;
+        let ready = {
+            let mut queue = lock(&relay.long_prompt_queue);
+            let late_chunk = queue.late_chunk(now, queue_entry.ticket);
+            let planned = || {
+                let planned = plan(call, tried, model, prompt, EngineSet::All { late_chunk });
+                planned.inspect_err(|why| no_candidate = *why).ok()
+            };
+            queue.try_start(now, queue_entry.ticket, own_box, planned)
+        };
+        if let Some(planned) = ready {
+            return Ok(register(relay, planned));
+        }
+        // Nothing can change before the prompt expires, so it fails at once.
+        if no_candidate.lasts_until(now, expires_at) {
+            return Err(no_candidate.refusal());
+        }
+        if relay.refuses() {
+            return Err((RefusalReason::Leaving, NO_SERVER_RETRY));
+        }
+        if now >= expires_at {
+            let blocked_polls = lock(&relay.long_prompt_queue).blocked_polls(queue_entry.ticket);
+            log_lines::gave_up_waiting(call, blocked_polls);
+            return Err((RefusalReason::WouldMissDeadline, NO_SERVER_RETRY));
+        }
+        tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
+    }
+}
+
+async fn reserve(
+    call: &Arc<Call>,
+    registered: &RegisteredPlan,
+) -> Result<Reservations, Vec<(String, ReserveError)>> {
+    let requested = registered.engines.iter().zip(&registered.plan.assignments);
+    let requested =
+        requested.map(|(engine, assignment)| (engine.clone(), assignment.memory_tokens));
+    Reservations::reserve(call, requested.collect()).await
+}
+
+/// Engines that prefill besides the lead; with reservations, the row of the lead itself is first.
+fn helpers(engines: &[Engine], reservations: Option<&Reservations>) -> Vec<Reader> {
+    let skip = usize::from(reservations.is_none());
+    let helper = |engine: &Engine| Reader {
+        address: engine.address.clone(),
+        reservation: reservations.map(|held| held.id().to_owned()),
+    };
+    engines.iter().skip(skip).map(helper).collect()
+}
