--- a/daemon/src/relay/engine_call.rs
+++ b/daemon/src/relay/engine_call.rs
@@ -8,7 +8,7 @@
 use http_body_util::Limited;
 use hyper::body::Bytes;
 
-use crate::relay::server_gate::Pass;
+use crate::relay::server_gate::Admitted;
 use crate::relay::upstream;
 
 /// Largest answer; reports of many reservations take some kilobytes.
@@ -22,7 +22,7 @@
 pub async fn exchange(
     address: &str,
     call: EngineCall,
-    pass: Pass,
+    admitted: Admitted,
 ) -> anyhow::Result<(StatusCode, Bytes)> {
     let mut connection = upstream::connect(address).await?;
     let request = Request::builder()
@@ -31,7 +31,7 @@
         .header(http::header::HOST, address)
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(call.body)))?;
-    let answer = connection.send(request, pass).await?;
+    let answer = connection.send(request, admitted).await?;
     let status = answer.status();
     let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
     let body = body.collect().await.map_err(anyhow::Error::from_boxed)?;
--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -160,13 +160,13 @@
 fn target(record: &ServerRecord) -> Target {
     Target {
         name: record.info.name.clone(),
-        life: record.life,
+        incarnation: record.life,
         hall: record.info.hall.clone(),
     }
 }
 
 /// Chooses; `tried` servers are used again only where there is no other. One that
-/// `is_apart` and needs no group of engines goes where few others are.
+/// `is_isolated` and needs no group of engines goes where few others are.
 ///
 /// # Errors
 ///
@@ -174,12 +174,14 @@
 pub async fn choose(
     call: &Arc<Call>,
     tried: &[ServerName],
-    is_apart: bool,
+    is_isolated: bool,
 ) -> Result<Chosen, (RefusalReason, Duration)> {
     let service = call.routes.service(&call.service);
     let model = service.and_then(|service| service.engine);
     match (model, call.head.prompt) {
-        (Some(model), Some(prompt)) => choose_engines(call, tried, &model, &prompt, is_apart).await,
+        (Some(model), Some(prompt)) => {
+            choose_engines(call, tried, &model, &prompt, is_isolated).await
+        }
         _ => choose_plain(call, tried),
     }
 }
@@ -228,10 +230,10 @@
     tried: &[ServerName],
     model: &EngineModel,
     prompt: &PromptSize,
-    is_apart: bool,
+    is_isolated: bool,
 ) -> Result<Chosen, (RefusalReason, Duration)> {
     if !engine_plan::is_long(model, prompt, call.route.max_gap) {
-        let apart = is_apart.then(|| plan(call, tried, model, prompt, Among::Apart));
+        let apart = is_isolated.then(|| plan(call, tried, model, prompt, Among::Apart));
         let planned = if let Some(Ok(planned)) = apart {
             planned
         } else {
--- a/daemon/src/relay/late_calls.rs
+++ b/daemon/src/relay/late_calls.rs
@@ -96,10 +96,10 @@
 
 /// Its pace, as a multiple of the usual time; none where it has no room for the question either.
 async fn pace_of(relay: &Relay, engine: &Engine) -> Option<f64> {
-    let pass = relay.gate.enter_idle(&engine.target).await.ok()?;
+    let admitted = relay.gate.admit_background(&engine.target).await.ok()?;
     let address = &engine.address;
     let report = async {
-        let (_, body) = engine_call::exchange(address, reports::ask(), pass).await?;
+        let (_, body) = engine_call::exchange(address, reports::ask(), admitted).await?;
         anyhow::Ok(reports::read_pace(&body)?)
     };
     let outcome = match timeout(REPORT_LIMIT, report).await {
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -24,14 +24,14 @@
 mod log_lines;
 mod metrics_page;
 mod neighbours;
-mod permit_post;
+mod permit_transport;
 mod pulls;
+mod request_quarantine;
 mod reservations;
 mod server_gate;
 mod state;
 mod stop;
 mod store_follow;
-mod suspects;
 mod tries;
 mod unknown_headers;
 mod upstream;
@@ -92,7 +92,7 @@
                 let _ = bound_tx.send(Ok(()));
                 tokio::join!(
                     store_follow::run(&relay),
-                    suspects::keep_in_store(&relay),
+                    request_quarantine::store_facts(&relay),
                     neighbours::run(&relay, links),
                 );
             });
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/neighbours.rs
@@ -34,10 +34,10 @@
 use tokio::time::timeout;
 
 use crate::relay::listener;
-use crate::relay::permit_post::Outgoing;
+use crate::relay::permit_transport::OutgoingDatagram;
 use crate::relay::pulls;
+use crate::relay::request_quarantine;
 use crate::relay::state::Relay;
-use crate::relay::suspects;
 use crate::traffic::lock;
 
 /// Least time until a box passes the work of the same hall on again.
@@ -116,10 +116,10 @@
 
 /// Sends questions for calls to limited servers, and answers to such.
 async fn send_permits(relay: &Relay, socket: &UdpSocket) {
-    let Some(mut outgoing) = relay.gate.permits.outgoing() else {
+    let Some(mut outgoing) = relay.gate.permits.take_outgoing() else {
         return;
     };
-    while let Some(Outgoing { to, bytes }) = outgoing.recv().await {
+    while let Some(OutgoingDatagram { to, bytes }) = outgoing.recv().await {
         if let Err(cause) = socket.send_to(&bytes, to).await {
             counter!("badgerferry_datagrams_dropped_total", "why" => "not_sent").increment(1);
             tracing::debug!(%to, %cause, "a datagram could not be sent");
@@ -296,7 +296,7 @@
     loop {
         let datagram = match socket.recv_from(&mut buf).await {
             Ok((len, from)) if PermitFrame::has_version_byte(&buf[..len]) => {
-                if let Some(answer) = relay.gate.heard(&buf[..len]) {
+                if let Some(answer) = relay.gate.handle_datagram(&buf[..len]) {
                     relay.gate.permits.send(from, &answer);
                 }
                 continue;
@@ -319,7 +319,7 @@
         let now = relay.clock.now();
         merge_rows(relay, now, &mut datagram);
         note_neighbour(relay, now, &datagram);
-        suspects::heard(relay, now, &datagram);
+        request_quarantine::merge_reports(relay, now, &datagram);
         let teller = teller_name(&datagram);
         relay.gate.merge_rows(&datagram.notices, teller);
         if passed_on.is_due(relay, now, &datagram) {
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -65,7 +65,7 @@
     relay: Arc<Relay>,
     work: Option<RequestFingerprint>,
     /// Whether to place it apart from other calls.
-    pub is_apart: bool,
+    pub is_isolated: bool,
 }
 
 impl Run {
@@ -110,7 +110,7 @@
     let run = |work, crashes| Run {
         relay: Arc::clone(relay),
         work,
-        is_apart: crashes >= ISOLATION_MIN_CRASHES,
+        is_isolated: crashes >= ISOLATION_MIN_CRASHES,
     };
     let is_told_apart = call.body.len() <= SMALL_BODY || !lock(&relay.quarantine).is_empty();
     if !is_told_apart {
@@ -156,19 +156,20 @@
 /// A broken connection alone proves nothing: connections are reset, answers are cut short. Where
 /// nobody listens any more, the server is gone; one that leaves by plan ends by itself. `began` is when
 /// the run was sent.
-pub async fn broke_off(call: &Arc<Call>, chosen: &Chosen, began: Time) {
+pub async fn detect_crash(call: &Arc<Call>, chosen: &Chosen, began: Time) {
     let relay = &call.relay;
     let is_listed = {
         let tracker = lock(&relay.tracker);
         let record = tracker.get(&chosen.server);
-        record.is_some_and(|record| !record.info.leaving && record.life == chosen.target.life)
+        record
+            .is_some_and(|record| !record.info.leaving && record.life == chosen.target.incarnation)
     };
-    if !is_listed || relay.gate.leaves(&chosen.target) {
+    if !is_listed || relay.gate.is_leaving(&chosen.target) {
         return;
     }
     let ended = ServerEnd {
         server: chosen.server.clone(),
-        life: chosen.target.life,
+        life: chosen.target.incarnation,
         began,
     };
     let address = chosen.address.clone();
@@ -271,7 +272,7 @@
 
 /// Takes what another box, or a hall, tells of suspect works. All boxes that are to be told by this
 /// one hear it from there as well, but for those of other halls, if this one speaks for its own.
-pub fn heard(relay: &Relay, now: Time, datagram: &LoadDatagram) {
+pub fn merge_reports(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let (from, rows) = (teller_name(datagram), &datagram.suspects);
     let of = match datagram.source {
         LoadSource::Box => RunScope::Box,
@@ -289,7 +290,7 @@
 }
 
 /// Takes what the store holds.
-pub fn stored(relay: &Relay, work: RequestFingerprint, fact: StoredFact) {
+pub fn apply_stored_fact(relay: &Relay, work: RequestFingerprint, fact: StoredFact) {
     let now = relay.clock.now();
     let change = lock(&relay.quarantine).apply_fact(now, work, fact);
     tell(relay, change, "the store");
@@ -325,7 +326,7 @@
 
 /// Writes for ever to the store what is known of such works, for boxes that are cut off from this one
 /// and for those that start later.
-pub async fn keep_in_store(relay: &Arc<Relay>) {
+pub async fn store_facts(relay: &Arc<Relay>) {
     loop {
         relay.suspects_changed.notified().await;
         // A new connection each time: this is rare, and the watch holds the other one.
@@ -345,7 +346,7 @@
                         "suspect works kept in the store"
                     );
                     for (work, fact) in facts {
-                        stored(relay, work, fact);
+                        apply_stored_fact(relay, work, fact);
                     }
                 }
                 Err(cause) => {
--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -18,7 +18,7 @@
 use crate::relay::call::Call;
 use crate::relay::engine_call;
 use crate::relay::engines::Engine;
-use crate::relay::server_gate::Pass;
+use crate::relay::server_gate::Admitted;
 use crate::relay::state::Relay;
 
 /// How long memory is set aside without renewal; what lapses later counts as leaked.
@@ -67,8 +67,13 @@
             engines,
         };
         let orders = reserved.engines.iter().map(async |(engine, tokens)| {
-            let pass = relay.gate.enter_order(&engine.target).ok()?;
-            give(engine, orders::reserve(&reserved.id, *tokens, hold), pass).await
+            let admitted = relay.gate.admit_order(&engine.target).ok()?;
+            give(
+                engine,
+                orders::reserve(&reserved.id, *tokens, hold),
+                admitted,
+            )
+            .await
         });
         let answers = join_all(orders).await;
         let refused = answers.into_iter().zip(reserved.engines.iter());
@@ -169,9 +174,9 @@
 }
 
 /// Gives an order on a connection of its own; no answer gives nothing.
-async fn give(engine: &Engine, call: EngineCall, pass: Pass) -> Option<StatusCode> {
+async fn give(engine: &Engine, call: EngineCall, admitted: Admitted) -> Option<StatusCode> {
     let address = &engine.address;
-    match timeout(ORDER_LIMIT, engine_call::exchange(address, call, pass)).await {
+    match timeout(ORDER_LIMIT, engine_call::exchange(address, call, admitted)).await {
         Ok(Ok((status, _))) => Some(status),
         Ok(Err(cause)) => {
             tracing::info!(
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -40,27 +40,27 @@
 use crate::relay::followed::Followed;
 use crate::relay::line_budget::GOOD_LINES;
 use crate::relay::line_budget::LATE_LINES;
-use crate::relay::permit_post::PermitPost;
+use crate::relay::permit_transport::PermitTransport;
 use crate::traffic::lock;
 
 /// Longest waits for an answer to a question, which is then asked again: halls are milliseconds apart,
 /// regions some tens.
-const ANSWER_LIMITS: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(110)];
+const RESPONSE_TIMEOUTS: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(110)];
 /// How long a server is closed whose keeper does not answer, or is not known yet.
-pub const NO_KEEPER: Duration = Duration::from_millis(250);
+pub const OWNER_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Servers asked for one try of a call, each closed to this box since: where all are that slow to
 /// answer, the call hears so.
-pub const MOST_ASKED: usize = 8;
+pub const MAX_SERVERS_PER_ATTEMPT: usize = 8;
 /// Longest wait of a call for its place at a limited server, where all are.
-pub const MOST_PATIENCE: Duration = Duration::from_secs(1);
+pub const MAX_QUOTA_WAIT: Duration = Duration::from_secs(1);
 
 /// Allows one request to one server; only this module makes it.
 #[derive(Debug)]
-pub struct Pass(());
+pub struct Admitted(());
 
 /// The server takes no request of this box now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Closed;
+pub struct NotAdmitted;
 
 /// The server that a request is meant for.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -68,25 +68,25 @@
     /// Its name.
     pub name: ServerName,
     /// The life of it that is meant.
-    pub life: ServerIncarnation,
+    pub incarnation: ServerIncarnation,
     /// Its data hall.
     pub hall: HallName,
 }
 
 /// A call that is to be sent.
 #[derive(Debug, Clone, Copy)]
-pub struct Entrant<'a> {
+pub struct PendingCall<'a> {
     /// Its id, for logs.
     pub id: &'a str,
     /// Where it is to go.
     pub target: &'a Target,
     /// How long it may wait for its place.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 /// What the gate shares with the rest of the box.
 #[derive(Debug)]
-pub struct GateParts {
+pub struct GateContext {
     /// This box.
     pub own: String,
     /// The process's clock.
@@ -106,23 +106,23 @@
 /// The way to servers.
 #[derive(Debug)]
 pub struct ServerGate {
-    parts: GateParts,
+    context: GateContext,
     /// What servers say of the calls they take.
     pub notices: Mutex<ServerNotices>,
     /// Counts of those whose calls this box gives out.
     quotas: Mutex<OwnedQuotas>,
     /// Questions for calls to them.
-    pub permits: PermitPost,
+    pub permits: PermitTransport,
 }
 
 impl ServerGate {
     /// A gate to which no server has said anything yet.
-    pub fn new(parts: GateParts) -> Self {
+    pub fn new(context: GateContext) -> Self {
         Self {
-            parts,
+            context,
             notices: Mutex::default(),
             quotas: Mutex::default(),
-            permits: PermitPost::default(),
+            permits: PermitTransport::default(),
         }
     }
 
@@ -131,60 +131,60 @@
     /// # Errors
     ///
     /// The server takes no call of this box now.
-    pub async fn enter(&self, entrant: &Entrant<'_>) -> Result<Pass, Closed> {
+    pub async fn admit_call(&self, entrant: &PendingCall<'_>) -> Result<Admitted, NotAdmitted> {
         let target = entrant.target;
         // It was chosen though it wants no call yet: there is no other one.
         let pause = lock(&self.notices)
             .shedding
-            .pause_remaining(self.now(), target.life);
+            .pause_remaining(self.now(), target.incarnation);
         // A timer of no time still ends with the next tick.
-        if !pause.is_zero() && pause <= entrant.patience {
+        if !pause.is_zero() && pause <= entrant.max_wait {
             tokio::time::sleep(pause).await;
         }
         self.take_limited(entrant).await?;
         // What it says may have changed while the call waited.
         let now = self.now();
         let mut notices = lock(&self.notices);
-        let availability = notices.availability(now, target.life);
+        let availability = notices.availability(now, target.incarnation);
         match availability {
             Availability::BackOff | Availability::Leaving => {
                 held_back(entrant, availability);
-                Err(Closed)
+                Err(NotAdmitted)
             }
             Availability::Open
             | Availability::Limited
             | Availability::Shedding
             | Availability::Closed => {
-                notices.shedding.record_sent(now, target.life);
-                Ok(Pass(()))
+                notices.shedding.record_sent(now, target.incarnation);
+                Ok(Admitted(()))
             }
         }
     }
 
     /// Takes a place at a server that names a limit.
-    async fn take_limited(&self, entrant: &Entrant<'_>) -> Result<(), Closed> {
+    async fn take_limited(&self, entrant: &PendingCall<'_>) -> Result<(), NotAdmitted> {
         let now = self.now();
         let target = entrant.target;
         let (limit, was_closed) = {
             let limits = &lock(&self.notices).limits;
-            let life = target.life;
+            let life = target.incarnation;
             (limits.limit(life), !limits.closed_for(now, life).is_zero())
         };
         let Some(limit) = limit else {
             return Ok(());
         };
         // It was chosen though it is closed: there is no other one.
-        let patience = if was_closed {
-            entrant.patience
+        let max_wait = if was_closed {
+            entrant.max_wait
         } else {
             Duration::ZERO
         };
-        let decision = self.ask(target, patience).await;
+        let decision = self.ask(target, max_wait).await;
         log_asked(entrant, limit, decision);
         if let Ok(wait) = decision {
             tokio::time::sleep(wait).await;
         }
-        decision.map(|_wait| ()).map_err(|_retry_in| Closed)
+        decision.map(|_wait| ()).map_err(|_retry_in| NotAdmitted)
     }
 
     /// Lets a request to a server that nobody waits for.
@@ -192,15 +192,21 @@
     /// # Errors
     ///
     /// It takes none now.
-    pub async fn enter_idle(&self, target: &Target) -> Result<Pass, Closed> {
+    pub async fn admit_background(&self, target: &Target) -> Result<Admitted, NotAdmitted> {
         if !self.availability(target).accepts_calls() {
-            return Err(Closed);
+            return Err(NotAdmitted);
         }
-        if lock(&self.notices).limits.limit(target.life).is_none() {
-            return Ok(Pass(()));
+        if lock(&self.notices)
+            .limits
+            .limit(target.incarnation)
+            .is_none()
+        {
+            return Ok(Admitted(()));
         }
         let decision = self.ask(target, Duration::ZERO).await;
-        decision.map(|_wait| Pass(())).map_err(|_retry_in| Closed)
+        decision
+            .map(|_wait| Admitted(()))
+            .map_err(|_retry_in| NotAdmitted)
     }
 
     /// Lets an order go that begins something new.
@@ -208,26 +214,26 @@
     /// # Errors
     ///
     /// The server leaves, or wants nothing of this box now.
-    pub fn enter_order(&self, target: &Target) -> Result<Pass, Closed> {
+    pub fn admit_order(&self, target: &Target) -> Result<Admitted, NotAdmitted> {
         if self.availability(target).accepts_parts() {
             Ok(self.charge(target))
         } else {
-            Err(Closed)
+            Err(NotAdmitted)
         }
     }
 
     /// Lets a request go that can't be held back, as what gives memory back can't; it counts.
-    pub fn charge(&self, target: &Target) -> Pass {
+    pub fn charge(&self, target: &Target) -> Admitted {
         let now = self.now();
-        let limit_row = lock(&self.notices).limits.row_of(now, target.life);
+        let limit_row = lock(&self.notices).limits.row_of(now, target.incarnation);
         let Some((limit_row, limit)) =
             limit_row.and_then(|limit_row| Some((limit_row, limit_row.rate?)))
         else {
-            return Pass(());
+            return Admitted(());
         };
         match self.keeper(&target.hall) {
             QuotaOwner::Local { shares } => {
-                lock(&self.quotas).charge(now, target.life, limit.divided_by(shares));
+                lock(&self.quotas).charge(now, target.incarnation, limit.divided_by(shares));
             }
             QuotaOwner::Remote(address) => {
                 let ask = question(target, limit_row, Duration::ZERO);
@@ -235,38 +241,38 @@
             }
             QuotaOwner::Unknown => {}
         }
-        Pass(())
+        Admitted(())
     }
 
     /// Whether the server said that it leaves.
-    pub fn leaves(&self, target: &Target) -> bool {
+    pub fn is_leaving(&self, target: &Target) -> bool {
         self.availability(target) == Availability::Leaving
     }
 
     fn availability(&self, target: &Target) -> Availability {
-        lock(&self.notices).availability(self.now(), target.life)
+        lock(&self.notices).availability(self.now(), target.incarnation)
     }
 
     fn now(&self) -> Time {
-        self.parts.clock.now()
+        self.context.clock.now()
     }
 
     /// Who gives out the calls of limited servers of a hall.
     fn keeper(&self, hall: &HallName) -> QuotaOwner {
-        lock(&self.parts.followed).keeper(self.now(), &self.parts.own, hall)
+        lock(&self.context.followed).keeper(self.now(), &self.context.own, hall)
     }
 
     /// Asks for a call; gives back how long it must wait, or when there is room. Then the server is
     /// closed to this box until that time.
-    async fn ask(&self, target: &Target, patience: Duration) -> Result<Duration, Duration> {
+    async fn ask(&self, target: &Target, max_wait: Duration) -> Result<Duration, Duration> {
         let asked = self.now();
-        let Some(limit_row) = lock(&self.notices).limits.row_of(asked, target.life) else {
+        let Some(limit_row) = lock(&self.notices).limits.row_of(asked, target.incarnation) else {
             return Ok(Duration::ZERO);
         };
         let decision = match self.keeper(&target.hall) {
-            QuotaOwner::Local { shares } => self.decide(target.life, shares, patience),
+            QuotaOwner::Local { shares } => self.decide(target.incarnation, shares, max_wait),
             QuotaOwner::Remote(address) => {
-                self.ask_keeper(address, question(target, limit_row, patience))
+                self.ask_keeper(address, question(target, limit_row, max_wait))
                     .await
             }
             QuotaOwner::Unknown => PermitDecision::NotOwner,
@@ -274,38 +280,38 @@
         let retry_in = match decision {
             PermitDecision::Granted { after } => return Ok(Duration::from_micros(after.into())),
             PermitDecision::Full { retry_in } => Duration::from_micros(retry_in.into()),
-            PermitDecision::NotOwner => NO_KEEPER,
+            PermitDecision::NotOwner => OWNER_RETRY_DELAY,
         };
         lock(&self.notices)
             .limits
-            .close(self.now(), target.life, retry_in);
+            .close(self.now(), target.incarnation, retry_in);
         Err(retry_in)
     }
 
     async fn ask_keeper(&self, address: SocketAddr, ask: PermitRequest) -> PermitDecision {
         let id = ask.id;
         let frame = PermitFrame::Request(ask);
-        for limit in ANSWER_LIMITS {
-            let answer = self.permits.expect(id);
+        for limit in RESPONSE_TIMEOUTS {
+            let answer = self.permits.register(id);
             self.permits.send(address, &frame);
             if let Ok(Ok(decision)) = timeout(limit, answer).await {
                 return decision;
             }
         }
-        self.permits.forget(id);
+        self.permits.cancel(id);
         counter!("badgerferry_limit_questions_lost_total").increment(1);
         tracing::info!(keeper = %address, "a question for a limited server got no answer");
         PermitDecision::NotOwner
     }
 
     /// Decides on a call to a server whose calls this box gives out.
-    fn decide(&self, life: ServerIncarnation, shares: usize, patience: Duration) -> PermitDecision {
+    fn decide(&self, life: ServerIncarnation, shares: usize, max_wait: Duration) -> PermitDecision {
         let now = self.now();
         // Its limit may be over by a newer answer than the asking box knows of.
         let Some(limit) = lock(&self.notices).limits.limit(life) else {
             return PermitDecision::Granted { after: 0 };
         };
-        let taken = lock(&self.quotas).take(now, life, limit.divided_by(shares), patience);
+        let taken = lock(&self.quotas).take(now, life, limit.divided_by(shares), max_wait);
         let micros = |span: Duration| u32::try_from(span.as_micros()).unwrap_or(u32::MAX);
         match taken {
             Ok(wait) => PermitDecision::Granted {
@@ -318,7 +324,7 @@
     }
 
     /// Takes a datagram of another box; gives back the answer to it, if it asks for one.
-    pub fn heard(&self, bytes: &[u8]) -> Option<PermitFrame> {
+    pub fn handle_datagram(&self, bytes: &[u8]) -> Option<PermitFrame> {
         match PermitFrame::decode(bytes) {
             Ok(PermitFrame::Request(ask)) => Some(PermitFrame::Response(self.answer(&ask))),
             Ok(PermitFrame::Charge(ask)) => {
@@ -326,7 +332,7 @@
                 None
             }
             Ok(PermitFrame::Response(answer)) => {
-                self.permits.take(answer);
+                self.permits.deliver(answer);
                 None
             }
             Err(cause) => {
@@ -343,10 +349,10 @@
             return PermitResponse { id, decision };
         }
         self.take_limit(ask.limit_row);
-        let patience = Duration::from_millis(ask.max_wait_ms.into());
+        let max_wait = Duration::from_millis(ask.max_wait_ms.into());
         let decision = match self.keeper(&ask.hall) {
             QuotaOwner::Local { shares } => {
-                self.decide(ask.limit_row.incarnation, shares, patience)
+                self.decide(ask.limit_row.incarnation, shares, max_wait)
             }
             QuotaOwner::Remote(_) | QuotaOwner::Unknown => PermitDecision::NotOwner,
         };
@@ -364,16 +370,17 @@
     }
 
     /// Takes what a server's answer to the call of this id says of it.
-    pub fn answered(&self, id: &str, target: &Target, notice: &Notice, has_proof: bool) {
+    pub fn record_response(&self, id: &str, target: &Target, notice: &Notice, has_proof: bool) {
         log_unreadable(id, target, notice);
         let now = self.now();
-        let changes = lock(&self.notices).record_response(now, target.life, notice, has_proof);
+        let changes =
+            lock(&self.notices).record_response(now, target.incarnation, notice, has_proof);
         self.log_changes(&changes, "an answer");
         if is_urgent(&changes) {
-            self.parts.urgent_changed.notify_one();
-            self.parts.hall_changed.notify_one();
+            self.context.urgent_changed.notify_one();
+            self.context.hall_changed.notify_one();
         } else if !changes.shedding.is_empty() {
-            self.parts.load_changed.notify_one();
+            self.context.load_changed.notify_one();
         }
     }
 
@@ -383,7 +390,7 @@
         self.log_changes(&changes, source);
         if is_urgent(&changes) {
             // Other halls are told by whoever speaks for this one.
-            self.parts.hall_changed.notify_one();
+            self.context.hall_changed.notify_one();
         }
     }
 
@@ -405,7 +412,7 @@
             (&changes.recovered, "server takes calls again"),
         ] {
             for life in lives {
-                let server = lock(&self.parts.tracker).name_of(*life);
+                let server = lock(&self.context.tracker).name_of(*life);
                 let server = server.map(tracing::field::display);
                 let life = format!("{:016x}", life.0);
                 tracing::info!(server, life, source, message);
@@ -414,7 +421,7 @@
     }
 
     fn log(&self, change: &LimitChange, source: &str) {
-        let server = lock(&self.parts.tracker).name_of(change.incarnation);
+        let server = lock(&self.context.tracker).name_of(change.incarnation);
         let server = server.map(tracing::field::display);
         let life = format!("{:016x}", change.incarnation.0);
         let before = change.before.map(CallRate::calls_per_second);
@@ -439,17 +446,17 @@
     changes.limits.iter().any(|change| change.announce_now) || !changes.leaving.is_empty()
 }
 
-fn question(target: &Target, limit_row: LimitRow, patience: Duration) -> PermitRequest {
+fn question(target: &Target, limit_row: LimitRow, max_wait: Duration) -> PermitRequest {
     PermitRequest {
         id: rand::random(),
         hall: target.hall.clone(),
         limit_row,
-        max_wait_ms: patience.as_millis() as u32,
+        max_wait_ms: max_wait.as_millis() as u32,
     }
 }
 
 /// A call was chosen for a server that takes none, and is chosen for another one.
-fn held_back(entrant: &Entrant<'_>, availability: Availability) {
+fn held_back(entrant: &PendingCall<'_>, availability: Availability) {
     let why = match availability {
         Availability::Leaving => "leaving",
         Availability::BackOff => "back_off",
@@ -484,7 +491,7 @@
 }
 
 /// A limited server was asked for: how long the call waits for its place, or when there is room.
-fn log_asked(entrant: &Entrant<'_>, limit: CallRate, decision: Result<Duration, Duration>) {
+fn log_asked(entrant: &PendingCall<'_>, limit: CallRate, decision: Result<Duration, Duration>) {
     let (outcome, lines) = match decision {
         Ok(_) => ("granted", &GOOD_LINES),
         Err(_) => ("full", &LATE_LINES),
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -40,7 +40,7 @@
 
 use crate::clock::Clock;
 use crate::relay::followed::Followed;
-use crate::relay::server_gate::GateParts;
+use crate::relay::server_gate::GateContext;
 use crate::relay::server_gate::ServerGate;
 use crate::relay::unknown_headers::UnknownHeaders;
 use crate::relay::upstream::Upstream;
@@ -139,7 +139,7 @@
         let urgent_changed: Arc<Notify> = Arc::default();
         let hall_changed: Arc<Notify> = Arc::default();
         let clock = Clock::start();
-        let gate = ServerGate::new(GateParts {
+        let gate = ServerGate::new(GateContext {
             own: settings.name.clone(),
             clock,
             followed: Arc::clone(&followed),
--- a/daemon/src/relay/store_follow.rs
+++ b/daemon/src/relay/store_follow.rs
@@ -21,9 +21,9 @@
 use rand::Rng;
 use tokio::time::Instant;
 
+use crate::relay::request_quarantine;
 use crate::relay::state;
 use crate::relay::state::Relay;
-use crate::relay::suspects;
 use crate::traffic::lock;
 
 /// Longest wait for an answer of the store beyond what a watch waits; it answers in milliseconds.
@@ -361,7 +361,9 @@
                 self.entries.remove(&name);
                 lock(&relay.followed).boxes.remove(&name);
             }
-            Change::Suspect { work, fact } => suspects::stored(relay, work, fact),
+            Change::Suspect { work, fact } => {
+                request_quarantine::apply_stored_fact(relay, work, fact)
+            }
             Change::Unreadable {
                 position,
                 server: Some(name),
--- a/daemon/src/relay/tries.rs
+++ b/daemon/src/relay/tries.rs
@@ -29,12 +29,12 @@
 use crate::relay::engines;
 use crate::relay::engines::Chosen;
 use crate::relay::log_lines;
-use crate::relay::server_gate::Entrant;
-use crate::relay::server_gate::MOST_ASKED;
-use crate::relay::server_gate::NO_KEEPER;
-use crate::relay::server_gate::Pass;
-use crate::relay::suspects;
-use crate::relay::suspects::Run;
+use crate::relay::request_quarantine;
+use crate::relay::request_quarantine::Run;
+use crate::relay::server_gate::Admitted;
+use crate::relay::server_gate::MAX_SERVERS_PER_ATTEMPT;
+use crate::relay::server_gate::OWNER_RETRY_DELAY;
+use crate::relay::server_gate::PendingCall;
 use crate::relay::upstream::Connection;
 use crate::relay::upstream::Reuse;
 use crate::relay::upstream::SendError;
@@ -143,7 +143,7 @@
 
     /// Closes the books on a run that broke off, perhaps with its server.
     pub async fn broke_off(self) {
-        suspects::broke_off(&self.call, &self.chosen, self.began).await;
+        request_quarantine::detect_crash(&self.call, &self.chosen, self.began).await;
         self.end(ServerOutcome::Failure);
     }
 
@@ -153,7 +153,7 @@
         if self.is_framed {
             self.runs_well();
         } else {
-            suspects::broke_off(&self.call, &self.chosen, self.began).await;
+            request_quarantine::detect_crash(&self.call, &self.chosen, self.began).await;
         }
         self.end(ServerOutcome::Success);
     }
@@ -216,8 +216,8 @@
     tried: &mut Vec<ServerName>,
     join: Option<&EventJoin>,
 ) -> TryResult {
-    let (run, chosen, pass) = match admit(call, tried).await {
-        Ok(admitted) => admitted,
+    let (run, chosen, admitted) = match admit(call, tried).await {
+        Ok(started) => started,
         Err((reason, retry_after)) => {
             log_lines::no_server_takes(call, reason, retry_after);
             return TryResult::NoServer(reason, retry_after);
@@ -236,7 +236,9 @@
     };
     let upstream = &call.relay.upstream;
     let (server, address) = (&flight.chosen.server, &flight.chosen.address);
-    let sent = upstream.send(server, address, reuse, request, pass).await;
+    let sent = upstream
+        .send(server, address, reuse, request, admitted)
+        .await;
     let (answer, connection) = match sent {
         Ok(sent) => sent,
         Err(cause) => return not_answered(call, flight, &cause).await,
@@ -264,7 +266,7 @@
         let target = &flight.chosen.target;
         call.relay
             .gate
-            .answered(call.id(), target, &head.notice, head.has_proof);
+            .record_response(call.id(), target, &head.notice, head.has_proof);
     }
     let received = Received {
         flight,
@@ -281,12 +283,12 @@
 async fn admit(
     call: &Arc<Call>,
     tried: &[ServerName],
-) -> Result<(Run, Chosen, Pass), (RefusalReason, Duration)> {
+) -> Result<(Run, Chosen, Admitted), (RefusalReason, Duration)> {
     loop {
-        let run = suspects::admit(call).await?;
-        let (chosen, pass) = place(call, tried, run.is_apart).await?;
+        let run = request_quarantine::admit(call).await?;
+        let (chosen, admitted) = place(call, tried, run.is_isolated).await?;
         if run.may_send() {
-            return Ok((run, chosen, pass));
+            return Ok((run, chosen, admitted));
         }
     }
 }
@@ -296,20 +298,20 @@
 async fn place(
     call: &Arc<Call>,
     tried: &[ServerName],
-    is_apart: bool,
-) -> Result<(Chosen, Pass), (RefusalReason, Duration)> {
-    for _ in 0..MOST_ASKED {
-        let chosen = engines::choose(call, tried, is_apart).await?;
-        let entrant = Entrant {
+    is_isolated: bool,
+) -> Result<(Chosen, Admitted), (RefusalReason, Duration)> {
+    for _ in 0..MAX_SERVERS_PER_ATTEMPT {
+        let chosen = engines::choose(call, tried, is_isolated).await?;
+        let pending = PendingCall {
             id: call.id(),
             target: &chosen.target,
-            patience: call.patience(tried.is_empty()),
+            max_wait: call.patience(tried.is_empty()),
         };
-        if let Ok(pass) = call.relay.gate.enter(&entrant).await {
-            return Ok((chosen, pass));
+        if let Ok(admitted) = call.relay.gate.admit_call(&pending).await {
+            return Ok((chosen, admitted));
         }
     }
-    Err((RefusalReason::ServersLimited, NO_KEEPER))
+    Err((RefusalReason::ServersLimited, OWNER_RETRY_DELAY))
 }
 
 fn request(call: &Call, chosen: &Chosen, resume_after: Option<u64>) -> Request<Full<Bytes>> {
--- a/daemon/src/relay/upstream.rs
+++ b/daemon/src/relay/upstream.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-use crate::relay::server_gate::Pass;
+use crate::relay::server_gate::Admitted;
 use crate::traffic::lock;
 
 /// Longest wait for a connection; halls are milliseconds apart, regions some tens.
@@ -67,7 +67,7 @@
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-        _pass: Pass,
+        _admitted: Admitted,
     ) -> Result<Response<Incoming>, SendError> {
         let sender = self.sender.as_mut();
         let sender = sender.ok_or_else(|| SendError::NotSent("closed".to_owned()))?;
@@ -120,7 +120,7 @@
         address: &str,
         reuse: Reuse,
         request: Request<Full<Bytes>>,
-        pass: Pass,
+        admitted: Admitted,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let rested = match reuse {
             Reuse::Allowed => self.take(server),
@@ -130,7 +130,7 @@
             Some(connection) => connection,
             None => connect(address).await?,
         };
-        let answer = connection.send(request, pass).await?;
+        let answer = connection.send(request, admitted).await?;
         Ok((answer, connection))
     }
 
