--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -44,7 +44,7 @@
 use crate::relay::candidates::NO_SERVER_RETRY;
 use crate::relay::live_stream;
 use crate::relay::log_lines;
-use crate::relay::server_gate::MAX_QUOTA_WAIT;
+use crate::relay::server_gate::MAX_ADMISSION_WAIT;
 use crate::relay::state::Relay;
 use crate::relay::tries;
 use crate::relay::tries::TryResult;
@@ -147,7 +147,7 @@
             false if is_first => left / 2,
             false => Duration::ZERO,
         };
-        most.min(MAX_QUOTA_WAIT)
+        most.min(MAX_ADMISSION_WAIT)
     }
 
     /// Whether the box's share of the retry budget has a repeat left.
--- a/daemon/src/relay/permit_transport.rs
+++ b/daemon/src/relay/permit_transport.rs
@@ -1,4 +1,4 @@
-//! Questions of this box to others that wait for their answers.
+//! Transport of permit datagrams: a send queue, and the requests that await their responses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,25 +13,27 @@
 
 use crate::traffic::lock;
 
-/// Datagrams that wait to be sent: some milliseconds' worth at the most.
+/// Capacity of the send queue: at most a few milliseconds of traffic.
 const MAX_UNSENT: usize = 256;
 
-/// A datagram on its way out.
+/// A datagram in the send queue.
 #[derive(Debug)]
 pub struct OutgoingDatagram {
-    /// Where to.
+    /// Destination.
     pub to: SocketAddr,
-    /// What.
+    /// Encoded frame.
     pub bytes: Vec<u8>,
 }
 
-/// Datagrams go out on the thread that owns the socket, and answers come in there.
+/// Connects the threads that request permits to the thread that owns the socket: datagrams are sent
+/// there, and responses arrive there.
 #[derive(Debug)]
 pub struct PermitTransport {
     tx: mpsc::Sender<OutgoingDatagram>,
-    /// Taken by the thread that sends.
+    /// Taken once by the thread that owns the socket.
     rx: Mutex<Option<mpsc::Receiver<OutgoingDatagram>>>,
-    expected: Mutex<HashMap<u64, oneshot::Sender<PermitDecision>>>,
+    /// Requests that await a response, by ID.
+    pending: Mutex<HashMap<u64, oneshot::Sender<PermitDecision>>>,
 }
 
 impl Default for PermitTransport {
@@ -40,13 +42,13 @@
         Self {
             tx,
             rx: Mutex::new(Some(rx)),
-            expected: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 }
 
 impl PermitTransport {
-    /// Sends a frame; one for which there is no room is lost like any datagram.
+    /// Queues a frame. It is dropped if the queue is full, like any datagram that gets lost.
     pub fn send(&self, to: SocketAddr, frame: &PermitFrame) {
         let bytes = frame.encode();
         if self.tx.try_send(OutgoingDatagram { to, bytes }).is_err() {
@@ -54,27 +56,27 @@
         }
     }
 
-    /// What goes out; once.
+    /// Returns the receiving end of the send queue on the first call, `None` afterwards.
     pub fn take_outgoing(&self) -> Option<mpsc::Receiver<OutgoingDatagram>> {
         lock(&self.rx).take()
     }
 
-    /// Waits for an answer, in place of who waited for it before.
+    /// Registers a request that awaits a response. Replaces an earlier registration of the same ID.
     pub fn register(&self, id: u64) -> oneshot::Receiver<PermitDecision> {
         let (tx, rx) = oneshot::channel();
-        lock(&self.expected).insert(id, tx);
+        lock(&self.pending).insert(id, tx);
         rx
     }
 
-    /// Waits for it no more.
+    /// Removes the registration of a request.
     pub fn cancel(&self, id: u64) {
-        lock(&self.expected).remove(&id);
+        lock(&self.pending).remove(&id);
     }
 
-    /// Takes an answer; one that nobody waits for came too late.
-    pub fn deliver(&self, answer: PermitResponse) {
-        let waits = lock(&self.expected).remove(&answer.id);
-        // Whoever asked may have left.
-        let _ = waits.map(|tx| tx.send(answer.decision));
+    /// Delivers a response to its pending request. A response without one is late and is ignored.
+    pub fn deliver(&self, response: PermitResponse) {
+        let sender = lock(&self.pending).remove(&response.id);
+        // The requesting call may have ended.
+        let _ = sender.map(|tx| tx.send(response.decision));
     }
 }
--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -1,7 +1,7 @@
-//! Calls whose work may end servers: whether one runs now, and what the end of its run tells.
+//! Applies the request quarantine to calls: admits their runs, detects server crashes during them,
+//! and replicates the results to other boxes and to the store.
 //!
-//! What is known and decided is [`badgerferry_lib::relay::quarantine`]; here it meets calls,
-//! connections and the store.
+//! The state and its rules are in [`badgerferry_lib::relay::quarantine`].
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -35,127 +35,134 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Longest wait for what another run of the same work tells; half of the call's time where that is
-/// less. A run that ends its server does so within some tenths of a second.
-const VERDICT_PATIENCE: Duration = Duration::from_secs(1);
-/// How often a waiting call looks again: a box's turn comes without news.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
-/// When to come back where another run of the work goes on for long.
-const RUNS_RETRY: Duration = Duration::from_millis(500);
-/// Bodies up to this size are read for their key with each call; larger ones only while
-/// any work is suspect.
-const SMALL_BODY: usize = 16 << 10;
-/// Longest wait for a server's machine to refuse a connection, or to take it.
-const PROBE_LIMIT: Duration = Duration::from_millis(200);
-/// How long a call waits for a process to end whose first connection has: the next server that runs its
-/// work may end as well.
-const ENDS_WITHIN: Duration = Duration::from_millis(50);
-/// How long the process is watched after that; its end counts whenever it comes.
-const WATCHED_FOR: Duration = Duration::from_secs(1);
-/// Between two connections to a server that closes each at once.
-const PROBE_PAUSE: Duration = Duration::from_millis(2);
-/// Longest silence of the store in a call that writes.
-const STORE_LIMIT: Duration = Duration::from_secs(1);
-/// Until a write that failed is tried again.
-const STORE_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum wait for the outcome of another run of the same request, or half of the call's remaining
+/// time if that is less. A run that crashes its server does so within some tenths of a second.
+const MAX_OUTCOME_WAIT: Duration = Duration::from_secs(1);
+/// Polling interval of a waiting call: this box's start slot arrives without a notification.
+const ADMISSION_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Retry delay given to the caller if another run of the request outlasts the wait.
+const RUN_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum size of a body that is fingerprinted for each call. Larger bodies are fingerprinted only
+/// while any request has a quarantine record.
+const MAX_ALWAYS_HASHED_BODY: usize = 16 << 10;
+/// Maximum wait for a server's machine to accept or refuse a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long a call waits for a process to exit after its connection broke. The call is not sent to
+/// another server before that, since that server may crash as well.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long the process is watched in the background after that; a crash in this time counts as
+/// well.
+const EXIT_WATCH_TIME: Duration = Duration::from_secs(1);
+/// Delay between connection attempts to a server that closes each connection at once.
+const RECONNECT_DELAY: Duration = Duration::from_millis(2);
+/// Response timeout of the store for writes.
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a failed write is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// A run that was let begin; it counts as under way until dropped.
+/// An admitted run of a request. It counts as in progress until dropped.
 #[derive(Debug)]
 pub struct Run {
     relay: Arc<Relay>,
-    work: Option<RequestFingerprint>,
-    /// Whether to place it apart from other calls.
+    fingerprint: Option<RequestFingerprint>,
+    /// Whether to run it on a server with few other calls.
     pub is_isolated: bool,
 }
 
 impl Run {
-    /// Whether it may still be sent, after what it has waited for. One whose body was not read for its
-    /// key, since no work was suspect, is to be admitted anew once any is.
+    /// Whether the run may still be sent after waiting for other resources. A run without a
+    /// fingerprint, since no request had a record, has to be admitted again once any request has
+    /// one.
     pub fn may_send(&self) -> bool {
         let now = self.relay.clock.now();
         let quarantine = lock(&self.relay.quarantine);
-        match self.work {
-            Some(work) => quarantine.may_send(now, work),
+        match self.fingerprint {
+            Some(fingerprint) => quarantine.may_send(now, fingerprint),
             None => quarantine.is_empty(),
         }
     }
 
-    /// Records that it ended well.
+    /// Records that the run succeeded, and announces the change.
     pub fn record_success(&self) {
-        let Some(work) = self.work else { return };
+        let Some(fingerprint) = self.fingerprint else {
+            return;
+        };
         let now = self.relay.clock.now();
-        let change = lock(&self.relay.quarantine).record_success(now, work);
-        tell(&self.relay, change, "a run here");
+        let change = lock(&self.relay.quarantine).record_success(now, fingerprint);
+        announce(&self.relay, change, "a run here");
     }
 }
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let Some(work) = self.work else { return };
+        let Some(fingerprint) = self.fingerprint else {
+            return;
+        };
         let now = self.relay.clock.now();
-        if lock(&self.relay.quarantine).end_run(now, work) {
+        if lock(&self.relay.quarantine).end_run(now, fingerprint) {
             self.relay.verdicts.notify_waiters();
             self.relay.urgent_changed.notify_one();
         }
     }
 }
 
-/// Lets a run of the call begin, at once unless its work ended servers.
+/// Admits a run of the call, at once unless servers crashed during runs of the same request.
 ///
 /// # Errors
 ///
-/// Why it may not run, and when to come back.
+/// The reason for the refusal, and the time until a retry.
 pub async fn admit(call: &Arc<Call>) -> Result<Run, (RefusalReason, Duration)> {
     let relay = &call.relay;
-    let run = |work, crashes| Run {
+    let run = |fingerprint, crashes| Run {
         relay: Arc::clone(relay),
-        work,
+        fingerprint,
         is_isolated: crashes >= ISOLATION_MIN_CRASHES,
     };
-    let is_told_apart = call.body.len() <= SMALL_BODY || !lock(&relay.quarantine).is_empty();
-    if !is_told_apart {
+    let has_fingerprint =
+        call.body.len() <= MAX_ALWAYS_HASHED_BODY || !lock(&relay.quarantine).is_empty();
+    if !has_fingerprint {
         return Ok(run(None, 0));
     }
-    let work = call.work();
-    let patience = VERDICT_PATIENCE.min(call.time_left() / 2);
-    let until = relay.clock.now() + patience;
+    let fingerprint = call.work();
+    let max_wait = MAX_OUTCOME_WAIT.min(call.time_left() / 2);
+    let until = relay.clock.now() + max_wait;
     loop {
-        // Listens before it looks: a verdict that comes between the two is not missed.
-        let news = relay.verdicts.notified();
+        // Subscribes before the check, so that no notification between the two is missed.
+        let notified = relay.verdicts.notified();
         let now = relay.clock.now();
         let saw_crash = call.saw_crash.load(Ordering::Relaxed);
-        let rank = || relay.rank_for(work);
-        let admission = lock(&relay.quarantine).admit(now, work, saw_crash, rank);
+        let rank = || relay.rank_for(fingerprint);
+        let admission = lock(&relay.quarantine).admit(now, fingerprint, saw_crash, rank);
         match admission {
             Admission::Run { crashes } => {
                 if crashes > 0 {
-                    tracing::info!(call = call.id(), %work, lives = crashes, "suspect call runs");
+                    tracing::info!(call = call.id(), work = %fingerprint, lives = crashes, "suspect request admitted");
                     relay.urgent_changed.notify_one();
                 }
-                return Ok(run(Some(work), crashes));
+                return Ok(run(Some(fingerprint), crashes));
             }
             Admission::Quarantined { left, crashes } => {
                 counter!("badgerferry_calls_held_total").increment(1);
                 let left_s = left.as_secs();
-                tracing::info!(call = call.id(), %work, lives = crashes, left_s, "call held: it ends servers");
+                tracing::info!(call = call.id(), work = %fingerprint, lives = crashes, left_s, "call refused: request is quarantined");
                 return Err((RefusalReason::EndsServers, left));
             }
             Admission::Wait if now >= until => {
-                return Err((RefusalReason::SuspectRuns, RUNS_RETRY));
+                return Err((RefusalReason::SuspectRuns, RUN_RETRY_DELAY));
             }
             Admission::Wait => {
-                // Looked at again in either case.
-                let _ = timeout(LOOK_AGAIN, news).await;
+                // Checked again after either the notification or the timeout.
+                let _ = timeout(ADMISSION_POLL_INTERVAL, notified).await;
             }
         }
     }
 }
 
-/// Finds out whether the server's life ended with a run that broke off, and records it.
+/// Checks whether the server crashed during a run whose connection broke, and records the crash.
 ///
-/// A broken connection alone proves nothing: connections are reset, answers are cut short. Where
-/// nobody listens any more, the server is gone; one that leaves by plan ends by itself. `began` is when
-/// the run was sent.
+/// A broken connection alone proves nothing: connections are reset, and responses are truncated. If
+/// connections are refused, the process has exited. A server that is leaving exits by itself and is
+/// ignored. `began` is the time at which the run was sent.
 pub async fn detect_crash(call: &Arc<Call>, chosen: &Chosen, began: Time) {
     let relay = &call.relay;
     let is_listed = {
@@ -167,147 +174,157 @@
     if !is_listed || relay.gate.is_leaving(&chosen.target) {
         return;
     }
-    let ended = ServerEnd {
+    let crash = ServerCrash {
         server: chosen.server.clone(),
-        life: chosen.target.incarnation,
+        incarnation: chosen.target.incarnation,
         began,
     };
     let address = chosen.address.clone();
-    match has_ended(&address, ENDS_WITHIN).await {
-        Ending::Ended => ended.record(call),
-        Ending::Lives => {}
-        Ending::Open(mut stream) => {
+    match check_exit(&address, EXIT_TIMEOUT).await {
+        ProcessState::Exited => crash.record(call),
+        ProcessState::Running => {}
+        ProcessState::Open(mut stream) => {
             let call = Arc::clone(call);
             tokio::spawn(async move {
-                let closed = timeout(WATCHED_FOR, stream.read(&mut [0])).await.is_ok();
-                if closed && matches!(has_ended(&address, ENDS_WITHIN).await, Ending::Ended) {
-                    ended.record(&call);
+                let closed = timeout(EXIT_WATCH_TIME, stream.read(&mut [0]))
+                    .await
+                    .is_ok();
+                if closed
+                    && matches!(
+                        check_exit(&address, EXIT_TIMEOUT).await,
+                        ProcessState::Exited
+                    )
+                {
+                    crash.record(&call);
                 }
             });
         }
     }
 }
 
-/// A life that ended with a run.
-struct ServerEnd {
+/// A server crash during a run.
+struct ServerCrash {
     server: ServerName,
-    life: ServerIncarnation,
+    incarnation: ServerIncarnation,
     /// When the run was sent.
     began: Time,
 }
 
-impl ServerEnd {
+impl ServerCrash {
     fn record(&self, call: &Call) {
         let relay = &call.relay;
-        let (now, work) = (relay.clock.now(), call.work());
+        let (now, fingerprint) = (relay.clock.now(), call.work());
         counter!("badgerferry_servers_ended_total").increment(1);
         tracing::warn!(
             call = call.id(),
-            %work,
+            work = %fingerprint,
             server = %self.server,
-            life = format!("{:016x}", self.life.0),
-            "server ended under a call"
+            life = format!("{:016x}", self.incarnation.0),
+            "server crashed during a call"
         );
         call.saw_crash.store(true, Ordering::Relaxed);
-        let change = lock(&relay.quarantine).record_crash(now, work, self.life, self.began);
-        tell(relay, change, "a run here");
+        let change =
+            lock(&relay.quarantine).record_crash(now, fingerprint, self.incarnation, self.began);
+        announce(relay, change, "a run here");
     }
 }
 
-/// Whether a server's process has ended.
-enum Ending {
-    Ended,
-    Lives,
-    /// It took a connection and has not closed it yet.
+/// Whether a server process has exited.
+enum ProcessState {
+    Exited,
+    Running,
+    /// It accepted a connection and has not closed it within the given time.
     Open(TcpStream),
 }
 
-/// Looks whether a process ends within a time.
+/// Checks whether a process exits within the given time.
 ///
-/// One that ends closes its connections one after the other, some before it stops listening: new ones
-/// are taken and closed with it until nobody takes another.
-async fn has_ended(address: &str, within: Duration) -> Ending {
+/// An exiting process closes its connections one by one, some before it stops listening. It may
+/// still accept and close new connections until it is gone, so connecting is repeated until one is
+/// refused.
+async fn check_exit(address: &str, within: Duration) -> ProcessState {
     let until = Instant::now() + within;
     loop {
-        match probe(address).await {
-            Probe::Refused => return Ending::Ended,
-            Probe::NoAnswer => return Ending::Lives,
-            Probe::Closed => {}
-            Probe::Taken(mut stream) => {
-                // Closed in order or reset, it is closed.
+        match try_connect(address).await {
+            ConnectResult::Refused => return ProcessState::Exited,
+            ConnectResult::NoAnswer => return ProcessState::Running,
+            ConnectResult::Reset => {}
+            ConnectResult::Connected(mut stream) => {
+                // An error means that the connection was reset, which counts as closed too.
                 let closed = timeout_at(until, stream.read(&mut [0])).await;
                 if closed.is_err() {
-                    return Ending::Open(stream);
+                    return ProcessState::Open(stream);
                 }
             }
         }
         if Instant::now() >= until {
-            return Ending::Lives;
+            return ProcessState::Running;
         }
-        tokio::time::sleep(PROBE_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// What became of a connection to a server.
-enum Probe {
+/// Result of a connection attempt to a server.
+enum ConnectResult {
     Refused,
-    /// It was reset while it was made: nobody has listened since, or somebody does.
-    Closed,
-    Taken(TcpStream),
+    /// Reset during connection setup. The process may or may not still be listening.
+    Reset,
+    Connected(TcpStream),
     NoAnswer,
 }
 
-async fn probe(address: &str) -> Probe {
-    match timeout(PROBE_LIMIT, TcpStream::connect(address)).await {
-        Ok(Ok(stream)) => Probe::Taken(stream),
-        Ok(Err(cause)) if cause.kind() == ErrorKind::ConnectionRefused => Probe::Refused,
-        Ok(Err(cause)) if cause.kind() == ErrorKind::ConnectionReset => Probe::Closed,
+async fn try_connect(address: &str) -> ConnectResult {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(Ok(stream)) => ConnectResult::Connected(stream),
+        Ok(Err(cause)) if cause.kind() == ErrorKind::ConnectionRefused => ConnectResult::Refused,
+        Ok(Err(cause)) if cause.kind() == ErrorKind::ConnectionReset => ConnectResult::Reset,
         Ok(Err(cause)) => {
-            tracing::info!(address, %cause, "a server could not be looked at");
-            Probe::NoAnswer
+            tracing::info!(address, %cause, "server crash check failed: cannot connect");
+            ConnectResult::NoAnswer
         }
-        Err(_elapsed) => Probe::NoAnswer,
+        Err(_elapsed) => ConnectResult::NoAnswer,
     }
 }
 
-/// Takes what another box, or a hall, tells of suspect works. All boxes that are to be told by this
-/// one hear it from there as well, but for those of other halls, if this one speaks for its own.
+/// Merges the quarantine rows reported by another box or hall. The boxes that this one gossips to
+/// receive them from the same sender, except for boxes of other halls if this box is a delegate of
+/// its hall.
 pub fn merge_reports(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let (from, rows) = (teller_name(datagram), &datagram.suspects);
-    let of = match datagram.source {
+    let scope = match datagram.source {
         LoadSource::Box => RunScope::Box,
         LoadSource::Hall { .. } => RunScope::Hall,
     };
-    let changes = lock(&relay.quarantine).merge_rows(now, of, from, rows);
+    let changes = lock(&relay.quarantine).merge_rows(now, scope, from, rows);
     relay.verdicts.notify_waiters();
     if !changes.is_empty() {
         relay.hall_changed.notify_one();
         relay.suspects_changed.notify_one();
     }
     for change in &changes {
-        log(change, from);
+        log_change(change, from);
     }
 }
 
-/// Takes what the store holds.
-pub fn apply_stored_fact(relay: &Relay, work: RequestFingerprint, fact: StoredFact) {
+/// Applies a fact read from the store or written to it.
+pub fn apply_stored_fact(relay: &Relay, fingerprint: RequestFingerprint, fact: StoredFact) {
     let now = relay.clock.now();
-    let change = lock(&relay.quarantine).apply_fact(now, work, fact);
-    tell(relay, change, "the store");
+    let change = lock(&relay.quarantine).apply_fact(now, fingerprint, fact);
+    announce(relay, change, "the store");
 }
 
-/// Logs a change that became known here first, and lets everybody know: calls that wait here, and the
-/// other boxes.
-fn tell(relay: &Relay, change: Option<QuarantineChange>, source: &str) {
+/// Logs a change first observed by this box, and notifies waiting calls, other boxes and the store
+/// writer.
+fn announce(relay: &Relay, change: Option<QuarantineChange>, source: &str) {
     let Some(change) = change else { return };
-    log(&change, source);
+    log_change(&change, source);
     relay.verdicts.notify_waiters();
     relay.urgent_changed.notify_one();
     relay.hall_changed.notify_one();
     relay.suspects_changed.notify_one();
 }
 
-fn log(change: &QuarantineChange, source: &str) {
+fn log_change(change: &QuarantineChange, source: &str) {
     let QuarantineChange {
         fingerprint,
         status,
@@ -315,22 +332,22 @@
     } = change;
     match status {
         RequestStatus::Suspect => {
-            tracing::info!(work = %fingerprint, lives = crashes, source, "work is suspect")
+            tracing::info!(work = %fingerprint, lives = crashes, source, "request is suspect")
         }
         RequestStatus::Quarantined => {
             tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers")
         }
-        RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "work is cleared"),
+        RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "request cleared"),
     }
 }
 
-/// Writes for ever to the store what is known of such works, for boxes that are cut off from this one
-/// and for those that start later.
+/// Runs forever, writing facts observed by this box to the store for boxes that are partitioned
+/// from this one or start later.
 pub async fn store_facts(relay: &Arc<Relay>) {
     loop {
         relay.suspects_changed.notified().await;
-        // A new connection each time: this is rare, and the watch holds the other one.
-        let mut store = Store::new(relay.settings.store, STORE_LIMIT);
+        // Opens a connection each time, since writes are rare and the watch occupies the other one.
+        let mut store = Store::new(relay.settings.store, STORE_TIMEOUT);
         loop {
             let now = relay.clock.now();
             let is_alone = !lock(&relay.followed).heard.has_live_peer(now);
@@ -343,15 +360,15 @@
                     tracing::info!(
                         facts = facts.len(),
                         is_alone,
-                        "suspect works kept in the store"
+                        "quarantine facts written to the store"
                     );
-                    for (work, fact) in facts {
-                        apply_stored_fact(relay, work, fact);
+                    for (fingerprint, fact) in facts {
+                        apply_stored_fact(relay, fingerprint, fact);
                     }
                 }
                 Err(cause) => {
-                    tracing::warn!(%cause, facts = facts.len(), "suspect works not kept in the store");
-                    tokio::time::sleep(STORE_PAUSE).await;
+                    tracing::warn!(%cause, facts = facts.len(), "failed to write quarantine facts to the store");
+                    tokio::time::sleep(STORE_RETRY_DELAY).await;
                 }
             }
         }
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -1,11 +1,13 @@
-//! The one way to a backend server: whatever is sent there passes here, last before the send.
+//! Admission of requests to backend servers: the last step before any request is sent.
 //!
-//! What servers say of the calls they take is [`badgerferry_lib::relay::server_notices`]: one that leaves
-//! gets nothing new, one that asked for a pause nothing until it is over, and one that names a limit no
-//! more than that.
+//! Servers state in their responses which calls they accept, see
+//! [`badgerferry_lib::relay::server_notices`]. A leaving server gets no new calls, a server that
+//! requested a pause gets none until the pause is over, and a server with a limit gets no more than
+//! that limit.
 //!
-//! Who gives out a limited server's calls is [`badgerferry_lib::relay::quota_owner`]; here it is asked, by
-//! datagrams, and answers.
+//! A call to a limited server needs a permit from the box that owns the server's quota, see
+//! [`badgerferry_lib::relay::quota_owner`]. This module requests permits by datagram, and responds
+//! to the requests of other boxes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -43,80 +45,82 @@
 use crate::relay::permit_transport::PermitTransport;
 use crate::traffic::lock;
 
-/// Longest waits for an answer to a question, which is then asked again: halls are milliseconds apart,
-/// regions some tens.
+/// Response timeouts of a permit request and of its one retry. The round-trip time is milliseconds
+/// between halls, and some tens of milliseconds between regions.
 const RESPONSE_TIMEOUTS: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(110)];
-/// How long a server is closed whose keeper does not answer, or is not known yet.
+/// How long a server is closed to this box if its quota owner does not respond or is not known yet.
 pub const OWNER_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Servers asked for one try of a call, each closed to this box since: where all are that slow to
-/// answer, the call hears so.
+/// Maximum number of servers tried per attempt of a call. Each server that does not admit the call
+/// is closed to this box; if this many are limited or their quota owners this slow, the call is
+/// refused.
 pub const MAX_SERVERS_PER_ATTEMPT: usize = 8;
-/// Longest wait of a call for its place at a limited server, where all are.
-pub const MAX_QUOTA_WAIT: Duration = Duration::from_secs(1);
+/// Maximum time that a call waits for quota or for the end of a pause, when no other server is
+/// available.
+pub const MAX_ADMISSION_WAIT: Duration = Duration::from_secs(1);
 
-/// Allows one request to one server; only this module makes it.
+/// Proof that one request to one server was admitted. Only this module can construct it.
 #[derive(Debug)]
 pub struct Admitted(());
 
-/// The server takes no request of this box now.
+/// The server accepts no request of this box at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotAdmitted;
 
-/// The server that a request is meant for.
+/// Server that a request is addressed to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// Name of the server.
     pub name: ServerName,
-    /// The life of it that is meant.
+    /// Incarnation that the request was planned for.
     pub incarnation: ServerIncarnation,
-    /// Its data hall.
+    /// Data hall of the server.
     pub hall: HallName,
 }
 
-/// A call that is to be sent.
+/// A call that requests admission to its chosen server.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingCall<'a> {
-    /// Its id, for logs.
+    /// ID of the call, for logs.
     pub id: &'a str,
-    /// Where it is to go.
+    /// Chosen server.
     pub target: &'a Target,
-    /// How long it may wait for its place.
+    /// Maximum time to wait for admission.
     pub max_wait: Duration,
 }
 
-/// What the gate shares with the rest of the box.
+/// State that the gate shares with the rest of the daemon.
 #[derive(Debug)]
 pub struct GateContext {
-    /// This box.
+    /// Name of this box.
     pub own: String,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Which boxes live.
+    /// Known boxes and their liveness, which determine the quota owners.
     pub followed: Arc<Mutex<Followed>>,
-    /// Names of servers.
+    /// Maps incarnations to server names for logs.
     pub tracker: Arc<Mutex<ServerTracker>>,
-    /// Wakes whoever tells the boxes of this hall.
+    /// Wakes the gossip task of this hall.
     pub load_changed: Arc<Notify>,
-    /// Wakes it at once.
+    /// Makes the gossip task of this hall send at once.
     pub urgent_changed: Arc<Notify>,
-    /// Wakes whoever tells other halls.
+    /// Wakes the gossip task for other halls.
     pub hall_changed: Arc<Notify>,
 }
 
-/// The way to servers.
+/// Gate that admits requests to servers.
 #[derive(Debug)]
 pub struct ServerGate {
     context: GateContext,
-    /// What servers say of the calls they take.
+    /// Notices from server responses and from gossip.
     pub notices: Mutex<ServerNotices>,
-    /// Counts of those whose calls this box gives out.
+    /// Quotas owned by this box.
     quotas: Mutex<OwnedQuotas>,
-    /// Questions for calls to them.
+    /// Permit requests to other boxes, and responses to theirs.
     pub permits: PermitTransport,
 }
 
 impl ServerGate {
-    /// A gate to which no server has said anything yet.
+    /// Creates a gate without any server notices.
     pub fn new(context: GateContext) -> Self {
         Self {
             context,
@@ -126,29 +130,29 @@
         }
     }
 
-    /// Lets a call to its server, at once where that says nothing against it.
+    /// Admits a call to its server, after waiting for the end of a pause or for quota if needed.
     ///
     /// # Errors
     ///
-    /// The server takes no call of this box now.
-    pub async fn admit_call(&self, entrant: &PendingCall<'_>) -> Result<Admitted, NotAdmitted> {
-        let target = entrant.target;
-        // It was chosen though it wants no call yet: there is no other one.
+    /// The server accepts no call of this box at present.
+    pub async fn admit_call(&self, call: &PendingCall<'_>) -> Result<Admitted, NotAdmitted> {
+        let target = call.target;
+        // A paused server is chosen only if no other one is available.
         let pause = lock(&self.notices)
             .shedding
             .pause_remaining(self.now(), target.incarnation);
-        // A timer of no time still ends with the next tick.
-        if !pause.is_zero() && pause <= entrant.max_wait {
+        // Even a zero-length sleep would last until the next timer tick.
+        if !pause.is_zero() && pause <= call.max_wait {
             tokio::time::sleep(pause).await;
         }
-        self.take_limited(entrant).await?;
-        // What it says may have changed while the call waited.
+        self.acquire_permit(call).await?;
+        // The notices may have changed while the call waited.
         let now = self.now();
         let mut notices = lock(&self.notices);
         let availability = notices.availability(now, target.incarnation);
         match availability {
             Availability::BackOff | Availability::Leaving => {
-                held_back(entrant, availability);
+                log_held_back(call, availability);
                 Err(NotAdmitted)
             }
             Availability::Open
@@ -161,37 +165,40 @@
         }
     }
 
-    /// Takes a place at a server that names a limit.
-    async fn take_limited(&self, entrant: &PendingCall<'_>) -> Result<(), NotAdmitted> {
+    /// Obtains a permit if the server has a limit.
+    async fn acquire_permit(&self, call: &PendingCall<'_>) -> Result<(), NotAdmitted> {
         let now = self.now();
-        let target = entrant.target;
+        let target = call.target;
         let (limit, was_closed) = {
             let limits = &lock(&self.notices).limits;
-            let life = target.incarnation;
-            (limits.limit(life), !limits.closed_for(now, life).is_zero())
+            let incarnation = target.incarnation;
+            (
+                limits.limit(incarnation),
+                !limits.closed_for(now, incarnation).is_zero(),
+            )
         };
         let Some(limit) = limit else {
             return Ok(());
         };
-        // It was chosen though it is closed: there is no other one.
+        // A closed server is chosen only if no other one is available, so the call may wait.
         let max_wait = if was_closed {
-            entrant.max_wait
+            call.max_wait
         } else {
             Duration::ZERO
         };
-        let decision = self.ask(target, max_wait).await;
-        log_asked(entrant, limit, decision);
+        let decision = self.request_permit(target, max_wait).await;
+        log_permit(call, limit, decision);
         if let Ok(wait) = decision {
             tokio::time::sleep(wait).await;
         }
         decision.map(|_wait| ()).map_err(|_retry_in| NotAdmitted)
     }
 
-    /// Lets a request to a server that nobody waits for.
+    /// Admits a request that no caller waits for; it never waits for quota.
     ///
     /// # Errors
     ///
-    /// It takes none now.
+    /// The server accepts no call at present, or has no quota left.
     pub async fn admit_background(&self, target: &Target) -> Result<Admitted, NotAdmitted> {
         if !self.availability(target).accepts_calls() {
             return Err(NotAdmitted);
@@ -203,17 +210,18 @@
         {
             return Ok(Admitted(()));
         }
-        let decision = self.ask(target, Duration::ZERO).await;
+        let decision = self.request_permit(target, Duration::ZERO).await;
         decision
             .map(|_wait| Admitted(()))
             .map_err(|_retry_in| NotAdmitted)
     }
 
-    /// Lets an order go that begins something new.
+    /// Admits an order that starts new work, such as a memory reservation. It is charged to the
+    /// quota.
     ///
     /// # Errors
     ///
-    /// The server leaves, or wants nothing of this box now.
+    /// The server is leaving, or accepts nothing of this box at present.
     pub fn admit_order(&self, target: &Target) -> Result<Admitted, NotAdmitted> {
         if self.availability(target).accepts_parts() {
             Ok(self.charge(target))
@@ -222,7 +230,8 @@
         }
     }
 
-    /// Lets a request go that can't be held back, as what gives memory back can't; it counts.
+    /// Charges a request to the quota and admits it unconditionally, for requests that must not be
+    /// delayed, such as the release of memory.
     pub fn charge(&self, target: &Target) -> Admitted {
         let now = self.now();
         let limit_row = lock(&self.notices).limits.row_of(now, target.incarnation);
@@ -231,20 +240,20 @@
         else {
             return Admitted(());
         };
-        match self.keeper(&target.hall) {
+        match self.quota_owner(&target.hall) {
             QuotaOwner::Local { shares } => {
                 lock(&self.quotas).charge(now, target.incarnation, limit.divided_by(shares));
             }
             QuotaOwner::Remote(address) => {
-                let ask = question(target, limit_row, Duration::ZERO);
-                self.permits.send(address, &PermitFrame::Charge(ask));
+                let request = permit_request(target, limit_row, Duration::ZERO);
+                self.permits.send(address, &PermitFrame::Charge(request));
             }
             QuotaOwner::Unknown => {}
         }
         Admitted(())
     }
 
-    /// Whether the server said that it leaves.
+    /// Whether the server announced that it is leaving.
     pub fn is_leaving(&self, target: &Target) -> bool {
         self.availability(target) == Availability::Leaving
     }
@@ -257,22 +266,30 @@
         self.context.clock.now()
     }
 
-    /// Who gives out the calls of limited servers of a hall.
-    fn keeper(&self, hall: &HallName) -> QuotaOwner {
+    /// Owner of the quotas of a hall's servers.
+    fn quota_owner(&self, hall: &HallName) -> QuotaOwner {
         lock(&self.context.followed).keeper(self.now(), &self.context.own, hall)
     }
 
-    /// Asks for a call; gives back how long it must wait, or when there is room. Then the server is
-    /// closed to this box until that time.
-    async fn ask(&self, target: &Target, max_wait: Duration) -> Result<Duration, Duration> {
-        let asked = self.now();
-        let Some(limit_row) = lock(&self.notices).limits.row_of(asked, target.incarnation) else {
+    /// Requests a permit and returns how long the call has to wait. If the permit is denied,
+    /// returns the time until a retry as the error, and closes the server to this box for that
+    /// time.
+    async fn request_permit(
+        &self,
+        target: &Target,
+        max_wait: Duration,
+    ) -> Result<Duration, Duration> {
+        let requested_at = self.now();
+        let Some(limit_row) = lock(&self.notices)
+            .limits
+            .row_of(requested_at, target.incarnation)
+        else {
             return Ok(Duration::ZERO);
         };
-        let decision = match self.keeper(&target.hall) {
+        let decision = match self.quota_owner(&target.hall) {
             QuotaOwner::Local { shares } => self.decide(target.incarnation, shares, max_wait),
             QuotaOwner::Remote(address) => {
-                self.ask_keeper(address, question(target, limit_row, max_wait))
+                self.request_from_owner(address, permit_request(target, limit_row, max_wait))
                     .await
             }
             QuotaOwner::Unknown => PermitDecision::NotOwner,
@@ -288,71 +305,82 @@
         Err(retry_in)
     }
 
-    async fn ask_keeper(&self, address: SocketAddr, ask: PermitRequest) -> PermitDecision {
-        let id = ask.id;
-        let frame = PermitFrame::Request(ask);
-        for limit in RESPONSE_TIMEOUTS {
-            let answer = self.permits.register(id);
+    async fn request_from_owner(
+        &self,
+        address: SocketAddr,
+        request: PermitRequest,
+    ) -> PermitDecision {
+        let id = request.id;
+        let frame = PermitFrame::Request(request);
+        for response_timeout in RESPONSE_TIMEOUTS {
+            let response = self.permits.register(id);
             self.permits.send(address, &frame);
-            if let Ok(Ok(decision)) = timeout(limit, answer).await {
+            if let Ok(Ok(decision)) = timeout(response_timeout, response).await {
                 return decision;
             }
         }
         self.permits.cancel(id);
         counter!("badgerferry_limit_questions_lost_total").increment(1);
-        tracing::info!(keeper = %address, "a question for a limited server got no answer");
+        tracing::info!(owner = %address, "a question for a limited server got no answer");
         PermitDecision::NotOwner
     }
 
-    /// Decides on a call to a server whose calls this box gives out.
-    fn decide(&self, life: ServerIncarnation, shares: usize, max_wait: Duration) -> PermitDecision {
+    /// Decides on a permit for a server whose quota this box owns.
+    fn decide(
+        &self,
+        incarnation: ServerIncarnation,
+        shares: usize,
+        max_wait: Duration,
+    ) -> PermitDecision {
         let now = self.now();
-        // Its limit may be over by a newer answer than the asking box knows of.
-        let Some(limit) = lock(&self.notices).limits.limit(life) else {
+        // A newer response, unknown to the requesting box, may have lifted the limit.
+        let Some(limit) = lock(&self.notices).limits.limit(incarnation) else {
             return PermitDecision::Granted { after: 0 };
         };
-        let taken = lock(&self.quotas).take(now, life, limit.divided_by(shares), max_wait);
+        let taken = lock(&self.quotas).take(now, incarnation, limit.divided_by(shares), max_wait);
         let micros = |span: Duration| u32::try_from(span.as_micros()).unwrap_or(u32::MAX);
         match taken {
             Ok(wait) => PermitDecision::Granted {
                 after: micros(wait),
             },
-            Err(full) => PermitDecision::Full {
-                retry_in: micros(full.retry_in),
+            Err(exceeded) => PermitDecision::Full {
+                retry_in: micros(exceeded.retry_in),
             },
         }
     }
 
-    /// Takes a datagram of another box; gives back the answer to it, if it asks for one.
+    /// Handles a permit datagram of another box. Returns the response if it is a request.
     pub fn handle_datagram(&self, bytes: &[u8]) -> Option<PermitFrame> {
         match PermitFrame::decode(bytes) {
-            Ok(PermitFrame::Request(ask)) => Some(PermitFrame::Response(self.answer(&ask))),
-            Ok(PermitFrame::Charge(ask)) => {
-                self.charged(&ask);
+            Ok(PermitFrame::Request(request)) => {
+                Some(PermitFrame::Response(self.respond(&request)))
+            }
+            Ok(PermitFrame::Charge(request)) => {
+                self.apply_charge(&request);
                 None
             }
-            Ok(PermitFrame::Response(answer)) => {
-                self.permits.deliver(answer);
+            Ok(PermitFrame::Response(response)) => {
+                self.permits.deliver(response);
                 None
             }
             Err(cause) => {
                 counter!("badgerferry_datagrams_dropped_total", "why" => "malformed").increment(1);
-                tracing::debug!(%cause, "a datagram was dropped");
+                tracing::debug!(%cause, "permit datagram dropped");
                 None
             }
         }
     }
 
-    fn answer(&self, ask: &PermitRequest) -> PermitResponse {
-        let id = ask.id;
+    fn respond(&self, request: &PermitRequest) -> PermitResponse {
+        let id = request.id;
         if let Some(decision) = lock(&self.quotas).cached_response(id) {
             return PermitResponse { id, decision };
         }
-        self.take_limit(ask.limit_row);
-        let max_wait = Duration::from_millis(ask.max_wait_ms.into());
-        let decision = match self.keeper(&ask.hall) {
+        self.merge_limit(request.limit_row);
+        let max_wait = Duration::from_millis(request.max_wait_ms.into());
+        let decision = match self.quota_owner(&request.hall) {
             QuotaOwner::Local { shares } => {
-                self.decide(ask.limit_row.incarnation, shares, max_wait)
+                self.decide(request.limit_row.incarnation, shares, max_wait)
             }
             QuotaOwner::Remote(_) | QuotaOwner::Unknown => PermitDecision::NotOwner,
         };
@@ -360,16 +388,21 @@
         PermitResponse { id, decision }
     }
 
-    fn charged(&self, ask: &PermitRequest) {
-        self.take_limit(ask.limit_row);
+    fn apply_charge(&self, request: &PermitRequest) {
+        self.merge_limit(request.limit_row);
         let now = self.now();
-        let limit = lock(&self.notices).limits.limit(ask.limit_row.incarnation);
-        if let (Some(limit), QuotaOwner::Local { shares }) = (limit, self.keeper(&ask.hall)) {
-            lock(&self.quotas).charge(now, ask.limit_row.incarnation, limit.divided_by(shares));
+        let limit = lock(&self.notices)
+            .limits
+            .limit(request.limit_row.incarnation);
+        if let (Some(limit), QuotaOwner::Local { shares }) =
+            (limit, self.quota_owner(&request.hall))
+        {
+            lock(&self.quotas).charge(now, request.limit_row.incarnation, limit.divided_by(shares));
         }
     }
 
-    /// Takes what a server's answer to the call of this id says of it.
+    /// Records the notice in a server's response to the call with this ID, and announces changes to
+    /// other boxes.
     pub fn record_response(&self, id: &str, target: &Target, notice: &Notice, has_proof: bool) {
         log_unreadable(id, target, notice);
         let now = self.now();
@@ -384,18 +417,18 @@
         }
     }
 
-    /// Takes what another box tells of servers.
+    /// Merges server notices gossiped by another box.
     pub fn merge_rows(&self, rows: &NoticeRows, source: &str) {
         let changes = lock(&self.notices).merge_rows(self.now(), rows);
         self.log_changes(&changes, source);
         if is_urgent(&changes) {
-            // Other halls are told by whoever speaks for this one.
+            // The delegate of this hall informs the other halls.
             self.context.hall_changed.notify_one();
         }
     }
 
-    /// Takes the limit that a question tells of.
-    fn take_limit(&self, row: LimitRow) {
+    /// Merges the limit that came with a permit request.
+    fn merge_limit(&self, row: LimitRow) {
         let rows = NoticeRows {
             limits: vec![row],
             ..NoticeRows::default()
@@ -405,22 +438,22 @@
 
     fn log_changes(&self, changes: &NoticeChanges, source: &str) {
         let limits = changes.limits.iter().filter(|change| change.announce_now);
-        limits.for_each(|change| self.log(change, source));
-        for (lives, message) in [
+        limits.for_each(|change| self.log_limit_change(change, source));
+        for (incarnations, message) in [
             (&changes.leaving, "server leaves"),
             (&changes.shedding, "server sheds load"),
-            (&changes.recovered, "server takes calls again"),
+            (&changes.recovered, "server accepts calls again"),
         ] {
-            for life in lives {
-                let server = lock(&self.context.tracker).name_of(*life);
+            for incarnation in incarnations {
+                let server = lock(&self.context.tracker).name_of(*incarnation);
                 let server = server.map(tracing::field::display);
-                let life = format!("{:016x}", life.0);
+                let life = format!("{:016x}", incarnation.0);
                 tracing::info!(server, life, source, message);
             }
         }
     }
 
-    fn log(&self, change: &LimitChange, source: &str) {
+    fn log_limit_change(&self, change: &LimitChange, source: &str) {
         let server = lock(&self.context.tracker).name_of(change.incarnation);
         let server = server.map(tracing::field::display);
         let life = format!("{:016x}", change.incarnation.0);
@@ -440,13 +473,13 @@
     }
 }
 
-/// Whether other boxes are to know at once: each call there is one too many. Of a server that sheds
-/// they hear with the next datagram.
+/// Whether to inform other boxes at once, since each call they send meanwhile is one too many. A
+/// server that sheds load is reported with the next regular datagram.
 fn is_urgent(changes: &NoticeChanges) -> bool {
     changes.limits.iter().any(|change| change.announce_now) || !changes.leaving.is_empty()
 }
 
-fn question(target: &Target, limit_row: LimitRow, max_wait: Duration) -> PermitRequest {
+fn permit_request(target: &Target, limit_row: LimitRow, max_wait: Duration) -> PermitRequest {
     PermitRequest {
         id: rand::random(),
         hall: target.hall.clone(),
@@ -455,8 +488,8 @@
     }
 }
 
-/// A call was chosen for a server that takes none, and is chosen for another one.
-fn held_back(entrant: &PendingCall<'_>, availability: Availability) {
+/// Logs and counts a call that was not admitted; another server is chosen for it.
+fn log_held_back(call: &PendingCall<'_>, availability: Availability) {
     let why = match availability {
         Availability::Leaving => "leaving",
         Availability::BackOff => "back_off",
@@ -467,14 +500,14 @@
     };
     counter!("badgerferry_calls_held_back_total", "why" => why).increment(1);
     tracing::info!(
-        call = entrant.id,
-        server = %entrant.target.name,
+        call = call.id,
+        server = %call.target.name,
         why,
         "call held back from a server"
     );
 }
 
-/// Headers of a server that are there and can't be read.
+/// Logs and counts notice headers that are present but malformed.
 fn log_unreadable(id: &str, target: &Target, notice: &Notice) {
     let unreadable = [
         ("server-limit", notice.limit == ParsedHeader::Unreadable),
@@ -484,14 +517,18 @@
             notice.retry_after == ParsedHeader::Unreadable,
         ),
     ];
-    for (header, _) in unreadable.iter().filter(|(_, is_so)| *is_so) {
+    for (header, _) in unreadable
+        .iter()
+        .filter(|(_, is_unreadable)| *is_unreadable)
+    {
         counter!("badgerferry_headers_unreadable_total", "header" => *header).increment(1);
-        tracing::info!(call = id, server = %target.name, header, "a server's header can't be read");
+        tracing::info!(call = id, server = %target.name, header, "unreadable header in server response");
     }
 }
 
-/// A limited server was asked for: how long the call waits for its place, or when there is room.
-fn log_asked(entrant: &PendingCall<'_>, limit: CallRate, decision: Result<Duration, Duration>) {
+/// Logs and counts the outcome of a permit request: the wait of the call, or the time until a
+/// retry.
+fn log_permit(call: &PendingCall<'_>, limit: CallRate, decision: Result<Duration, Duration>) {
     let (outcome, lines) = match decision {
         Ok(_) => ("granted", &GOOD_LINES),
         Err(_) => ("full", &LATE_LINES),
@@ -501,8 +538,8 @@
         return;
     }
     tracing::info!(
-        call = entrant.id,
-        server = %entrant.target.name,
+        call = call.id,
+        server = %call.target.name,
         limit = limit.calls_per_second(),
         outcome,
         wait_ms = decision.ok().map(|wait| wait.as_millis() as u64),
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -154,7 +154,7 @@
 
         assert_eq!(served(&told), told.len(), "{odd:?}: {}", fleet.logs());
     }
-    let line = "a server's header can't be read";
+    let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
         .await
         .expect("a line");
--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -137,7 +137,7 @@
 
         assert_eq!(served(&told), told.len(), "{bad:?}: {}", fleet.logs());
     }
-    let line = "a server's header can't be read";
+    let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
         .await
         .expect("a line");
