--- a/daemon/tests/test_relay_crashes.rs
+++ b/daemon/tests/test_relay_crashes.rs
@@ -1,4 +1,4 @@
-//! Calls that end the servers which run them.
+//! Requests that crash the servers which run them, and their quarantine.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use badgerferry_standin::server::Server;
 use badgerferry_standin::store::Store;
 
-/// Body of the calls that end servers.
-const DEADLY: &str = "a prompt that ends whoever reads it";
-/// How long a server is away after its life has ended.
-const AWAY: Duration = Duration::from_millis(1_500);
-/// By then boxes that have just started know each other.
-const FOUND: Duration = Duration::from_millis(1_500);
-/// Servers that one piece of work may end.
-const MOST_LIVES: usize = 3;
-/// How long a server may still listen when its connections are closed.
-const LINGERS: Duration = Duration::from_millis(30);
-/// Between ends that are to count by themselves.
-const APART: Duration = Duration::from_millis(500);
-/// Where boxes enter themselves, as they find each other by it.
-const BOXES: &str = "badgerferry/boxes/";
-/// What a caller is told whose call ends servers.
-const REASON: &str = "ends_servers";
-
-/// Boxes before servers that a call can end.
+/// Body that makes a server crash.
+const CRASHING_BODY: &str = "a prompt that crashes its server";
+/// Time from a crash of a server to its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
+/// Time in which newly started boxes discover each other.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
+/// Maximum number of servers that one request may crash.
+const MAX_CRASHES: usize = 3;
+/// How long a crashing server listens after its connections are closed.
+const LINGER_TIME: Duration = Duration::from_millis(30);
+/// Interval between crashes that count separately.
+const CRASH_SPACING: Duration = Duration::from_millis(500);
+/// Store prefix of the box entries, by which boxes discover each other.
+const BOX_ENTRIES: &str = "badgerferry/boxes/";
+/// Refusal reason for a quarantined request.
+const REFUSAL_REASON: &str = "ends_servers";
+
+/// Boxes and servers that crash on requests with `CRASHING_BODY`.
 struct Fleet {
     store: Store,
     servers: Vec<Server>,
@@ -42,56 +42,57 @@
         Self::start_with(boxes, servers, |crashes| crashes).await
     }
 
-    /// With servers that end in their own way.
+    /// Starts servers that crash as configured.
     async fn start_with(
         boxes: usize,
         servers: usize,
-        end: impl Fn(Crashes) -> Crashes,
+        configure: impl Fn(Crashes) -> Crashes,
     ) -> anyhow::Result<Self> {
         let store = Store::start().await?;
         store.put_routes(&desired_state(3, &["key-1"]));
-        let mut rows = Vec::new();
-        for at in 0..servers {
-            let name = format!("i-{at}");
+        let mut started = Vec::new();
+        for index in 0..servers {
+            let name = format!("i-{index}");
             let server = Server::start(&name, "boards", Duration::from_millis(20)).await?;
-            server.crash_by(end(Crashes::by(DEADLY, AWAY, &store)));
+            server.crash_by(configure(Crashes::by(CRASHING_BODY, RESTART_DELAY, &store)));
             store.put(&server.key(), &server.entry("ready"));
-            rows.push(server);
+            started.push(server);
         }
         let mut fleet = Self {
             store,
-            servers: rows,
+            servers: started,
             boxes: Vec::new(),
         };
-        for at in 0..boxes {
+        for index in 0..boxes {
             fleet
-                .add_box(&format!("box-{at}"), &fleet.store.clone())
+                .add_box(&format!("box-{index}"), &fleet.store.clone())
                 .await?;
         }
-        for at in 1..boxes {
-            let entry = format!("box-{at}");
-            fleet.boxes[0].wait_line(&["box entry", &entry]).await?;
+        for index in 1..boxes {
+            let name = format!("box-{index}");
+            fleet.boxes[0].wait_line(&["box entry", &name]).await?;
         }
-        // The others ask for boxes once they hear one that they don't know.
-        tokio::time::sleep(FOUND).await;
+        // The other boxes query the box list once they hear an unknown box.
+        tokio::time::sleep(DISCOVERY_TIME).await;
         Ok(fleet)
     }
 
     async fn add_box(&mut self, name: &str, store: &Store) -> anyhow::Result<()> {
-        let one = RelayBox::start(name, store.address, &[])?;
-        one.wait_ready().await?;
-        self.boxes.push(one);
+        let relay_box = RelayBox::start(name, store.address, &[])?;
+        relay_box.wait_ready().await?;
+        self.boxes.push(relay_box);
         Ok(())
     }
 
-    fn lives_ended(&self) -> usize {
+    fn crash_count(&self) -> usize {
         self.servers.iter().map(Server::lives_ended).sum()
     }
 
-    /// Sends that reached a server.
-    fn deadly_sends(&self) -> usize {
+    /// Number of requests with `CRASHING_BODY` that reached a server.
+    fn crashing_sends(&self) -> usize {
         let seen = self.servers.iter().flat_map(Server::seen);
-        seen.filter(|seen| seen.body == DEADLY.as_bytes()).count()
+        seen.filter(|seen| seen.body == CRASHING_BODY.as_bytes())
+            .count()
     }
 
     fn logs(&self) -> String {
@@ -99,116 +100,141 @@
     }
 }
 
-async fn stream(at: &RelayBox, id: &str, body: &str) -> anyhow::Result<Answer> {
-    Caller::once(at.front(), &call("POST", "/stream/a", id, "", body)).await
+async fn stream(relay_box: &RelayBox, id: &str, body: &str) -> anyhow::Result<Answer> {
+    Caller::once(relay_box.front(), &call("POST", "/stream/a", id, "", body)).await
 }
 
-async fn ends_three_of_them(end: impl Fn(Crashes) -> Crashes) -> anyhow::Result<()> {
-    let fleet = Fleet::start_with(4, 12, end).await?;
+async fn assert_at_most_three_crashes(
+    configure: impl Fn(Crashes) -> Crashes,
+) -> anyhow::Result<()> {
+    let fleet = Fleet::start_with(4, 12, configure).await?;
 
     for round in 0..4 {
-        for (at, one) in fleet.boxes.iter().enumerate() {
-            stream(one, &format!("deadly-{round}-{at}"), DEADLY).await?;
+        for (index, relay_box) in fleet.boxes.iter().enumerate() {
+            stream(
+                relay_box,
+                &format!("crashing-{round}-{index}"),
+                CRASHING_BODY,
+            )
+            .await?;
         }
     }
 
-    let lives = fleet.lives_ended();
+    let crashes = fleet.crash_count();
     assert!(
-        lives <= MOST_LIVES,
-        "{lives} lives ended; logs:\n{}",
+        crashes <= MAX_CRASHES,
+        "{crashes} server crashes; logs:\n{}",
         fleet.logs()
     );
-    let last = stream(&fleet.boxes[0], "deadly-last", DEADLY).await?;
+    let last = stream(&fleet.boxes[0], "crashing-last", CRASHING_BODY).await?;
     assert_eq!(last.status, 503, "{last:?}");
     assert!(
-        last.body.contains(REASON) && last.header("retry-after").is_some(),
+        last.body.contains(REFUSAL_REASON) && last.header("retry-after").is_some(),
         "{last:?}"
     );
-    for (at, one) in fleet.boxes.iter().enumerate() {
-        let other = stream(one, &format!("other-{at}"), "another prompt").await?;
+    for (index, relay_box) in fleet.boxes.iter().enumerate() {
+        let other = stream(relay_box, &format!("other-{index}"), "another prompt").await?;
         assert_eq!((other.status, other.whole), (200, true), "{other:?}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn a_call_that_ends_servers_ends_three_of_them_at_whichever_boxes_it_comes()
--> anyhow::Result<()> {
-    ends_three_of_them(|crashes| crashes).await
+async fn request_crashes_at_most_three_servers_across_boxes() -> anyhow::Result<()> {
+    assert_at_most_three_crashes(|crashes| crashes).await
 }
 
 #[tokio::test]
-async fn a_server_that_listens_on_for_a_moment_while_it_ends_counts_as_ended() -> anyhow::Result<()>
-{
-    ends_three_of_them(|crashes| crashes.lingering(LINGERS)).await
+async fn crash_is_detected_when_the_server_stops_listening_late() -> anyhow::Result<()> {
+    assert_at_most_three_crashes(|crashes| crashes.lingering(LINGER_TIME)).await
 }
 
 #[tokio::test]
-async fn a_server_that_closes_new_connections_while_it_ends_counts_as_ended() -> anyhow::Result<()>
-{
-    ends_three_of_them(|crashes| crashes.lingering(LINGERS).closing()).await
+async fn crash_is_detected_when_the_server_closes_new_connections() -> anyhow::Result<()> {
+    assert_at_most_three_crashes(|crashes| crashes.lingering(LINGER_TIME).closing()).await
 }
 
-/// The news must reach a box that hears no other one, and a box that has only just started.
+/// Guards against a quarantine that does not reach a box without live peers, or a box that starts
+/// after it.
 #[tokio::test]
-async fn a_box_that_is_cut_off_from_the_others_or_just_started_sends_it_to_no_server()
--> anyhow::Result<()> {
+async fn partitioned_and_newly_started_boxes_refuse_quarantined_requests() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(2, 12).await?;
-    let door = fleet.store.door_without(BOXES).await?;
-    fleet.add_box("box-alone", &door).await?;
+    let partitioned_store = fleet.store.door_without(BOX_ENTRIES).await?;
+    fleet.add_box("box-alone", &partitioned_store).await?;
     for round in 0..4 {
-        for (at, one) in fleet.boxes[..2].iter().enumerate() {
-            stream(one, &format!("deadly-{round}-{at}"), DEADLY).await?;
+        for (index, relay_box) in fleet.boxes[..2].iter().enumerate() {
+            stream(
+                relay_box,
+                &format!("crashing-{round}-{index}"),
+                CRASHING_BODY,
+            )
+            .await?;
         }
     }
     fleet.add_box("box-new", &fleet.store.clone()).await?;
     fleet.boxes[0].restart()?;
     fleet.boxes[0].wait_ready().await?;
-    // A box that hears no other one follows the store; by then its news are there.
+    // A partitioned box learns the quarantine from the store within this time.
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let before = fleet.deadly_sends();
+    let sends_before = fleet.crashing_sends();
 
     for round in 0..2 {
-        for (at, one) in fleet.boxes.iter().enumerate() {
-            let answer = stream(one, &format!("late-{round}-{at}"), DEADLY).await?;
-            assert_eq!(answer.status, 503, "box {at}; logs:\n{}", fleet.logs());
+        for (index, relay_box) in fleet.boxes.iter().enumerate() {
+            let answer = stream(relay_box, &format!("late-{round}-{index}"), CRASHING_BODY).await?;
+            assert_eq!(answer.status, 503, "box {index}; logs:\n{}", fleet.logs());
         }
     }
 
-    assert_eq!(fleet.deadly_sends(), before, "logs:\n{}", fleet.logs());
+    assert_eq!(
+        fleet.crashing_sends(),
+        sends_before,
+        "logs:\n{}",
+        fleet.logs()
+    );
     Ok(())
 }
 
-/// Callers come at all boxes in the same moments, so that runs overlap before anyone can know.
+/// Guards against many crashes when calls reach all boxes at once, so that runs overlap before any
+/// crash is known.
 #[tokio::test]
-async fn callers_that_come_at_all_boxes_at_once_end_hardly_more_servers() -> anyhow::Result<()> {
+async fn concurrent_calls_at_all_boxes_crash_few_more_servers() -> anyhow::Result<()> {
     let fleet = Fleet::start(4, 16).await?;
 
     for round in 0..6 {
-        let calls = fleet.boxes.iter().enumerate().map(|(at, one)| async move {
-            // They come one after the other, faster than a server ends.
-            tokio::time::sleep(Duration::from_millis(5 * at as u64)).await;
-            stream(one, &format!("deadly-{round}-{at}"), DEADLY).await
-        });
+        let calls = fleet
+            .boxes
+            .iter()
+            .enumerate()
+            .map(|(index, relay_box)| async move {
+                // The calls are staggered by less than the time a server takes to crash.
+                tokio::time::sleep(Duration::from_millis(5 * index as u64)).await;
+                stream(
+                    relay_box,
+                    &format!("crashing-{round}-{index}"),
+                    CRASHING_BODY,
+                )
+                .await
+            });
         for answer in futures::future::join_all(calls).await {
             answer?;
         }
     }
 
-    // The first calls of four boxes were under way before the first server had ended.
-    let most = fleet.boxes.len() - 1 + MOST_LIVES;
-    let lives = fleet.lives_ended();
+    // The first calls of all boxes are in progress before the first server has crashed.
+    let max_crashes = fleet.boxes.len() - 1 + MAX_CRASHES;
+    let crashes = fleet.crash_count();
     assert!(
-        lives <= most,
-        "{lives} lives ended; logs:\n{}",
+        crashes <= max_crashes,
+        "{crashes} server crashes; logs:\n{}",
         fleet.logs()
     );
     Ok(())
 }
 
-/// Many equal calls of one caller while servers end for reasons of their own.
+/// Guards against a quarantine of equal calls that were running when servers crashed for other
+/// reasons.
 #[tokio::test]
-async fn equal_calls_on_servers_that_end_by_themselves_are_not_blamed() -> anyhow::Result<()> {
+async fn equal_calls_are_not_quarantined_for_unrelated_crashes() -> anyhow::Result<()> {
     let fleet = Fleet::start(2, 12).await?;
     let boxes = &fleet.boxes;
     let callers = (0..12).map(|caller| async move {
@@ -219,7 +245,7 @@
         }
         anyhow::Ok(answers)
     });
-    let faults = async {
+    let unrelated_crashes = async {
         for wave in 0..3 {
             tokio::time::sleep(Duration::from_millis(400)).await;
             fleet.servers[wave * 4..wave * 4 + 4]
@@ -228,12 +254,12 @@
         }
     };
 
-    let (answers, ()) = tokio::join!(futures::future::join_all(callers), faults);
+    let (answers, ()) = tokio::join!(futures::future::join_all(callers), unrelated_crashes);
 
     for answer in answers {
         for answer in answer? {
             assert!(
-                !answer.body.contains(REASON),
+                !answer.body.contains(REFUSAL_REASON),
                 "{answer:?}; logs:\n{}",
                 fleet.logs()
             );
@@ -242,88 +268,100 @@
     Ok(())
 }
 
-/// Calls that may not be repeated are sent once each; their callers come again all the same.
+/// Guards against more crashes by calls that are never retried by a box, but sent again by their
+/// callers.
 #[tokio::test]
-async fn plain_calls_that_end_servers_are_held_and_told_that_they_have_not_run()
--> anyhow::Result<()> {
+async fn quarantined_unary_calls_are_refused_as_not_run() -> anyhow::Result<()> {
     let fleet = Fleet::start(2, 8).await?;
     for round in 0..6 {
-        let text = call("POST", "/once/a", &format!("deadly-{round}"), "", DEADLY);
-        Caller::once(fleet.boxes[round % 2].front(), &text).await?;
+        let request = call(
+            "POST",
+            "/once/a",
+            &format!("crashing-{round}"),
+            "",
+            CRASHING_BODY,
+        );
+        Caller::once(fleet.boxes[round % 2].front(), &request).await?;
     }
-    let before = fleet.deadly_sends();
+    let sends_before = fleet.crashing_sends();
 
-    let text = call("POST", "/once/a", "deadly-last", "", DEADLY);
-    let last = Caller::once(fleet.boxes[0].front(), &text).await?;
+    let request = call("POST", "/once/a", "crashing-last", "", CRASHING_BODY);
+    let last = Caller::once(fleet.boxes[0].front(), &request).await?;
 
-    assert_eq!(fleet.lives_ended(), MOST_LIVES, "logs:\n{}", fleet.logs());
-    assert_eq!((last.status, fleet.deadly_sends()), (503, before));
+    assert_eq!(fleet.crash_count(), MAX_CRASHES, "logs:\n{}", fleet.logs());
+    assert_eq!((last.status, fleet.crashing_sends()), (503, sends_before));
     assert!(last.body.contains("\"may_have_run\":false"), "{last:?}");
     Ok(())
 }
 
-/// The end of an answer without a length looks whole, also where it is its server's own.
+/// Guards against missed crashes: a response without a length looks complete when its server
+/// crashes.
 #[tokio::test]
-async fn servers_that_end_under_answers_without_a_length_count_as_well() -> anyhow::Result<()> {
+async fn crashes_during_responses_without_length_count() -> anyhow::Result<()> {
     let fleet = Fleet::start(2, 8).await?;
     for server in &fleet.servers {
-        server.crash_by(Crashes::by(DEADLY, AWAY, &fleet.store).unframed());
+        server.crash_by(Crashes::by(CRASHING_BODY, RESTART_DELAY, &fleet.store).unframed());
     }
 
     for round in 0..6 {
-        stream(&fleet.boxes[round % 2], &format!("deadly-{round}"), DEADLY).await?;
+        stream(
+            &fleet.boxes[round % 2],
+            &format!("crashing-{round}"),
+            CRASHING_BODY,
+        )
+        .await?;
     }
 
-    assert_eq!(fleet.lives_ended(), MOST_LIVES, "logs:\n{}", fleet.logs());
-    let last = stream(&fleet.boxes[0], "deadly-last", DEADLY).await?;
+    assert_eq!(fleet.crash_count(), MAX_CRASHES, "logs:\n{}", fleet.logs());
+    let last = stream(&fleet.boxes[0], "crashing-last", CRASHING_BODY).await?;
     assert_eq!(last.status, 503);
     Ok(())
 }
 
 #[tokio::test]
-async fn servers_that_said_they_leave_and_end_under_a_call_blame_no_work() -> anyhow::Result<()> {
+async fn crashes_of_leaving_servers_do_not_count() -> anyhow::Result<()> {
     let fleet = Fleet::start(1, 4).await?;
-    let (stays, leaving) = fleet.servers.split_last().expect("servers");
+    let (staying, leaving) = fleet.servers.split_last().expect("servers");
     for server in leaving {
         server.say_leaving(Some("1"));
         server.usually(Behaviour::SilentAfter(1));
     }
     let body = "a prompt that servers leave under";
-    let ends = async {
+    let crash_leaving = async {
         for _ in 0..200 {
             tokio::time::sleep(Duration::from_millis(30)).await;
-            let runs = |server: &&Server| {
+            let is_running = |server: &&Server| {
                 server.lives_ended() == 0 && server.working.load(Ordering::SeqCst) > 0
             };
-            if let Some(server) = leaving.iter().find(runs) {
-                // Ends that lie close together count as one.
-                tokio::time::sleep(APART).await;
+            if let Some(server) = leaving.iter().find(is_running) {
+                // Crashes that are close together would count as one.
+                tokio::time::sleep(CRASH_SPACING).await;
                 server.usually(Behaviour::Serve);
                 server.crash();
             }
         }
     };
     let calls = async {
-        let mut told = Vec::new();
+        let mut answers = Vec::new();
         for round in 0..12 {
-            told.push(stream(&fleet.boxes[0], &format!("call-{round}"), body).await?);
+            answers.push(stream(&fleet.boxes[0], &format!("call-{round}"), body).await?);
         }
-        anyhow::Ok(told)
+        anyhow::Ok(answers)
     };
 
-    let told = tokio::select! {
-        told = calls => told?,
-        () = ends => anyhow::bail!("the calls do not end"),
+    let answers = tokio::select! {
+        answers = calls => answers?,
+        () = crash_leaving => anyhow::bail!("the calls did not end before the crashes were done"),
     };
 
-    assert!(fleet.lives_ended() >= 3, "{}", fleet.lives_ended());
-    for answer in told {
+    assert!(fleet.crash_count() >= 3, "{}", fleet.crash_count());
+    for answer in answers {
         assert!(
-            !answer.body.contains(REASON),
+            !answer.body.contains(REFUSAL_REASON),
             "{answer:?}; {}",
             fleet.logs()
         );
     }
-    assert_eq!(stays.lives_ended(), 0);
+    assert_eq!(staying.lives_ended(), 0);
     Ok(())
 }
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -1,4 +1,5 @@
-//! Servers that say in their answers that they leave, while the store tells nothing of it.
+//! Servers that announce in their responses that they are leaving, while the store is silent about
+//! it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,22 +17,28 @@
 use crate::relay_fleet::SHORT_PROMPT;
 use crate::relay_fleet::served;
 
-/// Calls before a server begins to leave.
+/// Load before a server starts to leave.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// By then all boxes know it from the one that was told first.
-const SPREAD: Duration = Duration::from_millis(250);
-/// Longer than a box goes by what others guess.
-const WATCHED: Duration = Duration::from_secs(5);
+/// Time in which the first notified box informs all others.
+const PROPAGATION_TIME: Duration = Duration::from_millis(250);
+/// Exceeds the time for which a box relies on what other boxes infer about a server.
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
-/// Calls that came later than the boxes have to know by; the first one after `since` carries the news.
+/// Counts calls that arrived after all boxes must be informed. The response to the first call after
+/// `since` is the first notice.
 fn late_calls(server: &Server, since: Instant) -> usize {
     let times = server.seen().into_iter().filter_map(|seen| seen.at);
     let times: Vec<Instant> = times.filter(|at| *at >= since).collect();
-    let known = times.first().map(|first| *first + SPREAD);
-    times.iter().filter(|at| Some(**at) > known).count()
+    let informed_at = times.first().map(|first| *first + PROPAGATION_TIME);
+    times.iter().filter(|at| Some(**at) > informed_at).count()
 }
 
-async fn one_of_six_leaves(boxes: usize, service: &str, path: &str, extra: &str) {
+async fn assert_leaving_server_gets_no_late_calls(
+    boxes: usize,
+    service: &str,
+    path: &str,
+    extra: &str,
+) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
     fleet.press(path, extra, WARM_UP).await;
     fleet.store.set_mode(Mode::Silent);
@@ -39,30 +46,39 @@
     leaving.say_leaving(Some("1"));
     let since = Instant::now();
 
-    let told = fleet.press(path, extra, WATCHED).await;
+    let answers = fleet.press(path, extra, OBSERVATION_TIME).await;
 
     let late = late_calls(leaving, since);
-    assert_eq!(late, 0, "calls; logs:\n{}", fleet.logs());
-    assert_eq!(served(&told), told.len(), "no call needs that server");
+    assert_eq!(
+        late,
+        0,
+        "calls to a leaving server; logs:\n{}",
+        fleet.logs()
+    );
+    assert_eq!(
+        served(&answers),
+        answers.len(),
+        "other servers can serve all calls"
+    );
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_gets_no_more_calls_from_one_box() {
-    one_of_six_leaves(1, "boards", "/again/a", "").await;
+async fn leaving_server_gets_no_calls_from_one_box() {
+    assert_leaving_server_gets_no_late_calls(1, "boards", "/again/a", "").await;
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_gets_no_more_calls_from_four_boxes() {
-    one_of_six_leaves(4, "boards", "/again/a", "").await;
+async fn leaving_server_gets_no_calls_from_four_boxes() {
+    assert_leaving_server_gets_no_late_calls(4, "boards", "/again/a", "").await;
 }
 
 #[tokio::test]
-async fn an_engine_that_leaves_gets_no_more_calls_from_four_boxes() {
-    one_of_six_leaves(4, "engines", "/long/stream", SHORT_PROMPT).await;
+async fn leaving_engine_gets_no_calls_from_four_boxes() {
+    assert_leaving_server_gets_no_late_calls(4, "engines", "/long/stream", SHORT_PROMPT).await;
 }
 
 #[tokio::test]
-async fn where_all_servers_leave_callers_hear_so_at_once() {
+async fn calls_are_refused_at_once_when_all_servers_are_leaving() {
     let fleet = Fleet::start(2, 3, "boards").await.expect("a fleet");
     fleet.store.set_mode(Mode::Silent);
     for server in &fleet.servers {
@@ -70,23 +86,23 @@
     }
     fleet.press("/again/a", "", WARM_UP).await;
 
-    let told = fleet.press("/again/a", "", WARM_UP).await;
+    let answers = fleet.press("/again/a", "", WARM_UP).await;
 
-    for (answer, took) in told {
+    for (answer, took) in answers {
         assert_eq!(answer.status, 503, "{answer:?}; {}", fleet.logs());
         assert!(answer.body.contains("servers_leaving"), "{answer:?}");
         assert!(answer.header("retry-after").is_some(), "{answer:?}");
-        assert!(took < Duration::from_millis(500), "held for {took:?}");
+        assert!(took < Duration::from_millis(500), "refused after {took:?}");
     }
 }
 
 #[tokio::test]
-async fn a_stream_that_a_leaving_server_runs_goes_on_to_its_end() {
+async fn stream_on_a_leaving_server_completes() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
     fleet.servers[0].say_leaving(Some("1"));
-    let text = call("POST", "/stream/a", "stream", "", "a prompt");
+    let request = call("POST", "/stream/a", "stream", "", "a prompt");
 
-    let answer = Caller::once(fleet.boxes[0].front(), &text).await;
+    let answer = Caller::once(fleet.boxes[0].front(), &request).await;
 
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 200, "{answer:?}");
@@ -94,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_starts_again_under_its_name_gets_calls_again() {
+async fn restarted_server_of_the_same_name_gets_calls() {
     let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.crash_by(Crashes::by("", Duration::from_millis(300), &fleet.store));
@@ -103,22 +119,24 @@
 
     server.crash();
 
-    for one in &fleet.boxes {
+    for relay_box in &fleet.boxes {
         let mut at = 0;
         let mut status = 0;
         while status != 200 && at < 200 {
             at += 1;
-            let text = call("POST", "/again/a", &format!("again-{at}"), "", "");
-            let answer = Caller::once(one.front(), &text).await.unwrap_or_default();
+            let request = call("POST", "/again/a", &format!("again-{at}"), "", "");
+            let answer = Caller::once(relay_box.front(), &request)
+                .await
+                .unwrap_or_default();
             status = answer.status;
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(status, 200, "{}", one.log());
+        assert_eq!(status, 200, "{}", relay_box.log());
     }
 }
 
 #[tokio::test]
-async fn a_box_that_starts_while_the_store_is_away_learns_which_servers_leave() {
+async fn box_started_during_store_outage_learns_leaving_servers() {
     let mut fleet = Fleet::start(1, 3, "boards").await.expect("a fleet");
     let leaving = fleet.servers[0].clone();
     leaving.say_leaving(Some("1"));
@@ -128,11 +146,11 @@
     fleet.store.set_mode(Mode::Silent);
     let seeds = [fleet.boxes[0].ip];
     let late = RelayBox::start("box-late", fleet.store.address, &seeds).expect("a box");
-    late.wait_ready().await.expect("it has routes");
+    late.wait_ready().await.expect("box has routes");
     fleet.boxes = vec![late];
     let since = Instant::now();
 
-    let told = fleet.press("/again/a", "", WATCHED).await;
+    let answers = fleet.press("/again/a", "", OBSERVATION_TIME).await;
 
     let times = leaving.seen().into_iter().filter_map(|seen| seen.at);
     assert_eq!(
@@ -141,18 +159,18 @@
         "{}",
         fleet.logs()
     );
-    assert_eq!(served(&told), told.len());
+    assert_eq!(served(&answers), answers.len());
 }
 
 #[tokio::test]
-async fn what_is_no_flag_of_leaving_takes_no_server_away() {
+async fn malformed_leaving_header_is_ignored() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
     for odd in ["0", "", "yes", "11"] {
         fleet.servers[0].say_leaving(Some(odd));
 
-        let told = fleet.press("/again/a", "", WARM_UP).await;
+        let answers = fleet.press("/again/a", "", WARM_UP).await;
 
-        assert_eq!(served(&told), told.len(), "{odd:?}: {}", fleet.logs());
+        assert_eq!(served(&answers), answers.len(), "{odd:?}: {}", fleet.logs());
     }
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
@@ -160,23 +178,24 @@
         .expect("a line");
 }
 
-/// What another server says at the same address is not this one's word.
+/// Guards against attributing a notice to the expected server when another one responds at its
+/// address.
 #[tokio::test]
-async fn an_answer_of_another_server_takes_no_server_away() {
+async fn leaving_header_of_another_server_is_ignored() {
     let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
     for server in &fleet.servers {
         server.say_leaving(Some("1"));
         server.next(&[Behaviour::ForeignId]);
     }
-    let text = call("POST", "/again/a", "first", "", "");
-    // Its answers are unusable; what counts is that the servers are used later on.
-    let _ = Caller::once(fleet.boxes[0].front(), &text).await;
+    let request = call("POST", "/again/a", "first", "", "");
+    // These responses are unusable; the test checks that the servers are used afterwards.
+    let _ = Caller::once(fleet.boxes[0].front(), &request).await;
     for server in &fleet.servers {
         server.say_leaving(None);
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
 
-    let told = fleet.press("/again/a", "", WARM_UP).await;
+    let answers = fleet.press("/again/a", "", WARM_UP).await;
 
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
 }
--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -1,4 +1,4 @@
-//! Servers that name the calls a second which they take from all boxes together.
+//! Servers that state a limit of calls per second from all boxes together.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,15 +15,15 @@
 use crate::relay_fleet::SHORT_PROMPT;
 use crate::relay_fleet::served;
 
-/// A limit must be in force so long after it was first named.
-const IN_FORCE: Duration = Duration::from_secs(1);
-/// What a limit counts over.
+/// Time after which a newly stated limit must be enforced.
+const ENFORCEMENT_DELAY: Duration = Duration::from_secs(1);
+/// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How many more than the limit allows a server may get in a window.
-const SLACK: f64 = 2.0;
+/// Requests per window by which a limit may be exceeded.
+const ALLOWED_EXCESS: f64 = 2.0;
 
-/// Most requests that came within a window that begins then or later.
-fn most_in_window(server: &Server, from: Instant) -> usize {
+/// Maximum number of requests in any window that starts at `from` or later.
+fn max_in_window(server: &Server, from: Instant) -> usize {
     let arrivals = server.arrivals();
     let from = arrivals.partition_point(|at| *at < from);
     let later = &arrivals[from..];
@@ -31,111 +31,122 @@
     (0..later.len()).map(within).max().unwrap_or_default()
 }
 
-fn allowed(limit: f64) -> usize {
-    (limit * WINDOW.as_secs_f64() + SLACK) as usize
+fn max_allowed(limit: f64) -> usize {
+    (limit * WINDOW.as_secs_f64() + ALLOWED_EXCESS) as usize
 }
 
-async fn one_of_six_is_limited(boxes: usize, service: &str, path: &str, extra: &str) {
+async fn assert_limit_of_one_server_holds(boxes: usize, service: &str, path: &str, extra: &str) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.press(path, extra, IN_FORCE).await;
+    fleet.press(path, extra, ENFORCEMENT_DELAY).await;
     let busiest = fleet.busiest();
     busiest.name_limit(Some("1"));
-    fleet.press(path, extra, IN_FORCE).await;
+    fleet.press(path, extra, ENFORCEMENT_DELAY).await;
     let from = Instant::now();
 
-    let told = fleet.press(path, extra, Duration::from_secs(6)).await;
+    let answers = fleet.press(path, extra, Duration::from_secs(6)).await;
 
-    let most = most_in_window(busiest, from);
+    let max_arrivals = max_in_window(busiest, from);
     assert!(
-        most <= allowed(1.0),
-        "{most} requests in 4 s; logs:\n{}",
+        max_arrivals <= max_allowed(1.0),
+        "{max_arrivals} requests in 4 s; logs:\n{}",
         fleet.logs()
     );
-    assert_eq!(served(&told), told.len(), "no call needs that server");
+    assert_eq!(
+        served(&answers),
+        answers.len(),
+        "other servers can serve all calls"
+    );
 }
 
 #[tokio::test]
-async fn a_server_gets_no_more_calls_than_it_says_from_one_box() {
-    one_of_six_is_limited(1, "boards", "/again/a", "").await;
+async fn limit_holds_for_one_box() {
+    assert_limit_of_one_server_holds(1, "boards", "/again/a", "").await;
 }
 
 #[tokio::test]
-async fn a_server_gets_no_more_calls_than_it_says_from_four_boxes_together() {
-    one_of_six_is_limited(4, "boards", "/again/a", "").await;
+async fn limit_holds_for_four_boxes_together() {
+    assert_limit_of_one_server_holds(4, "boards", "/again/a", "").await;
 }
 
 #[tokio::test]
-async fn an_engine_gets_no_more_calls_than_it_says_from_four_boxes_together() {
-    one_of_six_is_limited(4, "engines", "/long/stream", SHORT_PROMPT).await;
+async fn engine_limit_holds_for_four_boxes_together() {
+    assert_limit_of_one_server_holds(4, "engines", "/long/stream", SHORT_PROMPT).await;
 }
 
 #[tokio::test]
-async fn where_all_servers_are_limited_they_get_what_they_take_and_callers_hear_so_at_once() {
+async fn limited_servers_are_used_fully_and_excess_calls_are_refused_at_once() {
     let limit = 4.0;
     let fleet = Fleet::start(4, 3, "boards").await.expect("a fleet");
     for server in &fleet.servers {
         server.name_limit(Some("4"));
     }
-    fleet.press("/again/a", "", IN_FORCE * 2).await;
+    fleet.press("/again/a", "", ENFORCEMENT_DELAY * 2).await;
     let from = Instant::now();
-    let lasts = Duration::from_secs(8);
+    let duration = Duration::from_secs(8);
 
-    let told = fleet.press("/again/a", "", lasts).await;
+    let answers = fleet.press("/again/a", "", duration).await;
 
     for server in &fleet.servers {
-        let most = most_in_window(server, from);
-        assert!(most <= allowed(limit), "{most} in 4 s; {}", fleet.logs());
+        let max_arrivals = max_in_window(server, from);
+        assert!(
+            max_arrivals <= max_allowed(limit),
+            "{max_arrivals} in 4 s; {}",
+            fleet.logs()
+        );
     }
-    let usable = limit * fleet.servers.len() as f64 * lasts.as_secs_f64();
-    let served = served(&told);
-    assert!(served as f64 >= 0.9 * usable, "{served} of {usable} served");
-    let refused = told.iter().filter(|(answer, _)| answer.status != 200);
+    let capacity = limit * fleet.servers.len() as f64 * duration.as_secs_f64();
+    let served = served(&answers);
+    assert!(
+        served as f64 >= 0.9 * capacity,
+        "{served} of {capacity} served"
+    );
+    let refused = answers.iter().filter(|(answer, _)| answer.status != 200);
     for (answer, took) in refused {
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(answer.body.contains("servers_limited"), "{answer:?}");
         assert!(answer.header("retry-after").is_some(), "{answer:?}");
-        assert!(*took < Duration::from_secs(1), "held for {took:?}");
+        assert!(*took < Duration::from_secs(1), "refused after {took:?}");
     }
 }
 
 #[tokio::test]
-async fn a_limit_ends_with_the_servers_word_at_all_boxes() {
+async fn lifted_limit_ends_at_all_boxes() {
     let fleet = Fleet::start(3, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.name_limit(Some("2"));
-    fleet.press("/again/a", "", IN_FORCE).await;
+    fleet.press("/again/a", "", ENFORCEMENT_DELAY).await;
     server.name_limit(None);
 
-    for one in &fleet.boxes {
-        let free = async || {
+    for relay_box in &fleet.boxes {
+        let limit_lifted = async || {
             fleet
                 .press("/again/a", "", Duration::from_millis(100))
                 .await;
-            one.log().contains("server names no limit any more")
+            relay_box.log().contains("server names no limit any more")
         };
-        let mut is_free = false;
+        let mut is_lifted = false;
         for _ in 0..50 {
-            is_free = is_free || free().await;
+            is_lifted = is_lifted || limit_lifted().await;
         }
-        assert!(is_free, "{}", one.log());
+        assert!(is_lifted, "{}", relay_box.log());
     }
-    let told = fleet.press("/again/a", "", Duration::from_secs(1)).await;
+    let answers = fleet.press("/again/a", "", Duration::from_secs(1)).await;
 
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
-async fn a_limit_that_can_not_be_read_limits_nothing_and_loses_nothing() {
+async fn malformed_limit_is_ignored() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     for bad in ["", "-1", "NaN", "much"] {
         server.name_limit(Some(bad));
 
-        let told = fleet
+        let answers = fleet
             .press("/again/a", "", Duration::from_millis(300))
             .await;
 
-        assert_eq!(served(&told), told.len(), "{bad:?}: {}", fleet.logs());
+        assert_eq!(served(&answers), answers.len(), "{bad:?}: {}", fleet.logs());
     }
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
@@ -143,41 +154,41 @@
         .expect("a line");
 }
 
-/// A stream whose server breaks off goes on where a place comes within a second, though first tries take
-/// all there are.
+/// Guards against truncated streams: a stream whose server breaks off has to resume if quota is
+/// available within a second, though first attempts of other calls use up the quota.
 #[tokio::test]
-async fn a_stream_that_has_begun_waits_for_its_place_at_a_limited_server() {
+async fn started_stream_waits_for_quota_of_a_limited_server() {
     let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.name_limit(Some("3"));
-    fleet.press("/again/a", "", IN_FORCE).await;
+    fleet.press("/again/a", "", ENFORCEMENT_DELAY).await;
     let front = fleet.boxes[0].front();
-    let lasts = Duration::from_secs(8);
-    let until = Instant::now() + lasts;
+    let duration = Duration::from_secs(8);
+    let until = Instant::now() + duration;
     let streams = async {
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         server.usually(Behaviour::BreakAfter(3));
         for at in 0.. {
-            let text = call("POST", "/stream/a", &format!("stream-{at}"), "", "a prompt");
+            let request = call("POST", "/stream/a", &format!("stream-{at}"), "", "a prompt");
             let sent = Instant::now();
-            let answer = Caller::once(front, &text).await.unwrap_or_default();
+            let answer = Caller::once(front, &request).await.unwrap_or_default();
             let took = sent.elapsed();
             assert!(took < HELD, "{took:?}: {answer:?}; {}", fleet.logs());
             if answer.status == 200 {
-                begun.push(answer);
+                started.push(answer);
             }
-            if begun.len() == 4 || Instant::now() >= until {
+            if started.len() == 4 || Instant::now() >= until {
                 break;
             }
             tokio::time::sleep(PAUSE).await;
         }
-        begun
+        started
     };
 
-    let (begun, _others) = tokio::join!(streams, fleet.press("/again/a", "", lasts));
+    let (started, _others) = tokio::join!(streams, fleet.press("/again/a", "", duration));
 
-    assert!(!begun.is_empty(), "no stream began; {}", fleet.logs());
-    for answer in begun {
+    assert!(!started.is_empty(), "no stream began; {}", fleet.logs());
+    for answer in started {
         assert!(answer.whole, "{answer:?}; {}", fleet.logs());
     }
 }
--- a/daemon/tests/test_relay_shedding.rs
+++ b/daemon/tests/test_relay_shedding.rs
@@ -1,4 +1,4 @@
-//! Servers that turn calls away and name a time for which they want none.
+//! Servers that shed load: they reject calls and request a pause.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,37 +14,43 @@
 use crate::relay_fleet::SHORT_PROMPT;
 use crate::relay_fleet::served;
 
-/// Calls before a server begins to shed.
+/// Load before a server starts to shed.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// How long servers ask for, in seconds and as a time.
+/// Requested pause, as header value in seconds and as a duration.
 const PAUSE_TEXT: &str = "2";
 const PAUSE: Duration = Duration::from_secs(2);
-/// Calls that were on their way when a server asked for a pause may still come so long after.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
-/// Three pauses.
-const WATCHED: Duration = Duration::from_secs(6);
+/// Time in which calls may still arrive that were in flight when a server requested a pause.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+/// Time for three pauses.
+const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
-/// The box that a call of [`Fleet::press`] came from.
+/// Box index in the ID of a call of [`Fleet::press`].
 fn box_of(seen: &Seen) -> Option<&str> {
     seen.id().split('-').nth(1)
 }
 
-/// Most calls of one box that came within a pause it had been asked for.
-fn most_in_a_pause(server: &Server) -> usize {
+/// Maximum number of calls of one box in a pause that the server requested from it.
+fn max_calls_in_pause(server: &Server) -> usize {
     let seen = server.seen();
-    let within = |declined: &Seen| {
-        let asked = declined.at.expect("a time");
-        let from_the_box = seen.iter().filter(|call| box_of(call) == box_of(declined));
-        let times = from_the_box.filter_map(|call| call.at);
+    let within = |rejected: &Seen| {
+        let rejected_at = rejected.at.expect("a time");
+        let calls_of_box = seen.iter().filter(|call| box_of(call) == box_of(rejected));
+        let times = calls_of_box.filter_map(|call| call.at);
         times
-            .filter(|at| *at > asked + ON_THEIR_WAY && *at < asked + PAUSE)
+            .filter(|at| *at > rejected_at + IN_FLIGHT_TIME && *at < rejected_at + PAUSE)
             .count()
     };
-    let declined = seen.iter().filter(|call| !call.ran);
-    declined.map(within).max().unwrap_or_default()
+    let rejected = seen.iter().filter(|call| !call.ran);
+    rejected.map(within).max().unwrap_or_default()
 }
 
-async fn some_of_six_shed(shedding: usize, boxes: usize, service: &str, path: &str, extra: &str) {
+async fn assert_no_calls_in_pauses(
+    shedding: usize,
+    boxes: usize,
+    service: &str,
+    path: &str,
+    extra: &str,
+) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
     fleet.press(path, extra, WARM_UP).await;
     let mut servers: Vec<&Server> = fleet.servers.iter().collect();
@@ -54,62 +60,76 @@
         server.shed(Some(PAUSE_TEXT));
     }
 
-    let told = fleet.press(path, extra, WATCHED).await;
+    let answers = fleet.press(path, extra, OBSERVATION_TIME).await;
 
     for server in servers {
-        let most = most_in_a_pause(server);
-        assert_eq!(most, 0, "calls in a pause; logs:\n{}", fleet.logs());
+        let max_calls = max_calls_in_pause(server);
+        assert_eq!(
+            max_calls,
+            0,
+            "calls during a pause; logs:\n{}",
+            fleet.logs()
+        );
     }
-    assert_eq!(served(&told), told.len(), "no call needs these servers");
+    assert_eq!(
+        served(&answers),
+        answers.len(),
+        "other servers can serve all calls"
+    );
 }
 
 #[tokio::test]
-async fn a_server_that_sheds_gets_nothing_from_the_box_until_its_pause_is_over() {
-    some_of_six_shed(1, 1, "boards", "/again/a", "").await;
+async fn shedding_server_gets_no_calls_from_one_box_in_its_pause() {
+    assert_no_calls_in_pauses(1, 1, "boards", "/again/a", "").await;
 }
 
 #[tokio::test]
-async fn two_servers_that_shed_get_nothing_from_four_boxes_in_their_pauses() {
-    some_of_six_shed(2, 4, "boards", "/again/a", "").await;
+async fn two_shedding_servers_get_no_calls_from_four_boxes_in_their_pauses() {
+    assert_no_calls_in_pauses(2, 4, "boards", "/again/a", "").await;
 }
 
 #[tokio::test]
-async fn two_engines_that_shed_get_nothing_from_four_boxes_in_their_pauses() {
-    some_of_six_shed(2, 4, "engines", "/long/stream", SHORT_PROMPT).await;
+async fn two_shedding_engines_get_no_calls_from_four_boxes_in_their_pauses() {
+    assert_no_calls_in_pauses(2, 4, "engines", "/long/stream", SHORT_PROMPT).await;
 }
 
 #[tokio::test]
-async fn where_all_servers_shed_callers_hear_so_at_once_and_are_served_again_later() {
+async fn calls_are_refused_at_once_when_all_servers_shed_and_served_later() {
     let fleet = Fleet::start(2, 3, "boards").await.expect("a fleet");
     for server in &fleet.servers {
         server.shed(Some(PAUSE_TEXT));
     }
-    // By then each box has been turned away by each server.
-    fleet.press("/again/a", "", ON_THEIR_WAY).await;
+    // Within this time each server rejects a call of each box.
+    fleet.press("/again/a", "", IN_FLIGHT_TIME).await;
 
-    let told = fleet.press("/again/a", "", Duration::from_secs(1)).await;
+    let answers = fleet.press("/again/a", "", Duration::from_secs(1)).await;
 
-    for (answer, took) in &told {
+    for (answer, took) in &answers {
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(answer.body.contains("servers_shedding"), "{answer:?}");
         let wait = answer
             .header("retry-after")
             .and_then(|text| text.parse().ok());
         assert!(wait.is_some_and(|wait: f64| wait > 0.2), "{answer:?}");
-        assert!(*took < Duration::from_millis(500), "held for {took:?}");
+        assert!(*took < Duration::from_millis(500), "refused after {took:?}");
     }
     for server in &fleet.servers {
-        let most = most_in_a_pause(server);
-        assert_eq!(most, 0, "calls in a pause; logs:\n{}", fleet.logs());
+        let max_calls = max_calls_in_pause(server);
+        assert_eq!(
+            max_calls,
+            0,
+            "calls during a pause; logs:\n{}",
+            fleet.logs()
+        );
         server.shed(None);
     }
     tokio::time::sleep(PAUSE).await;
-    let told = fleet.press("/again/a", "", WARM_UP).await;
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    let answers = fleet.press("/again/a", "", WARM_UP).await;
+    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
-async fn a_call_waits_for_a_server_whose_pause_ends_in_time() {
+async fn call_waits_for_a_short_pause() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.shed(Some("0.1"));
@@ -128,22 +148,25 @@
 }
 
 #[tokio::test]
-async fn after_a_pause_one_call_tries_the_server_first() {
+async fn one_call_probes_the_server_after_a_pause() {
     let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.shed(Some("0.5"));
 
-    let told = fleet.press("/again/a", "", Duration::from_secs(4)).await;
+    let answers = fleet.press("/again/a", "", Duration::from_secs(4)).await;
 
-    let declined = server.seen().len();
-    assert!((2..=9).contains(&declined), "{declined} calls");
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    let rejected = server.seen().len();
+    assert!(
+        (2..=9).contains(&rejected),
+        "{rejected} calls to the shedding server"
+    );
+    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
-async fn a_pause_that_can_not_be_read_loses_nothing() {
+async fn malformed_pause_loses_no_calls() {
     let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
-    let odd = [
+    let malformed = [
         "",
         "-1",
         "soon",
@@ -151,12 +174,17 @@
         "0",
         "Wed, 21 Oct 2026 07:28:00 GMT",
     ];
-    for text in odd {
+    for text in malformed {
         fleet.servers[0].shed(Some(text));
 
-        let told = fleet.press("/again/a", "", WARM_UP).await;
+        let answers = fleet.press("/again/a", "", WARM_UP).await;
 
-        assert_eq!(served(&told), told.len(), "{text:?}: {}", fleet.logs());
+        assert_eq!(
+            served(&answers),
+            answers.len(),
+            "{text:?}: {}",
+            fleet.logs()
+        );
     }
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
@@ -165,7 +193,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_does_not_go_on_at_a_server_that_sheds() {
+async fn broken_stream_does_not_resume_on_a_shedding_server() {
     let fleet = Fleet::start(1, 3, "boards").await.expect("a fleet");
     let [shedding, others @ ..] = &fleet.servers[..] else {
         unreachable!("three servers")
@@ -174,7 +202,7 @@
     while shedding.seen().is_empty() {
         fleet.press("/again/a", "", WARM_UP).await;
     }
-    let before = shedding.seen().len();
+    let calls_before = shedding.seen().len();
     others[0].usually(Behaviour::BreakAfter(2));
     for at in 0..10 {
         let text = call("POST", "/stream/a", &format!("stream-{at}"), "", "a prompt");
@@ -184,5 +212,5 @@
         let answer = answer.expect("an answer");
         assert!(answer.whole, "{answer:?}; {}", fleet.logs());
     }
-    assert_eq!(shedding.seen().len(), before, "{}", fleet.logs());
+    assert_eq!(shedding.seen().len(), calls_before, "{}", fleet.logs());
 }
