--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -307,7 +307,7 @@
 }
 
 /// Applies a fact read from the store or written to it.
-pub fn apply_stored_fact(relay: &Relay, fingerprint: RequestFingerprint, fact: StoredFact) {
+pub fn apply_fact(relay: &Relay, fingerprint: RequestFingerprint, fact: StoredFact) {
     let now = relay.clock.now();
     let change = lock(&relay.quarantine).apply_fact(now, fingerprint, fact);
     announce(relay, change, "the store");
@@ -332,10 +332,10 @@
     } = change;
     match status {
         RequestStatus::Suspect => {
-            tracing::info!(work = %fingerprint, lives = crashes, source, "request is suspect")
+            tracing::info!(work = %fingerprint, lives = crashes, source, "request is suspect");
         }
         RequestStatus::Quarantined => {
-            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers")
+            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers");
         }
         RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "request cleared"),
     }
@@ -363,7 +363,7 @@
                         "quarantine facts written to the store"
                     );
                     for (fingerprint, fact) in facts {
-                        apply_stored_fact(relay, fingerprint, fact);
+                        apply_fact(relay, fingerprint, fact);
                     }
                 }
                 Err(cause) => {
--- a/daemon/src/relay/store_follow.rs
+++ b/daemon/src/relay/store_follow.rs
@@ -361,9 +361,7 @@
                 self.entries.remove(&name);
                 lock(&relay.followed).boxes.remove(&name);
             }
-            Change::Suspect { work, fact } => {
-                request_quarantine::apply_stored_fact(relay, work, fact)
-            }
+            Change::Suspect { work, fact } => request_quarantine::apply_fact(relay, work, fact),
             Change::Unreadable {
                 position,
                 server: Some(name),
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -165,12 +165,17 @@
 #[tokio::test]
 async fn malformed_leaving_header_is_ignored() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
-    for odd in ["0", "", "yes", "11"] {
-        fleet.servers[0].say_leaving(Some(odd));
+    for malformed in ["0", "", "yes", "11"] {
+        fleet.servers[0].say_leaving(Some(malformed));
 
         let answers = fleet.press("/again/a", "", WARM_UP).await;
 
-        assert_eq!(served(&answers), answers.len(), "{odd:?}: {}", fleet.logs());
+        assert_eq!(
+            served(&answers),
+            answers.len(),
+            "{malformed:?}: {}",
+            fleet.logs()
+        );
     }
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
