--- a/daemon/src/relay/call_attempt.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -30,14 +30,14 @@
 use crate::relay::connection_pool::Reuse;
 use crate::relay::connection_pool::SendError;
 use crate::relay::log_lines;
-use crate::relay::server_gate::Entrant;
-use crate::relay::server_gate::MOST_ASKED;
-use crate::relay::server_gate::NO_KEEPER;
-use crate::relay::server_gate::Pass;
+use crate::relay::request_quarantine;
+use crate::relay::request_quarantine::Run;
+use crate::relay::server_gate::Admitted;
+use crate::relay::server_gate::MAX_SERVERS_PER_ATTEMPT;
+use crate::relay::server_gate::OWNER_RETRY_DELAY;
+use crate::relay::server_gate::PendingCall;
 use crate::relay::server_selection;
 use crate::relay::server_selection::Selection;
-use crate::relay::suspects;
-use crate::relay::suspects::Run;
 use crate::traffic::lock;
 
 /// Largest body of a unary response, which is read completely before it is forwarded.
@@ -145,7 +145,7 @@
 
     /// Ends an attempt whose connection was lost, and checks whether the server crashed.
     pub async fn finish_broken(self) {
-        suspects::broke_off(&self.call, &self.selection, self.sent_at).await;
+        request_quarantine::detect_crash(&self.call, &self.selection, self.sent_at).await;
         self.finish(ServerOutcome::Failure);
     }
 
@@ -155,7 +155,7 @@
         if self.is_framed {
             self.record_success();
         } else {
-            suspects::broke_off(&self.call, &self.selection, self.sent_at).await;
+            request_quarantine::detect_crash(&self.call, &self.selection, self.sent_at).await;
         }
         self.finish(ServerOutcome::Success);
     }
@@ -218,8 +218,8 @@
     tried: &mut Vec<ServerName>,
     join: Option<&EventJoin>,
 ) -> AttemptResult {
-    let (run, selection, pass) = match admit(call, tried).await {
-        Ok(admitted) => admitted,
+    let (run, selection, admitted) = match admit(call, tried).await {
+        Ok(started) => started,
         Err((reason, retry_after)) => {
             log_lines::no_server_takes(call, reason, retry_after);
             return AttemptResult::NoServer(reason, retry_after);
@@ -239,7 +239,7 @@
     let connection_pool = &call.relay.connection_pool;
     let (server, address) = (&attempt.selection.server, &attempt.selection.address);
     let sent = connection_pool
-        .send(server, address, reuse, request, pass)
+        .send(server, address, reuse, request, admitted)
         .await;
     let (response, connection) = match sent {
         Ok(sent) => sent,
@@ -268,7 +268,7 @@
         let target = &attempt.selection.target;
         call.relay
             .gate
-            .answered(call.id(), target, &head.notice, head.has_proof);
+            .record_response(call.id(), target, &head.notice, head.has_proof);
     }
     let received = Received {
         attempt,
@@ -285,12 +285,12 @@
 async fn admit(
     call: &Arc<Call>,
     tried: &[ServerName],
-) -> Result<(Run, Selection, Pass), (RefusalReason, Duration)> {
+) -> Result<(Run, Selection, Admitted), (RefusalReason, Duration)> {
     loop {
-        let run = suspects::admit(call).await?;
-        let (selection, pass) = acquire_server(call, tried, run.is_apart).await?;
+        let run = request_quarantine::admit(call).await?;
+        let (selection, admitted) = acquire_server(call, tried, run.is_isolated).await?;
         if run.may_send() {
-            return Ok((run, selection, pass));
+            return Ok((run, selection, admitted));
         }
     }
 }
@@ -301,19 +301,19 @@
     call: &Arc<Call>,
     tried: &[ServerName],
     is_isolated: bool,
-) -> Result<(Selection, Pass), (RefusalReason, Duration)> {
-    for _ in 0..MOST_ASKED {
+) -> Result<(Selection, Admitted), (RefusalReason, Duration)> {
+    for _ in 0..MAX_SERVERS_PER_ATTEMPT {
         let selection = server_selection::select(call, tried, is_isolated).await?;
-        let entrant = Entrant {
+        let pending = PendingCall {
             id: call.id(),
             target: &selection.target,
-            patience: call.patience(tried.is_empty()),
+            max_wait: call.patience(tried.is_empty()),
         };
-        if let Ok(pass) = call.relay.gate.enter(&entrant).await {
-            return Ok((selection, pass));
+        if let Ok(admitted) = call.relay.gate.admit_call(&pending).await {
+            return Ok((selection, admitted));
         }
     }
-    Err((RefusalReason::ServersLimited, NO_KEEPER))
+    Err((RefusalReason::ServersLimited, OWNER_RETRY_DELAY))
 }
 
 fn request(call: &Call, selection: &Selection, resume_after: Option<u64>) -> Request<Full<Bytes>> {
--- a/daemon/src/relay/connection_pool.rs
+++ b/daemon/src/relay/connection_pool.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-use crate::relay::server_gate::Pass;
+use crate::relay::server_gate::Admitted;
 use crate::traffic::lock;
 
 /// Connect timeout; the latency between halls is a few milliseconds, between regions some tens.
@@ -67,7 +67,7 @@
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-        _pass: Pass,
+        _admitted: Admitted,
     ) -> Result<Response<Incoming>, SendError> {
         let sender = self.sender.as_mut();
         let sender = sender.ok_or_else(|| SendError::NotSent("closed".to_owned()))?;
@@ -121,7 +121,7 @@
         address: &str,
         reuse: Reuse,
         request: Request<Full<Bytes>>,
-        pass: Pass,
+        admitted: Admitted,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let pooled = match reuse {
             Reuse::Allowed => self.take_idle(server),
@@ -131,7 +131,7 @@
             Some(connection) => connection,
             None => connect(address).await?,
         };
-        let response = connection.send(request, pass).await?;
+        let response = connection.send(request, admitted).await?;
         Ok((response, connection))
     }
 
--- a/daemon/src/relay/engine_call.rs
+++ b/daemon/src/relay/engine_call.rs
@@ -9,7 +9,7 @@
 use hyper::body::Bytes;
 
 use crate::relay::connection_pool;
-use crate::relay::server_gate::Pass;
+use crate::relay::server_gate::Admitted;
 
 /// Largest response body; a report with many reservations takes a few kilobytes.
 const MAX_RESPONSE_BYTES: usize = 256 << 10;
@@ -22,7 +22,7 @@
 pub async fn exchange(
     address: &str,
     call: EngineCall,
-    pass: Pass,
+    admitted: Admitted,
 ) -> anyhow::Result<(StatusCode, Bytes)> {
     let mut connection = connection_pool::connect(address).await?;
     let request = Request::builder()
@@ -31,7 +31,7 @@
         .header(http::header::HOST, address)
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(call.body)))?;
-    let response = connection.send(request, pass).await?;
+    let response = connection.send(request, admitted).await?;
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
     let body = body.collect().await.map_err(anyhow::Error::from_boxed)?;
--- a/daemon/src/relay/first_event_watchdog.rs
+++ b/daemon/src/relay/first_event_watchdog.rs
@@ -97,10 +97,10 @@
 /// Pace of the engine as a multiple of its usual time; `None` if the query fails or the engine
 /// admits no request now.
 async fn fetch_pace(relay: &Relay, engine: &Engine) -> Option<f64> {
-    let pass = relay.gate.enter_idle(&engine.target).await.ok()?;
+    let admitted = relay.gate.admit_background(&engine.target).await.ok()?;
     let address = &engine.address;
     let report = async {
-        let (_, body) = engine_call::exchange(address, reports::ask(), pass).await?;
+        let (_, body) = engine_call::exchange(address, reports::ask(), admitted).await?;
         anyhow::Ok(reports::read_pace(&body)?)
     };
     let outcome = match timeout(REPORT_TIMEOUT, report).await {
--- /dev/null
+++ b/daemon/src/relay/request_quarantine.rs
@@ -0,0 +1,377 @@
+//! Applies the request quarantine to calls: admits their runs, detects server crashes during them,
+//! and replicates the results to other boxes and to the store.
+//!
+//! The state and its rules are in [`badgerferry_lib::relay::quarantine`].
+
+use std::io::ErrorKind;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::outcome::RefusalReason;
+use badgerferry_lib::relay::load_datagram::LoadDatagram;
+use badgerferry_lib::relay::load_datagram::LoadSource;
+use badgerferry_lib::relay::quarantine::Admission;
+use badgerferry_lib::relay::quarantine::ISOLATION_MIN_CRASHES;
+use badgerferry_lib::relay::quarantine::QuarantineChange;
+use badgerferry_lib::relay::quarantine::RunScope;
+use badgerferry_lib::relay::quarantine::StoredFact;
+use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
+use badgerferry_lib::relay::request_fingerprint::ServerIncarnation;
+use badgerferry_lib::relay::suspect_request::RequestStatus;
+use badgerferry_lib::time::Time;
+use badgerferry_platform::store::Store;
+use metrics::counter;
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+use tokio::time::timeout;
+use tokio::time::timeout_at;
+
+use crate::relay::call::Call;
+use crate::relay::neighbours::teller_name;
+use crate::relay::server_selection::Selection;
+use crate::relay::state::Relay;
+use crate::traffic::lock;
+
+/// Maximum wait for the outcome of another run of the same request, or half of the call's remaining
+/// time if that is less. A run that crashes its server does so within some tenths of a second.
+const MAX_OUTCOME_WAIT: Duration = Duration::from_secs(1);
+/// Polling interval of a waiting call: this box's start slot arrives without a notification.
+const ADMISSION_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Retry delay given to the caller if another run of the request outlasts the wait.
+const RUN_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum size of a body that is fingerprinted for each call. Larger bodies are fingerprinted only
+/// while any request has a quarantine record.
+const MAX_ALWAYS_HASHED_BODY: usize = 16 << 10;
+/// Maximum wait for a server's machine to accept or refuse a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long a call waits for a process to exit after its connection broke. The call is not sent to
+/// another server before that, since that server may crash as well.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long the process is watched in the background after that; a crash in this time counts as
+/// well.
+const EXIT_WATCH_TIME: Duration = Duration::from_secs(1);
+/// Delay between connection attempts to a server that closes each connection at once.
+const RECONNECT_DELAY: Duration = Duration::from_millis(2);
+/// Response timeout of the store for writes.
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a failed write is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// An admitted run of a request. It counts as in progress until dropped.
+#[derive(Debug)]
+pub struct Run {
+    relay: Arc<Relay>,
+    fingerprint: Option<RequestFingerprint>,
+    /// Whether to run it on a server with few other calls.
+    pub is_isolated: bool,
+}
+
+impl Run {
+    /// Whether the run may still be sent after waiting for other resources. A run without a
+    /// fingerprint, since no request had a record, has to be admitted again once any request has
+    /// one.
+    pub fn may_send(&self) -> bool {
+        let now = self.relay.clock.now();
+        let quarantine = lock(&self.relay.quarantine);
+        match self.fingerprint {
+            Some(fingerprint) => quarantine.may_send(now, fingerprint),
+            None => quarantine.is_empty(),
+        }
+    }
+
+    /// Records that the run succeeded, and announces the change.
+    pub fn record_success(&self) {
+        let Some(fingerprint) = self.fingerprint else {
+            return;
+        };
+        let now = self.relay.clock.now();
+        let change = lock(&self.relay.quarantine).record_success(now, fingerprint);
+        announce(&self.relay, change, "a run here");
+    }
+}
+
+impl Drop for Run {
+    fn drop(&mut self) {
+        let Some(fingerprint) = self.fingerprint else {
+            return;
+        };
+        let now = self.relay.clock.now();
+        if lock(&self.relay.quarantine).end_run(now, fingerprint) {
+            self.relay.verdicts.notify_waiters();
+            self.relay.urgent_changed.notify_one();
+        }
+    }
+}
+
+/// Admits a run of the call, at once unless servers crashed during runs of the same request.
+///
+/// # Errors
+///
+/// The reason for the refusal, and the time until a retry.
+pub async fn admit(call: &Arc<Call>) -> Result<Run, (RefusalReason, Duration)> {
+    let relay = &call.relay;
+    let run = |fingerprint, crashes| Run {
+        relay: Arc::clone(relay),
+        fingerprint,
+        is_isolated: crashes >= ISOLATION_MIN_CRASHES,
+    };
+    let has_fingerprint =
+        call.body.len() <= MAX_ALWAYS_HASHED_BODY || !lock(&relay.quarantine).is_empty();
+    if !has_fingerprint {
+        return Ok(run(None, 0));
+    }
+    let fingerprint = call.work();
+    let max_wait = MAX_OUTCOME_WAIT.min(call.time_left() / 2);
+    let until = relay.clock.now() + max_wait;
+    loop {
+        // Subscribes before the check, so that no notification between the two is missed.
+        let notified = relay.verdicts.notified();
+        let now = relay.clock.now();
+        let saw_crash = call.saw_crash.load(Ordering::Relaxed);
+        let rank = || relay.rank_for(fingerprint);
+        let admission = lock(&relay.quarantine).admit(now, fingerprint, saw_crash, rank);
+        match admission {
+            Admission::Run { crashes } => {
+                if crashes > 0 {
+                    tracing::info!(call = call.id(), work = %fingerprint, lives = crashes, "suspect request admitted");
+                    relay.urgent_changed.notify_one();
+                }
+                return Ok(run(Some(fingerprint), crashes));
+            }
+            Admission::Quarantined { left, crashes } => {
+                counter!("badgerferry_calls_held_total").increment(1);
+                let left_s = left.as_secs();
+                tracing::info!(call = call.id(), work = %fingerprint, lives = crashes, left_s, "call refused: request is quarantined");
+                return Err((RefusalReason::EndsServers, left));
+            }
+            Admission::Wait if now >= until => {
+                return Err((RefusalReason::SuspectRuns, RUN_RETRY_DELAY));
+            }
+            Admission::Wait => {
+                // Checked again after either the notification or the timeout.
+                let _ = timeout(ADMISSION_POLL_INTERVAL, notified).await;
+            }
+        }
+    }
+}
+
+/// Checks whether the server crashed during a run whose connection broke, and records the crash.
+///
+/// A broken connection alone proves nothing: connections are reset, and responses are truncated. If
+/// connections are refused, the process has exited. A server that is leaving exits by itself and is
+/// ignored. `began` is the time at which the run was sent.
+pub async fn detect_crash(call: &Arc<Call>, selection: &Selection, began: Time) {
+    let relay = &call.relay;
+    let is_listed = {
+        let tracker = lock(&relay.tracker);
+        let record = tracker.get(&selection.server);
+        record.is_some_and(|record| {
+            !record.info.leaving && record.life == selection.target.incarnation
+        })
+    };
+    if !is_listed || relay.gate.is_leaving(&selection.target) {
+        return;
+    }
+    let crash = ServerCrash {
+        server: selection.server.clone(),
+        incarnation: selection.target.incarnation,
+        began,
+    };
+    let address = selection.address.clone();
+    match check_exit(&address, EXIT_TIMEOUT).await {
+        ProcessState::Exited => crash.record(call),
+        ProcessState::Running => {}
+        ProcessState::Open(mut stream) => {
+            let call = Arc::clone(call);
+            tokio::spawn(async move {
+                let closed = timeout(EXIT_WATCH_TIME, stream.read(&mut [0]))
+                    .await
+                    .is_ok();
+                if closed
+                    && matches!(
+                        check_exit(&address, EXIT_TIMEOUT).await,
+                        ProcessState::Exited
+                    )
+                {
+                    crash.record(&call);
+                }
+            });
+        }
+    }
+}
+
+/// A server crash during a run.
+struct ServerCrash {
+    server: ServerName,
+    incarnation: ServerIncarnation,
+    /// When the run was sent.
+    began: Time,
+}
+
+impl ServerCrash {
+    fn record(&self, call: &Call) {
+        let relay = &call.relay;
+        let (now, fingerprint) = (relay.clock.now(), call.work());
+        counter!("badgerferry_servers_ended_total").increment(1);
+        tracing::warn!(
+            call = call.id(),
+            work = %fingerprint,
+            server = %self.server,
+            life = format!("{:016x}", self.incarnation.0),
+            "server crashed during a call"
+        );
+        call.saw_crash.store(true, Ordering::Relaxed);
+        let change =
+            lock(&relay.quarantine).record_crash(now, fingerprint, self.incarnation, self.began);
+        announce(relay, change, "a run here");
+    }
+}
+
+/// Whether a server process has exited.
+enum ProcessState {
+    Exited,
+    Running,
+    /// It accepted a connection and has not closed it within the given time.
+    Open(TcpStream),
+}
+
+/// Checks whether a process exits within the given time.
+///
+/// An exiting process closes its connections one by one, some before it stops listening. It may
+/// still accept and close new connections until it is gone, so connecting is repeated until one is
+/// refused.
+async fn check_exit(address: &str, within: Duration) -> ProcessState {
+    let until = Instant::now() + within;
+    loop {
+        match try_connect(address).await {
+            ConnectResult::Refused => return ProcessState::Exited,
+            ConnectResult::NoAnswer => return ProcessState::Running,
+            ConnectResult::Reset => {}
+            ConnectResult::Connected(mut stream) => {
+                // An error means that the connection was reset, which counts as closed too.
+                let closed = timeout_at(until, stream.read(&mut [0])).await;
+                if closed.is_err() {
+                    return ProcessState::Open(stream);
+                }
+            }
+        }
+        if Instant::now() >= until {
+            return ProcessState::Running;
+        }
+        tokio::time::sleep(RECONNECT_DELAY).await;
+    }
+}
+
+/// Result of a connection attempt to a server.
+enum ConnectResult {
+    Refused,
+    /// Reset during connection setup. The process may or may not still be listening.
+    Reset,
+    Connected(TcpStream),
+    NoAnswer,
+}
+
+async fn try_connect(address: &str) -> ConnectResult {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(Ok(stream)) => ConnectResult::Connected(stream),
+        Ok(Err(cause)) if cause.kind() == ErrorKind::ConnectionRefused => ConnectResult::Refused,
+        Ok(Err(cause)) if cause.kind() == ErrorKind::ConnectionReset => ConnectResult::Reset,
+        Ok(Err(cause)) => {
+            tracing::info!(address, %cause, "server crash check failed: cannot connect");
+            ConnectResult::NoAnswer
+        }
+        Err(_elapsed) => ConnectResult::NoAnswer,
+    }
+}
+
+/// Merges the quarantine rows reported by another box or hall. The boxes that this one gossips to
+/// receive them from the same sender, except for boxes of other halls if this box is a delegate of
+/// its hall.
+pub fn merge_reports(relay: &Relay, now: Time, datagram: &LoadDatagram) {
+    let (from, rows) = (teller_name(datagram), &datagram.suspects);
+    let scope = match datagram.source {
+        LoadSource::Box => RunScope::Box,
+        LoadSource::Hall { .. } => RunScope::Hall,
+    };
+    let changes = lock(&relay.quarantine).merge_rows(now, scope, from, rows);
+    relay.verdicts.notify_waiters();
+    if !changes.is_empty() {
+        relay.hall_changed.notify_one();
+        relay.suspects_changed.notify_one();
+    }
+    for change in &changes {
+        log_change(change, from);
+    }
+}
+
+/// Applies a fact read from the store or written to it.
+pub fn apply_fact(relay: &Relay, fingerprint: RequestFingerprint, fact: StoredFact) {
+    let now = relay.clock.now();
+    let change = lock(&relay.quarantine).apply_fact(now, fingerprint, fact);
+    announce(relay, change, "the store");
+}
+
+/// Logs a change first observed by this box, and notifies waiting calls, other boxes and the store
+/// writer.
+fn announce(relay: &Relay, change: Option<QuarantineChange>, source: &str) {
+    let Some(change) = change else { return };
+    log_change(&change, source);
+    relay.verdicts.notify_waiters();
+    relay.urgent_changed.notify_one();
+    relay.hall_changed.notify_one();
+    relay.suspects_changed.notify_one();
+}
+
+fn log_change(change: &QuarantineChange, source: &str) {
+    let QuarantineChange {
+        fingerprint,
+        status,
+        crashes,
+    } = change;
+    match status {
+        RequestStatus::Suspect => {
+            tracing::info!(work = %fingerprint, lives = crashes, source, "request is suspect");
+        }
+        RequestStatus::Quarantined => {
+            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers");
+        }
+        RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "request cleared"),
+    }
+}
+
+/// Runs forever, writing facts observed by this box to the store for boxes that are partitioned
+/// from this one or start later.
+pub async fn store_facts(relay: &Arc<Relay>) {
+    loop {
+        relay.suspects_changed.notified().await;
+        // Opens a connection each time, since writes are rare and the watch occupies the other one.
+        let mut store = Store::new(relay.settings.store, STORE_TIMEOUT);
+        loop {
+            let now = relay.clock.now();
+            let is_alone = !lock(&relay.followed).heard.has_live_peer(now);
+            let facts = lock(&relay.quarantine).unstored_facts(now, is_alone);
+            if facts.is_empty() {
+                break;
+            }
+            match store.put_suspects(&facts).await {
+                Ok(()) => {
+                    tracing::info!(
+                        facts = facts.len(),
+                        is_alone,
+                        "quarantine facts written to the store"
+                    );
+                    for (fingerprint, fact) in facts {
+                        apply_fact(relay, fingerprint, fact);
+                    }
+                }
+                Err(cause) => {
+                    tracing::warn!(%cause, facts = facts.len(), "failed to write quarantine facts to the store");
+                    tokio::time::sleep(STORE_RETRY_DELAY).await;
+                }
+            }
+        }
+    }
+}
--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -17,7 +17,7 @@
 
 use crate::relay::call::Call;
 use crate::relay::engine_call;
-use crate::relay::server_gate::Pass;
+use crate::relay::server_gate::Admitted;
 use crate::relay::server_selection::Engine;
 use crate::relay::state::Relay;
 
@@ -67,8 +67,13 @@
             engines,
         };
         let orders = reserved.engines.iter().map(async |(engine, tokens)| {
-            let pass = relay.gate.enter_order(&engine.target).ok()?;
-            send_order(engine, orders::reserve(&reserved.id, *tokens, ttl), pass).await
+            let admitted = relay.gate.admit_order(&engine.target).ok()?;
+            send_order(
+                engine,
+                orders::reserve(&reserved.id, *tokens, ttl),
+                admitted,
+            )
+            .await
         });
         let statuses = join_all(orders).await;
         let refused = statuses.into_iter().zip(reserved.engines.iter());
@@ -169,9 +174,14 @@
 }
 
 /// Sends an order on a connection of its own; `None` if there is no response.
-async fn send_order(engine: &Engine, call: EngineCall, pass: Pass) -> Option<StatusCode> {
+async fn send_order(engine: &Engine, call: EngineCall, admitted: Admitted) -> Option<StatusCode> {
     let address = &engine.address;
-    match timeout(ORDER_TIMEOUT, engine_call::exchange(address, call, pass)).await {
+    match timeout(
+        ORDER_TIMEOUT,
+        engine_call::exchange(address, call, admitted),
+    )
+    .await
+    {
         Ok(Ok((status, _))) => Some(status),
         Ok(Err(cause)) => {
             tracing::info!(address, cause = format!("{cause:#}"), "engine order failed");
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -160,7 +160,7 @@
 fn target(record: &ServerRecord) -> Target {
     Target {
         name: record.info.name.clone(),
-        life: record.life,
+        incarnation: record.life,
         hall: record.info.hall.clone(),
     }
 }
