--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -39,22 +39,22 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-use crate::relay::answer_body::AnswerBody;
-use crate::relay::caller_answer;
+use crate::relay::call_log;
 use crate::relay::candidates::NO_SERVER_RETRY;
-use crate::relay::live_stream;
-use crate::relay::log_lines;
+use crate::relay::error_response;
+use crate::relay::response_body::ResponseBody;
 use crate::relay::server_gate::MOST_PATIENCE;
 use crate::relay::state::Relay;
+use crate::relay::stream_relay;
 use crate::relay::tries;
 use crate::relay::tries::TryResult;
 use crate::traffic::lock;
 
 /// How long a call waits at most for the first routes of a box that has just started; half of its
 /// time where that is less.
-const ROUTES_SOON: Duration = Duration::from_secs(2);
+const MAX_ROUTES_WAIT: Duration = Duration::from_secs(2);
 /// When to come back where this box has no routes yet, or is leaving.
-const SOON: Duration = Duration::from_millis(300);
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// A call whose head and body are read.
 #[derive(Debug)]
@@ -74,11 +74,11 @@
     /// What its head says.
     pub head: CallHead,
     /// What it asks for, once that was worked out.
-    work: OnceLock<RequestFingerprint>,
+    fingerprint: OnceLock<RequestFingerprint>,
     /// Whether a server ended under its last run.
     pub saw_crash: AtomicBool,
     /// Whether its caller has the head of an answer: from then on it can only go on or be cut.
-    pub has_begun: AtomicBool,
+    pub response_started: AtomicBool,
     /// Host.
     pub host: String,
     /// Method.
@@ -102,8 +102,8 @@
     }
 
     /// What it asks for and for whom, the same for each caller's try at any box.
-    pub fn work(&self) -> RequestFingerprint {
-        *self.work.get_or_init(|| {
+    pub fn fingerprint(&self) -> RequestFingerprint {
+        *self.fingerprint.get_or_init(|| {
             RequestFingerprint::of(&FingerprintInput {
                 method: self.method.as_str(),
                 host: &self.host,
@@ -124,11 +124,11 @@
 
     /// When its answer, or its first event, should be there.
     pub fn due(&self) -> Time {
-        self.first_arrived() + self.route.objective
+        self.first_request_time() + self.route.objective
     }
 
     /// When the caller first asked: one that comes back has less time left than its route gives.
-    pub fn first_arrived(&self) -> Time {
+    pub fn first_request_time(&self) -> Time {
         let left = self.head.time_left.unwrap_or(self.route.time_limit);
         let passed = self.route.time_limit.saturating_sub(left);
         Time::from_micros(
@@ -140,9 +140,9 @@
 
     /// How long it may wait for its place, where no server takes it at once: so that it can still be on
     /// time, and a repeat not at all. A stream that has begun would be cut instead.
-    pub fn patience(&self, is_first: bool) -> Duration {
+    pub fn max_admission_wait(&self, is_first: bool) -> Duration {
         let left = self.relay.clock.now().until(self.due());
-        let most = match self.has_begun.load(Ordering::Relaxed) {
+        let most = match self.response_started.load(Ordering::Relaxed) {
             true => self.time_left(),
             false if is_first => left / 2,
             false => Duration::ZERO,
@@ -153,20 +153,20 @@
     /// Whether the box's share of the retry budget has a repeat left.
     pub fn has_retry_budget(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
-        self.with_retries(|window, rule| window.has_retry_left(now, rule, boxes))
+        self.with_retry_window(|window, rule| window.has_retry_left(now, rule, boxes))
     }
 
     /// Takes one repeat from the box's share of the retry budget, if there is one.
-    pub fn may_repeat(&self) -> bool {
+    pub fn try_spend_retry(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
-        let allowed = self.with_retries(|window, rule| window.try_spend(now, rule, boxes));
+        let allowed = self.with_retry_window(|window, rule| window.try_spend(now, rule, boxes));
         if !allowed {
             tracing::info!(call = self.id(), service = %self.service, boxes, "no retry budget left");
         }
         allowed
     }
 
-    fn with_retries<T>(&self, f: impl FnOnce(&mut RetryWindow, &RetryBudgetRule) -> T) -> T {
+    fn with_retry_window<T>(&self, f: impl FnOnce(&mut RetryWindow, &RetryBudgetRule) -> T) -> T {
         let mut retries = lock(&self.relay.retries);
         let window = retries.entry(self.service.clone()).or_default();
         f(window, &self.relay.settings.retries)
@@ -174,7 +174,7 @@
 }
 
 /// Answers a call.
-pub async fn answer(relay: Arc<Relay>, req: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn handle(relay: Arc<Relay>, req: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = relay.clock.now();
     match read(&relay, arrived, req).await {
         Ok(call) => run(call).await,
@@ -186,17 +186,23 @@
     relay: &Arc<Relay>,
     arrived: Time,
     req: Request<Incoming>,
-) -> Result<Call, Response<AnswerBody>> {
+) -> Result<Call, Response<ResponseBody>> {
     let (parts, body) = req.into_parts();
     let head = headers::read_call(&parts.headers).map_err(|cause| {
-        log_lines::turned_away("-", cause.0);
-        caller_answer::bad(StatusCode::BAD_REQUEST, cause.0)
+        call_log::rejected("-", cause.0);
+        error_response::invalid_request(StatusCode::BAD_REQUEST, cause.0)
     })?;
     let id = head.id.clone().unwrap_or_else(|| "-".to_owned());
-    let patience = head.time_left.map_or(ROUTES_SOON, |left| left / 2);
-    let Some(routes) = relay.routes_within(patience.min(ROUTES_SOON)).await else {
-        log_lines::turned_away(&id, "no_settings");
-        return Err(caller_answer::not_run("no_settings", Some(SOON)));
+    let max_routes_wait = head.time_left.map_or(MAX_ROUTES_WAIT, |left| left / 2);
+    let Some(routes) = relay
+        .routes_within(max_routes_wait.min(MAX_ROUTES_WAIT))
+        .await
+    else {
+        call_log::rejected(&id, "no_settings");
+        return Err(error_response::not_run(
+            "no_settings",
+            Some(UNAVAILABLE_RETRY_AFTER),
+        ));
     };
     let host = parts.uri.host().map(str::to_owned).or_else(|| {
         let value = parts.headers.get(http::header::HOST)?;
@@ -204,8 +210,8 @@
     });
     let host = host.unwrap_or_default();
     let denied = |denied| {
-        log_lines::denied(&id, routes.table().version, &host, parts.uri.path(), denied);
-        caller_answer::denied(denied)
+        call_log::denied(&id, routes.table().version, &host, parts.uri.path(), denied);
+        error_response::denied(denied)
     };
     let route = routes.route(&host, parts.uri.path()).map_err(denied)?;
     let principal = routes
@@ -215,12 +221,15 @@
     let body = read_body(body, limits.body_bytes, limits.header_time)
         .await
         .map_err(|(status, code)| {
-            log_lines::turned_away(&id, code);
-            caller_answer::bad(status, code)
+            call_log::rejected(&id, code);
+            error_response::invalid_request(status, code)
         })?;
     if relay.refuses() {
-        log_lines::turned_away(&id, "box_leaving");
-        return Err(caller_answer::not_run("box_leaving", Some(SOON)));
+        call_log::rejected(&id, "box_leaving");
+        return Err(error_response::not_run(
+            "box_leaving",
+            Some(UNAVAILABLE_RETRY_AFTER),
+        ));
     }
     let time_left = head.time_left.unwrap_or(route.time_limit);
     let service = route.target(rand::random()).clone();
@@ -234,9 +243,9 @@
         deadline: arrived + time_left.min(route.time_limit),
         route: route.clone(),
         head,
-        work: OnceLock::new(),
+        fingerprint: OnceLock::new(),
         saw_crash: AtomicBool::new(false),
-        has_begun: AtomicBool::new(false),
+        response_started: AtomicBool::new(false),
         host,
         method: parts.method,
         uri: parts
@@ -276,10 +285,10 @@
     })
 }
 
-async fn run(call: Call) -> Response<AnswerBody> {
+async fn run(call: Call) -> Response<ResponseBody> {
     let call = Arc::new(call);
     let mut attempts = Attempts::new(call.route.kind.is_repeatable(), call.route.max_attempts);
-    call.with_retries(|window, rule| window.record_first_send(call.arrived, rule));
+    call.with_retry_window(|window, rule| window.record_first_send(call.arrived, rule));
     let mut tried = Vec::new();
     loop {
         let result = match timeout(
@@ -296,10 +305,10 @@
         };
         let (end, own_failure) = match result {
             TryResult::Whole(answer) => {
-                log_lines::ended(&call, &attempts, "answered", answer.status());
+                call_log::call_ended(&call, &attempts, "answered", answer.status());
                 return answer;
             }
-            TryResult::Live(live) => return live_stream::respond(call, attempts, tried, live),
+            TryResult::Live(live) => return stream_relay::respond(call, attempts, tried, live),
             TryResult::NoServer(reason, retry_after) => {
                 let next = attempts.give_up(reason, retry_after);
                 return finish(&call, &attempts, next);
@@ -307,14 +316,14 @@
             TryResult::ServerError(answer) => (AttemptEnd::ServerError, Some(answer)),
             TryResult::Ended(end) => (end, None),
         };
-        match attempts.on_attempt_end(end, NO_SERVER_RETRY, || call.may_repeat()) {
+        match attempts.on_attempt_end(end, NO_SERVER_RETRY, || call.try_spend_retry()) {
             NextStep::TryElsewhere => {}
             NextStep::PassOn => {
                 let Some(answer) = own_failure else {
                     let next = NextStep::Fail(FailureReason::ServerError);
                     return finish(&call, &attempts, next);
                 };
-                log_lines::ended(&call, &attempts, "server_error", answer.status());
+                call_log::call_ended(&call, &attempts, "server_error", answer.status());
                 return answer;
             }
             next => return finish(&call, &attempts, next),
@@ -322,15 +331,15 @@
     }
 }
 
-fn finish(call: &Call, attempts: &Attempts, next: NextStep) -> Response<AnswerBody> {
+fn finish(call: &Call, attempts: &Attempts, next: NextStep) -> Response<ResponseBody> {
     let (code, answer) = match next {
-        NextStep::Refuse(refused) => (refused.reason().code(), caller_answer::refused(&refused)),
-        NextStep::Fail(reason) => (reason.code(), caller_answer::failed(reason)),
+        NextStep::Refuse(refused) => (refused.reason().code(), error_response::refused(&refused)),
+        NextStep::Fail(reason) => (reason.code(), error_response::failed(reason)),
         NextStep::TryElsewhere | NextStep::PassOn => {
             let reason = FailureReason::AttemptsUsed;
-            (reason.code(), caller_answer::failed(reason))
+            (reason.code(), error_response::failed(reason))
         }
     };
-    log_lines::ended(call, attempts, code, answer.status());
+    call_log::call_ended(call, attempts, code, answer.status());
     answer
 }
--- a/daemon/src/relay/log_lines.rs
+++ b/daemon/src/relay/call_log.rs
@@ -16,13 +16,13 @@
 
 use crate::relay::call::Call;
 use crate::relay::engines::Chosen;
-use crate::relay::line_budget::GOOD_LINES;
-use crate::relay::line_budget::LATE_LINES;
+use crate::relay::log_rate_limit::LATE_LINES;
+use crate::relay::log_rate_limit::ON_TIME_LINES;
 use crate::relay::tries::Live;
 use crate::relay::upstream::SendError;
 
 /// A call was turned down before it had a route.
-pub fn turned_away(id: &str, why: &str) {
+pub fn rejected(id: &str, why: &str) {
     counter!("badgerferry_calls_total", "outcome" => "turned_away").increment(1);
     tracing::info!(call = id, why, "call turned away");
 }
@@ -39,7 +39,7 @@
         histogram!("badgerferry_relay_engine_wait_seconds", "service" => call.service.to_string())
             .record(chosen.waited.as_secs_f64());
     }
-    if attempts.sent() == 0 && !GOOD_LINES.take() {
+    if attempts.sent() == 0 && !ON_TIME_LINES.allow() {
         return;
     }
     tracing::info!(
@@ -63,7 +63,7 @@
 }
 
 /// A long prompt waited until no engines could answer it in its caller's time.
-pub fn gave_up_waiting(call: &Call, looks: BlockedPolls) {
+pub fn prompt_expired(call: &Call, looks: BlockedPolls) {
     let waited = call.relay.clock.now().since(call.arrived);
     tracing::info!(
         call = call.id(),
@@ -76,8 +76,8 @@
 }
 
 /// No server takes the call now; why, and when it may come back.
-pub fn no_server_takes(call: &Call, reason: RefusalReason, retry_after: Duration) {
-    if !LATE_LINES.take() {
+pub fn no_server_available(call: &Call, reason: RefusalReason, retry_after: Duration) {
+    if !LATE_LINES.allow() {
         return;
     }
     tracing::info!(
@@ -90,10 +90,10 @@
 }
 
 /// A try got no head of an answer.
-pub fn try_failed(call: &Call, chosen: &Chosen, cause: &SendError) {
+pub fn attempt_failed(call: &Call, chosen: &Chosen, cause: &SendError) {
     counter!("badgerferry_tries_failed_total", "why" => "no_answer").increment(1);
     // What it asks for matters where it may have run.
-    let work = matches!(cause, SendError::Lost(_)).then(|| call.work());
+    let work = matches!(cause, SendError::Lost(_)).then(|| call.fingerprint());
     tracing::info!(
         call = call.id(),
         server = %chosen.server,
@@ -120,24 +120,24 @@
 }
 
 /// An answer can't be used.
-pub fn unusable(call: &Call, chosen: &Chosen, status: StatusCode, why: &str) {
+pub fn unusable_response(call: &Call, chosen: &Chosen, status: StatusCode, why: &str) {
     counter!("badgerferry_tries_failed_total", "why" => "unusable").increment(1);
     tracing::info!(
         call = call.id(),
         server = %chosen.server,
         status = status.as_u16(),
-        work = %call.work(),
+        work = %call.fingerprint(),
         why,
         "answer unusable"
     );
 }
 
 /// The first event is on its way to the caller.
-pub fn streaming(call: &Call, live: &Live) {
+pub fn stream_started(call: &Call, live: &Live) {
     let took = call.relay.clock.now().since(call.arrived);
     histogram!("badgerferry_relay_first_event_seconds", "service" => call.service.to_string())
         .record(took.as_secs_f64());
-    if !GOOD_LINES.take() {
+    if !ON_TIME_LINES.allow() {
         return;
     }
     tracing::info!(
@@ -150,13 +150,13 @@
 }
 
 /// A call has its outcome.
-pub fn ended(call: &Call, attempts: &Attempts, outcome: &'static str, status: StatusCode) {
+pub fn call_ended(call: &Call, attempts: &Attempts, outcome: &'static str, status: StatusCode) {
     outcome_line(call, attempts, outcome, status, None);
 }
 
 /// What came of a stream.
 #[derive(Debug, Clone, Copy)]
-pub struct StreamTimes {
+pub struct StreamTimings {
     /// From the call's head to its first event.
     pub first_event: Duration,
     /// How long its first run waited for engines.
@@ -167,9 +167,9 @@
     pub longest_pause: Duration,
 }
 
-impl StreamTimes {
+impl StreamTimings {
     /// The times of a stream that begins now.
-    pub fn begin(call: &Call, live: &Live) -> Self {
+    pub fn start(call: &Call, live: &Live) -> Self {
         Self {
             first_event: call.relay.clock.now().since(call.arrived),
             waited: live.flight.chosen.waited,
@@ -179,7 +179,7 @@
     }
 
     /// Whether the caller got it in time.
-    fn are_good(&self, call: &Call) -> bool {
+    fn is_on_time(&self, call: &Call) -> bool {
         let pauses_well = call
             .route
             .max_gap
@@ -189,7 +189,7 @@
 }
 
 /// A stream has its outcome.
-pub fn stream_ended(call: &Call, attempts: &Attempts, outcome: &'static str, times: StreamTimes) {
+pub fn stream_ended(call: &Call, attempts: &Attempts, outcome: &'static str, times: StreamTimings) {
     outcome_line(call, attempts, outcome, StatusCode::OK, Some(times));
 }
 
@@ -198,19 +198,19 @@
     attempts: &Attempts,
     outcome: &'static str,
     status: StatusCode,
-    times: Option<StreamTimes>,
+    times: Option<StreamTimings>,
 ) {
     let took = call.relay.clock.now().since(call.arrived);
     counter!("badgerferry_calls_total", "outcome" => outcome).increment(1);
     histogram!("badgerferry_relay_call_seconds", "service" => call.service.to_string())
         .record(took.as_secs_f64());
     let on_time = match times {
-        Some(times) => times.are_good(call),
+        Some(times) => times.is_on_time(call),
         None => took <= call.route.objective,
     };
     let is_written = match (outcome, on_time) {
-        ("answered", true) => GOOD_LINES.take(),
-        ("answered", false) => LATE_LINES.take(),
+        ("answered", true) => ON_TIME_LINES.allow(),
+        ("answered", false) => LATE_LINES.allow(),
         _ => true,
     };
     if !is_written {
--- a/daemon/src/relay/caller_io.rs
+++ b/daemon/src/relay/caller_io.rs
@@ -19,38 +19,38 @@
 
 /// Where a connection stands.
 #[derive(Debug, Clone, Copy)]
-pub enum Standing {
+pub enum ConnectionState {
     /// No call since then.
     Idle(Instant),
     /// The first byte of a head came then.
-    Head(Instant),
+    ReadingHead(Instant),
     /// A call is being answered.
     Busy,
 }
 
 /// Counts a call as in flight, and its connection as busy, until dropped.
 #[derive(Debug)]
-pub struct CallHold {
+pub struct CallGuard {
     relay: Arc<Relay>,
-    standing: Arc<Mutex<Standing>>,
+    state: Arc<Mutex<ConnectionState>>,
 }
 
-impl CallHold {
+impl CallGuard {
     /// Counts one more.
-    pub fn new(relay: &Arc<Relay>, standing: Arc<Mutex<Standing>>) -> Self {
+    pub fn new(relay: &Arc<Relay>, state: Arc<Mutex<ConnectionState>>) -> Self {
         relay.in_flight.fetch_add(1, Ordering::SeqCst);
-        *lock(&standing) = Standing::Busy;
+        *lock(&state) = ConnectionState::Busy;
         Self {
             relay: Arc::clone(relay),
-            standing,
+            state,
         }
     }
 }
 
-impl Drop for CallHold {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.relay.in_flight.fetch_sub(1, Ordering::SeqCst);
-        *lock(&self.standing) = Standing::Idle(Instant::now());
+        *lock(&self.state) = ConnectionState::Idle(Instant::now());
     }
 }
 
@@ -58,13 +58,13 @@
 #[derive(Debug)]
 pub struct CallerIo {
     stream: TcpStream,
-    standing: Arc<Mutex<Standing>>,
+    state: Arc<Mutex<ConnectionState>>,
 }
 
 impl CallerIo {
     /// Wraps a socket.
-    pub const fn new(stream: TcpStream, standing: Arc<Mutex<Standing>>) -> Self {
-        Self { stream, standing }
+    pub const fn new(stream: TcpStream, state: Arc<Mutex<ConnectionState>>) -> Self {
+        Self { stream, state }
     }
 }
 
@@ -77,9 +77,9 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            let mut standing = lock(&self.standing);
-            if matches!(*standing, Standing::Idle(_)) {
-                *standing = Standing::Head(Instant::now());
+            let mut state = lock(&self.state);
+            if matches!(*state, ConnectionState::Idle(_)) {
+                *state = ConnectionState::ReadingHead(Instant::now());
             }
         }
         polled
--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -29,12 +29,12 @@
 use badgerferry_platform::headers::Reader;
 
 use crate::relay::call::Call;
+use crate::relay::call_log;
 use crate::relay::candidates;
 use crate::relay::candidates::NO_SERVER_RETRY;
 use crate::relay::candidates::NotNow;
 use crate::relay::candidates::Wanted;
 use crate::relay::late_calls::LateWatch;
-use crate::relay::log_lines;
 use crate::relay::reservations::NotReserved;
 use crate::relay::reservations::Reservations;
 use crate::relay::server_gate::Target;
@@ -188,7 +188,7 @@
     Wanted {
         service: &call.service,
         tried,
-        patience: call.patience(tried.is_empty()),
+        patience: call.max_admission_wait(tried.is_empty()),
     }
 }
 
@@ -491,7 +491,7 @@
         }
         if now >= expires_at {
             let looks = lock(&relay.long_prompt_queue).blocked_polls(place.ticket);
-            log_lines::gave_up_waiting(call, looks);
+            call_log::prompt_expired(call, looks);
             return Err((RefusalReason::WouldMissDeadline, NO_SERVER_RETRY));
         }
         tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
--- a/daemon/src/relay/caller_answer.rs
+++ b/daemon/src/relay/error_response.rs
@@ -11,7 +11,7 @@
 use http::header;
 use serde::Serialize;
 
-use crate::relay::answer_body::AnswerBody;
+use crate::relay::response_body::ResponseBody;
 
 /// What a caller is told beside the status.
 #[derive(Debug, Serialize)]
@@ -21,14 +21,14 @@
     may_have_run: bool,
 }
 
-fn answer(status: StatusCode, error: &str, may_have_run: bool) -> Response<AnswerBody> {
+fn answer(status: StatusCode, error: &str, may_have_run: bool) -> Response<ResponseBody> {
     let body = Body {
         error,
         may_have_run,
     };
     // Two plain fields always encode.
     let bytes = serde_json::to_vec(&body).unwrap_or_default();
-    let mut answer = Response::new(AnswerBody::whole(bytes));
+    let mut answer = Response::new(ResponseBody::full(bytes));
     *answer.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -36,13 +36,13 @@
 }
 
 /// The call has not run, and when to come back.
-pub fn refused(refused: &Refused) -> Response<AnswerBody> {
+pub fn refused(refused: &Refused) -> Response<ResponseBody> {
     let code = refused.reason().code();
     not_run(code, refused.retry_after())
 }
 
 /// The call has not run, for a reason that needs no proof: nothing was done with it.
-pub fn not_run(code: &str, retry_after: Option<Duration>) -> Response<AnswerBody> {
+pub fn not_run(code: &str, retry_after: Option<Duration>) -> Response<ResponseBody> {
     let mut answer = answer(StatusCode::SERVICE_UNAVAILABLE, code, false);
     if let Some(after) = retry_after {
         let text = format!("{:.3}", after.as_secs_f64());
@@ -54,7 +54,7 @@
 }
 
 /// The call may have run and has no answer.
-pub fn failed(reason: FailureReason) -> Response<AnswerBody> {
+pub fn failed(reason: FailureReason) -> Response<ResponseBody> {
     let status = match reason {
         FailureReason::DeadlineWhileRunning => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
@@ -63,7 +63,7 @@
 }
 
 /// The call is not allowed.
-pub fn denied(denied: Denied) -> Response<AnswerBody> {
+pub fn denied(denied: Denied) -> Response<ResponseBody> {
     match denied {
         Denied::NoRoute => answer(StatusCode::NOT_FOUND, "no_route", false),
         Denied::NoKey => answer(StatusCode::UNAUTHORIZED, "no_key", false),
@@ -71,7 +71,7 @@
 }
 
 /// The call's bytes can't be used; the connection ends with this answer.
-pub fn bad(status: StatusCode, code: &str) -> Response<AnswerBody> {
+pub fn invalid_request(status: StatusCode, code: &str) -> Response<ResponseBody> {
     let mut answer = answer(status, code, false);
     let close = HeaderValue::from_static("close");
     answer.headers_mut().insert(header::CONNECTION, close);
--- a/daemon/src/relay/front.rs
+++ b/daemon/src/relay/front.rs
@@ -17,13 +17,13 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::relay::answer_body::AnswerBody;
-use crate::relay::answer_body::Answered;
 use crate::relay::call;
-use crate::relay::caller_io::CallHold;
+use crate::relay::caller_io::CallGuard;
 use crate::relay::caller_io::CallerIo;
-use crate::relay::caller_io::Standing;
+use crate::relay::caller_io::ConnectionState;
 use crate::relay::listener;
+use crate::relay::response_body::ResponseBody;
+use crate::relay::response_body::ServiceResult;
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
@@ -41,7 +41,7 @@
 
 /// Takes callers' connections for ever.
 pub async fn serve(listener: TcpListener, relay: Arc<Relay>) {
-    listener::serve_each(listener, |stream| {
+    listener::accept_loop(listener, |stream| {
         serve_connection(stream, Arc::clone(&relay))
     })
     .await;
@@ -61,11 +61,11 @@
         return;
     }
     let limits = limits(&relay);
-    let standing = Arc::new(Mutex::new(Standing::Idle(Instant::now())));
-    let io = CallerIo::new(stream, Arc::clone(&standing));
+    let state = Arc::new(Mutex::new(ConnectionState::Idle(Instant::now())));
+    let io = CallerIo::new(stream, Arc::clone(&state));
     let service = service_fn({
-        let (relay, standing) = (Arc::clone(&relay), Arc::clone(&standing));
-        move |req| answer(Arc::clone(&relay), Arc::clone(&standing), req)
+        let (relay, state) = (Arc::clone(&relay), Arc::clone(&state));
+        move |req| serve_call(Arc::clone(&relay), Arc::clone(&state), req)
     });
     let mut builder = http1::Builder::new();
     builder.max_buf_size(limits.header_bytes.max(MIN_READ_BUFFER));
@@ -82,28 +82,28 @@
                 }
                 return;
             }
-            _ = look.tick() => match *lock(&standing) {
-                Standing::Idle(since) if since.elapsed() >= limits.idle_time => {
+            _ = look.tick() => match *lock(&state) {
+                ConnectionState::Idle(since) if since.elapsed() >= limits.idle_time => {
                     connection.as_mut().graceful_shutdown();
                 }
-                Standing::Head(since) if since.elapsed() >= limits.header_time => return,
-                Standing::Idle(_) | Standing::Head(_) | Standing::Busy => {}
+                ConnectionState::ReadingHead(since) if since.elapsed() >= limits.header_time => return,
+                ConnectionState::Idle(_) | ConnectionState::ReadingHead(_) | ConnectionState::Busy => {}
             },
         }
     }
 }
 
-async fn answer(
+async fn serve_call(
     relay: Arc<Relay>,
-    standing: Arc<Mutex<Standing>>,
+    state: Arc<Mutex<ConnectionState>>,
     req: Request<Incoming>,
-) -> Answered<Response<AnswerBody>> {
-    let hold = CallHold::new(&relay, standing);
-    let mut answer = call::answer(Arc::clone(&relay), req).await;
+) -> ServiceResult<Response<ResponseBody>> {
+    let guard = CallGuard::new(&relay, state);
+    let mut answer = call::handle(Arc::clone(&relay), req).await;
     if relay.is_stopping() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
-    answer.body_mut().hold(hold);
+    answer.body_mut().set_guard(guard);
     Ok(answer)
 }
--- a/daemon/src/relay/listener.rs
+++ b/daemon/src/relay/listener.rs
@@ -14,7 +14,7 @@
 /// Connections that wait to be accepted; a burst of callers comes at once.
 const BACKLOG: i32 = 1_024;
 /// Pause after a failed accept, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Listens, also where the process before left connections that wait for their end.
 ///
@@ -38,7 +38,7 @@
 }
 
 /// Serves each connection in a task of its own, for ever.
-pub async fn serve_each<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
+pub async fn accept_loop<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -49,7 +49,7 @@
             }
             Err(cause) => {
                 tracing::warn!(%cause, "a connection could not be accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/daemon/src/relay/line_budget.rs
+++ b/daemon/src/relay/log_rate_limit.rs
@@ -9,23 +9,23 @@
 use crate::traffic::lock;
 
 /// Lines of good calls written in each second; the rest are counted.
-const GOOD_LINES_PER_SECOND: u32 = 100;
+const ON_TIME_LINES_PER_SECOND: u32 = 100;
 /// Lines of late calls written in each second: all of them, unless a box is overloaded.
 const LATE_LINES_PER_SECOND: u32 = 200;
 
 /// Lines of one sort written in the current second.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LogRateLimit {
     most: u32,
     written: Mutex<Option<(Instant, u32)>>,
 }
 
 /// Lines of calls that were served in time.
-pub static GOOD_LINES: LineBudget = LineBudget::new(GOOD_LINES_PER_SECOND);
+pub static ON_TIME_LINES: LogRateLimit = LogRateLimit::new(ON_TIME_LINES_PER_SECOND);
 /// Lines of calls that were late, or needed more than one step.
-pub static LATE_LINES: LineBudget = LineBudget::new(LATE_LINES_PER_SECOND);
+pub static LATE_LINES: LogRateLimit = LogRateLimit::new(LATE_LINES_PER_SECOND);
 
-impl LineBudget {
+impl LogRateLimit {
     const fn new(most: u32) -> Self {
         Self {
             most,
@@ -34,7 +34,7 @@
     }
 
     /// Whether one more may be written; those that may not are counted.
-    pub fn take(&self) -> bool {
+    pub fn allow(&self) -> bool {
         let mut lines = lock(&self.written);
         let now = Instant::now();
         let (since, written) = match *lines {
--- a/daemon/src/relay/metrics_page.rs
+++ b/daemon/src/relay/metrics_page.rs
@@ -16,9 +16,9 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-use crate::relay::answer_body::AnswerBody;
-use crate::relay::answer_body::Answered;
 use crate::relay::listener;
+use crate::relay::response_body::ResponseBody;
+use crate::relay::response_body::ServiceResult;
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
@@ -34,7 +34,7 @@
         } else {
             (StatusCode::SERVICE_UNAVAILABLE, "not ready")
         };
-        let mut answer = Response::new(AnswerBody::whole(text));
+        let mut answer = Response::new(ResponseBody::full(text));
         *answer.status_mut() = status;
         answer
     })
@@ -48,7 +48,7 @@
         Ok(listener) => {
             let page = move || {
                 set_gauges(&relay);
-                Response::new(AnswerBody::whole(metrics.render()))
+                Response::new(ResponseBody::full(metrics.render()))
             };
             serve_page(listener, page).await;
         }
@@ -61,12 +61,13 @@
 /// Gives the same page to whoever connects.
 async fn serve_page(
     listener: TcpListener,
-    page: impl Fn() -> Response<AnswerBody> + Clone + Send + 'static,
+    page: impl Fn() -> Response<ResponseBody> + Clone + Send + 'static,
 ) {
-    listener::serve_each(listener, |stream| {
+    listener::accept_loop(listener, |stream| {
         let page = page.clone();
-        let service =
-            service_fn(move |_req: Request<Incoming>| std::future::ready(Answered::Ok(page())));
+        let service = service_fn(move |_req: Request<Incoming>| {
+            std::future::ready(ServiceResult::Ok(page()))
+        });
         async move {
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             // Whoever wants the page asks again, whatever became of this connection.
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -8,29 +8,29 @@
 use anyhow::Context;
 use badgerferry_platform::settings_file::BoxSettings;
 
-mod answer_body;
 mod call;
-mod caller_answer;
+mod call_log;
 mod caller_io;
 mod candidates;
 mod engine_call;
 mod engines;
+mod error_response;
 mod followed;
 mod front;
 mod late_calls;
-mod line_budget;
 mod listener;
-mod live_stream;
-mod log_lines;
+mod log_rate_limit;
 mod metrics_page;
 mod neighbours;
 mod permit_post;
 mod pulls;
 mod reservations;
+mod response_body;
 mod server_gate;
 mod state;
 mod stop;
 mod store_follow;
+mod stream_relay;
 mod suspects;
 mod tries;
 mod unknown_headers;
@@ -48,7 +48,7 @@
         .context("failed to build the traffic runtime")?;
     runtime.block_on(async {
         // First of all: a signal that comes before this ends the process.
-        let signals = stop::Signals::take().context("failed to take signals")?;
+        let signals = stop::Signals::install().context("failed to take signals")?;
         let metrics = crate::telemetry::start_metrics()?;
         let relay = Arc::new(state::Relay::new(settings));
         let front = listener::listen(relay.settings.front)?;
@@ -65,7 +65,7 @@
         tokio::spawn(front::serve(front, Arc::clone(&relay)));
         tokio::spawn(metrics_page::serve_ready(ready, Arc::clone(&relay)));
         tokio::spawn(metrics_page::serve_metrics(metrics, Arc::clone(&relay)));
-        stop::wait(&relay, signals).await;
+        stop::wait_for_exit(&relay, signals).await;
         Ok(())
     })
 }
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -221,7 +221,7 @@
 /// Answers other boxes' pulls for ever.
 pub async fn answer_pulls(relay: &Arc<Relay>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(ANSWERS_AT_ONCE));
-    listener::serve_each(listener, |stream| {
+    listener::accept_loop(listener, |stream| {
         answer_pull(Arc::clone(relay), Arc::clone(&slots), stream)
     })
     .await;
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -38,8 +38,8 @@
 
 use crate::clock::Clock;
 use crate::relay::followed::Followed;
-use crate::relay::line_budget::GOOD_LINES;
-use crate::relay::line_budget::LATE_LINES;
+use crate::relay::log_rate_limit::LATE_LINES;
+use crate::relay::log_rate_limit::ON_TIME_LINES;
 use crate::relay::permit_post::PermitPost;
 use crate::traffic::lock;
 
@@ -486,11 +486,11 @@
 /// A limited server was asked for: how long the call waits for its place, or when there is room.
 fn log_asked(entrant: &Entrant<'_>, limit: CallRate, decision: Result<Duration, Duration>) {
     let (outcome, lines) = match decision {
-        Ok(_) => ("granted", &GOOD_LINES),
+        Ok(_) => ("granted", &ON_TIME_LINES),
         Err(_) => ("full", &LATE_LINES),
     };
     counter!("badgerferry_limited_calls_total", "outcome" => outcome).increment(1);
-    if !lines.take() {
+    if !lines.allow() {
         return;
     }
     tracing::info!(
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// The runtime can't take signals.
-    pub fn take() -> std::io::Result<Self> {
+    pub fn install() -> std::io::Result<Self> {
         Ok(Self {
             term: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -45,7 +45,7 @@
 }
 
 /// Returns when the process may end.
-pub async fn wait(relay: &Arc<Relay>, mut signals: Signals) {
+pub async fn wait_for_exit(relay: &Arc<Relay>, mut signals: Signals) {
     let mut sweep = tokio::time::interval(SWEEP);
     loop {
         tokio::select! {
--- a/daemon/src/relay/live_stream.rs
+++ b/daemon/src/relay/stream_relay.rs
@@ -16,13 +16,13 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-use crate::relay::answer_body::AnswerBody;
-use crate::relay::answer_body::PIECES;
-use crate::relay::answer_body::Piece;
 use crate::relay::call::Call;
+use crate::relay::call_log;
+use crate::relay::call_log::StreamTimings;
 use crate::relay::candidates::NO_SERVER_RETRY;
-use crate::relay::log_lines;
-use crate::relay::log_lines::StreamTimes;
+use crate::relay::response_body::BODY_CHANNEL_CAPACITY;
+use crate::relay::response_body::BodyChunk;
+use crate::relay::response_body::ResponseBody;
 use crate::relay::tries;
 use crate::relay::tries::Broken;
 use crate::relay::tries::Live;
@@ -45,11 +45,11 @@
     attempts: Attempts,
     tried: Vec<ServerName>,
     live: Box<Live>,
-) -> Response<AnswerBody> {
-    let (tx, rx) = mpsc::channel(PIECES);
-    let answer = tries::pass_on(&live.head, AnswerBody::pieces(rx));
-    log_lines::streaming(&call, &live);
-    call.has_begun.store(true, Ordering::Relaxed);
+) -> Response<ResponseBody> {
+    let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+    let answer = tries::pass_on(&live.head, ResponseBody::channel(rx));
+    call_log::stream_started(&call, &live);
+    call.response_started.store(true, Ordering::Relaxed);
     tokio::spawn(run(call, attempts, tried, live, tx));
     answer
 }
@@ -59,9 +59,9 @@
     mut attempts: Attempts,
     mut tried: Vec<ServerName>,
     live: Box<Live>,
-    tx: mpsc::Sender<Piece>,
+    tx: mpsc::Sender<BodyChunk>,
 ) {
-    let mut times = StreamTimes::begin(&call, &live);
+    let mut times = StreamTimings::start(&call, &live);
     let mut pauses = Pauses::begin();
     let ended = timeout(
         call.time_left(),
@@ -70,10 +70,10 @@
     .await;
     let how = ended.unwrap_or("deadline_while_running");
     times.longest_pause = pauses.longest;
-    log_lines::stream_ended(&call, &attempts, how, times);
+    call_log::stream_ended(&call, &attempts, how, times);
     if how != COMPLETE {
         // Without room the caller does not read; dropping the sender would look complete.
-        let _ = tx.send(Piece::Cut).await;
+        let _ = tx.send(BodyChunk::Aborted).await;
     }
 }
 
@@ -111,7 +111,7 @@
     attempts: &mut Attempts,
     tried: &mut Vec<ServerName>,
     mut live: Box<Live>,
-    tx: &mpsc::Sender<Piece>,
+    tx: &mpsc::Sender<BodyChunk>,
     pauses: &mut Pauses,
 ) -> &'static str {
     loop {
@@ -123,7 +123,7 @@
         let mut end = AttemptEnd::Lost;
         live = loop {
             let paid = std::mem::take(&mut repeat_paid);
-            match attempts.on_attempt_end(end, NO_SERVER_RETRY, || paid || call.may_repeat()) {
+            match attempts.on_attempt_end(end, NO_SERVER_RETRY, || paid || call.try_spend_retry()) {
                 NextStep::TryElsewhere => {}
                 NextStep::Fail(reason) => return reason.code(),
                 NextStep::PassOn | NextStep::Refuse(_) => return "server_lost",
@@ -148,7 +148,7 @@
     call: &Call,
     attempts: &Attempts,
     live: Box<Live>,
-    tx: &mpsc::Sender<Piece>,
+    tx: &mpsc::Sender<BodyChunk>,
     pauses: &mut Pauses,
 ) -> RunEnd {
     let Live {
@@ -197,7 +197,7 @@
             Ok(Some(Err(cause))) => Broken::Off(cause.to_string()),
             Err(_elapsed) => {
                 // Silence alone ends no answer: without another server to go on, it is waited for.
-                repeat_paid = attempts.may_retry() && call.may_repeat();
+                repeat_paid = attempts.may_retry() && call.try_spend_retry();
                 if !repeat_paid {
                     patience = Duration::MAX;
                     continue;
@@ -213,10 +213,10 @@
     RunEnd::Complete
 }
 
-async fn forward(events: Bytes, tx: &mpsc::Sender<Piece>, pauses: &mut Pauses) -> bool {
+async fn forward(events: Bytes, tx: &mpsc::Sender<BodyChunk>, pauses: &mut Pauses) -> bool {
     if events.is_empty() {
         return true;
     }
     pauses.event();
-    tx.send(Piece::Data(events)).await.is_ok()
+    tx.send(BodyChunk::Data(events)).await.is_ok()
 }
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -116,7 +116,7 @@
     if !is_told_apart {
         return Ok(run(None, 0));
     }
-    let work = call.work();
+    let work = call.fingerprint();
     let patience = VERDICT_PATIENCE.min(call.time_left() / 2);
     let until = relay.clock.now() + patience;
     loop {
@@ -198,7 +198,7 @@
 impl ServerEnd {
     fn record(&self, call: &Call) {
         let relay = &call.relay;
-        let (now, work) = (relay.clock.now(), call.work());
+        let (now, work) = (relay.clock.now(), call.fingerprint());
         counter!("badgerferry_servers_ended_total").increment(1);
         tracing::warn!(
             call = call.id(),
--- a/daemon/src/relay/tries.rs
+++ b/daemon/src/relay/tries.rs
@@ -24,11 +24,11 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-use crate::relay::answer_body::AnswerBody;
 use crate::relay::call::Call;
+use crate::relay::call_log;
 use crate::relay::engines;
 use crate::relay::engines::Chosen;
-use crate::relay::log_lines;
+use crate::relay::response_body::ResponseBody;
 use crate::relay::server_gate::Entrant;
 use crate::relay::server_gate::MOST_ASKED;
 use crate::relay::server_gate::NO_KEEPER;
@@ -47,13 +47,13 @@
 #[derive(Debug)]
 pub enum TryResult {
     /// A whole answer to pass on.
-    Whole(Response<AnswerBody>),
+    Whole(Response<ResponseBody>),
     /// A stream whose first events are here.
     Live(Box<Live>),
     /// No server can take the call.
     NoServer(RefusalReason, Duration),
     /// The server ran the call and answered with a failure of its own, here whole.
-    ServerError(Response<AnswerBody>),
+    ServerError(Response<ResponseBody>),
     /// It ended without an answer that can be passed on.
     Ended(AttemptEnd),
 }
@@ -200,7 +200,7 @@
             Self::Off(why) | Self::Spoiled(why) => why,
             Self::Silent(why) => *why,
         };
-        log_lines::unusable(call, &flight.chosen, StatusCode::OK, why);
+        call_log::unusable_response(call, &flight.chosen, StatusCode::OK, why);
         match self {
             Self::Off(_) => flight.broke_off().await,
             Self::Spoiled(_) | Self::Silent(_) => flight.end(ServerOutcome::Failure),
@@ -219,12 +219,12 @@
     let (run, chosen, pass) = match admit(call, tried).await {
         Ok(admitted) => admitted,
         Err((reason, retry_after)) => {
-            log_lines::no_server_takes(call, reason, retry_after);
+            call_log::no_server_available(call, reason, retry_after);
             return TryResult::NoServer(reason, retry_after);
         }
     };
     tried.push(chosen.server.clone());
-    log_lines::routed(call, attempts, &chosen);
+    call_log::routed(call, attempts, &chosen);
     let resume_after = join.and_then(EventJoin::last);
     let request = request(call, &chosen, resume_after);
     let mut flight = Flight::new(call, run, chosen);
@@ -247,7 +247,7 @@
     let server = &flight.chosen.server;
     relay
         .unknown_headers
-        .note(call.id(), server, &parts.headers);
+        .record(call.id(), server, &parts.headers);
     flight.is_framed = headers::is_framed(&parts.headers);
     let now = call.relay.clock.now();
     lock(&call.relay.tracker).call_answered(now, &flight.chosen.server);
@@ -303,7 +303,7 @@
         let entrant = Entrant {
             id: call.id(),
             target: &chosen.target,
-            patience: call.patience(tried.is_empty()),
+            patience: call.max_admission_wait(tried.is_empty()),
         };
         if let Ok(pass) = call.relay.gate.enter(&entrant).await {
             return Ok((chosen, pass));
@@ -330,7 +330,7 @@
 }
 
 async fn not_answered(call: &Call, flight: Flight, cause: &SendError) -> TryResult {
-    log_lines::try_failed(call, &flight.chosen, cause);
+    call_log::attempt_failed(call, &flight.chosen, cause);
     match cause {
         SendError::NotSent(_) => {
             flight.end(ServerOutcome::Unreachable);
@@ -374,7 +374,7 @@
 }
 
 fn unusable(call: &Call, flight: Flight, status: StatusCode, why: &str) -> TryResult {
-    log_lines::unusable(call, &flight.chosen, status, why);
+    call_log::unusable_response(call, &flight.chosen, status, why);
     flight.end(ServerOutcome::Failure);
     TryResult::Ended(AttemptEnd::Lost)
 }
@@ -388,7 +388,7 @@
         head,
         body,
     } = received;
-    log_lines::declined(call, &flight.chosen, parts.status, &head);
+    call_log::declined(call, &flight.chosen, parts.status, &head);
     if let Some(address) = &head.at_fault {
         let now = call.relay.clock.now();
         lock(&call.relay.tracker).record_fault(now, address);
@@ -419,12 +419,12 @@
         ..
     } = received;
     let Some(bytes) = read_whole(body).await else {
-        log_lines::unusable(call, &flight.chosen, parts.status, "it ended early");
+        call_log::unusable_response(call, &flight.chosen, parts.status, "it ended early");
         flight.broke_off().await;
         return TryResult::Ended(AttemptEnd::Lost);
     };
     put_back(call, &flight.chosen.server, connection, after);
-    let answer = pass_on(&parts, AnswerBody::whole(bytes));
+    let answer = pass_on(&parts, ResponseBody::full(bytes));
     if parts.status.is_server_error() {
         flight.end(ServerOutcome::Failure);
         TryResult::ServerError(answer)
@@ -450,7 +450,7 @@
 }
 
 /// The server's head without what concerns its own connection.
-pub fn pass_on(parts: &http::response::Parts, body: AnswerBody) -> Response<AnswerBody> {
+pub fn pass_on(parts: &http::response::Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut answer = Response::new(body);
     *answer.status_mut() = parts.status;
     *answer.headers_mut() = headers::without_connection(&parts.headers);
--- a/daemon/src/relay/unknown_headers.rs
+++ b/daemon/src/relay/unknown_headers.rs
@@ -12,7 +12,7 @@
 use crate::traffic::lock;
 
 /// Names that get a line; later ones are counted only.
-const MOST_NAMES: usize = 64;
+const MAX_LOGGED_NAMES: usize = 64;
 
 /// Names that were seen already.
 #[derive(Debug, Default)]
@@ -22,11 +22,11 @@
 
 impl UnknownHeaders {
     /// Counts those of an answer, and logs each name once.
-    pub fn note(&self, id: &str, server: &ServerName, headers: &HeaderMap) {
+    pub fn record(&self, id: &str, server: &ServerName, headers: &HeaderMap) {
         for name in vocabulary::unknown_headers(headers) {
             counter!("badgerferry_headers_unknown_total").increment(1);
             let mut seen = lock(&self.seen);
-            if seen.len() < MOST_NAMES && seen.insert(name.clone()) {
+            if seen.len() < MAX_LOGGED_NAMES && seen.insert(name.clone()) {
                 tracing::warn!(call = id, %server, header = %name, "a server's header is not known");
             }
         }
