--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -1,7 +1,8 @@
-//! One call from its head to the head of its answer.
+//! Lifecycle of a call, from its request head to the head of its response.
 //!
-//! The steps, in order: routes known, route found, key known, body read, then tries until
-//! one gives an answer or none may follow. What follows a try is decided by
+//! The steps, in order: wait for the routes, find the route, check the key, read the body, then
+//! make attempts until one succeeds or no further attempt is allowed. The step after an attempt is
+//! chosen by
 //! [`badgerferry_lib::relay::attempts`].
 
 use std::sync::Arc;
@@ -50,58 +51,60 @@
 use crate::relay::tries::TryResult;
 use crate::traffic::lock;
 
-/// How long a call waits at most for the first routes of a box that has just started; half of its
-/// time where that is less.
+/// Longest wait of a call for the first route table of a box that has just started. A call with a
+/// shorter deadline waits for half of its remaining time.
 const MAX_ROUTES_WAIT: Duration = Duration::from_secs(2);
-/// When to come back where this box has no routes yet, or is leaving.
+/// Retry-After of a box that has no routes yet or is stopping.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A call whose head and body are read.
+/// A call whose head and body have been read.
 #[derive(Debug)]
 pub struct Call {
-    /// Shared state.
+    /// Shared state of the daemon.
     pub relay: Arc<Relay>,
-    /// The routes in force when it came.
+    /// Routes in force when the call arrived.
     pub routes: Arc<RouteIndex>,
-    /// Its route.
+    /// Route of the call.
     pub route: Route,
-    /// The service drawn for it.
+    /// Service selected among the targets of the route.
     pub service: ServiceName,
-    /// Whose it is.
+    /// Workspace that the key belongs to, if the route requires a key.
     pub workspace: Option<WorkspaceName>,
-    /// Its rank.
+    /// Priority of the principal, or else of the route.
     pub priority: u8,
-    /// What its head says.
+    /// Parsed request head.
     pub head: CallHead,
-    /// What it asks for, once that was worked out.
+    /// Fingerprint, computed on first use.
     fingerprint: OnceLock<RequestFingerprint>,
-    /// Whether a server ended under its last run.
+    /// Whether the last run ended with a server crash.
     pub saw_crash: AtomicBool,
-    /// Whether its caller has the head of an answer: from then on it can only go on or be cut.
+    /// Whether the caller has received the response head. From then on the response can only be
+    /// continued or aborted.
     pub response_started: AtomicBool,
-    /// Host.
+    /// Host of the URI, or else of the Host header.
     pub host: String,
-    /// Method.
+    /// Request method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers as they came.
+    /// Request headers, unmodified.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// When its head was read.
+    /// Time at which the request head was read.
     pub arrived: Time,
-    /// When it must have its final answer.
+    /// Time by which the call must have ended.
     pub deadline: Time,
 }
 
 impl Call {
-    /// The caller's id, for logs.
+    /// Id chosen by the caller, or `-`, for logs.
     pub fn id(&self) -> &str {
         self.head.id.as_deref().unwrap_or("-")
     }
 
-    /// What it asks for and for whom, the same for each caller's try at any box.
+    /// Fingerprint of the request and its workspace, equal for each attempt of the caller at any
+    /// box.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             RequestFingerprint::of(&FingerprintInput {
@@ -117,51 +120,60 @@
         })
     }
 
-    /// Time that is left.
+    /// Time until the deadline.
     pub fn time_left(&self) -> Duration {
         self.relay.clock.now().until(self.deadline)
     }
 
-    /// When its answer, or its first event, should be there.
+    /// Time by which the response, or the first event of a stream, is due under the objective of
+    /// the route.
     pub fn due(&self) -> Time {
         self.first_request_time() + self.route.objective
     }
 
-    /// When the caller first asked: one that comes back has less time left than its route gives.
+    /// Estimated time of the caller's first request. A caller that retries states less remaining
+    /// time than the time limit of the route.
     pub fn first_request_time(&self) -> Time {
         let left = self.head.time_left.unwrap_or(self.route.time_limit);
-        let passed = self.route.time_limit.saturating_sub(left);
+        let elapsed = self.route.time_limit.saturating_sub(left);
         Time::from_micros(
             self.arrived
                 .as_micros()
-                .saturating_sub(passed.as_micros() as u64),
+                .saturating_sub(elapsed.as_micros() as u64),
         )
     }
 
-    /// How long it may wait for its place, where no server takes it at once: so that it can still be on
-    /// time, and a repeat not at all. A stream that has begun would be cut instead.
+    /// Longest wait for admission if no server accepts the call at once. A first attempt waits for
+    /// at most half of the time until it is due, so that it can still be on time; a retry does not
+    /// wait. A stream whose response has started may wait until its deadline, because it would be
+    /// aborted otherwise.
     pub fn max_admission_wait(&self, is_first: bool) -> Duration {
         let left = self.relay.clock.now().until(self.due());
-        let most = match self.response_started.load(Ordering::Relaxed) {
+        let max_wait = match self.response_started.load(Ordering::Relaxed) {
             true => self.time_left(),
             false if is_first => left / 2,
             false => Duration::ZERO,
         };
-        most.min(MOST_PATIENCE)
+        max_wait.min(MOST_PATIENCE)
     }
 
-    /// Whether the box's share of the retry budget has a repeat left.
+    /// Whether the box's share of the retry budget has a retry left.
     pub fn has_retry_budget(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
         self.with_retry_window(|window, rule| window.has_retry_left(now, rule, boxes))
     }
 
-    /// Takes one repeat from the box's share of the retry budget, if there is one.
+    /// Takes one retry from the box's share of the retry budget, if one is left.
     pub fn try_spend_retry(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
         let allowed = self.with_retry_window(|window, rule| window.try_spend(now, rule, boxes));
         if !allowed {
-            tracing::info!(call = self.id(), service = %self.service, boxes, "no retry budget left");
+            tracing::info!(
+                call = self.id(),
+                service = %self.service,
+                boxes,
+                "retry budget exhausted"
+            );
         }
         allowed
     }
@@ -173,16 +185,16 @@
     }
 }
 
-/// Answers a call.
+/// Handles a request and returns the response to the caller.
 pub async fn handle(relay: Arc<Relay>, req: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = relay.clock.now();
-    match read(&relay, arrived, req).await {
+    match read_call(&relay, arrived, req).await {
         Ok(call) => run(call).await,
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
-async fn read(
+async fn read_call(
     relay: &Arc<Relay>,
     arrived: Time,
     req: Request<Incoming>,
@@ -193,11 +205,8 @@
         error_response::invalid_request(StatusCode::BAD_REQUEST, cause.0)
     })?;
     let id = head.id.clone().unwrap_or_else(|| "-".to_owned());
-    let max_routes_wait = head.time_left.map_or(MAX_ROUTES_WAIT, |left| left / 2);
-    let Some(routes) = relay
-        .routes_within(max_routes_wait.min(MAX_ROUTES_WAIT))
-        .await
-    else {
+    let routes_wait = head.time_left.map_or(MAX_ROUTES_WAIT, |left| left / 2);
+    let Some(routes) = relay.routes_within(routes_wait.min(MAX_ROUTES_WAIT)).await else {
         call_log::rejected(&id, "no_settings");
         return Err(error_response::not_run(
             "no_settings",
@@ -262,26 +271,26 @@
 
 async fn read_body(
     body: Incoming,
-    most: usize,
-    silence: Duration,
+    max_bytes: usize,
+    read_timeout: Duration,
 ) -> Result<Bytes, (StatusCode, &'static str)> {
-    let mut body = Limited::new(body, most);
-    let mut pieces: Vec<Bytes> = Vec::new();
+    let mut body = Limited::new(body, max_bytes);
+    let mut chunks: Vec<Bytes> = Vec::new();
     loop {
-        let frame = match timeout(silence, body.frame()).await {
+        let frame = match timeout(read_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => break,
             Ok(Some(Err(cause))) if cause.is::<LengthLimitError>() => {
                 return Err((StatusCode::PAYLOAD_TOO_LARGE, "body_too_long"));
             }
-            Ok(Some(Err(_broken))) => return Err((StatusCode::BAD_REQUEST, "bad_body")),
+            Ok(Some(Err(_invalid))) => return Err((StatusCode::BAD_REQUEST, "bad_body")),
             Err(_elapsed) => return Err((StatusCode::REQUEST_TIMEOUT, "body_stopped")),
         };
-        pieces.extend(frame.into_data().ok());
+        chunks.extend(frame.into_data().ok());
     }
-    Ok(match pieces.len() {
-        1 => pieces.remove(0),
-        _ => pieces.concat().into(),
+    Ok(match chunks.len() {
+        1 => chunks.remove(0),
+        _ => chunks.concat().into(),
     })
 }
 
@@ -303,28 +312,28 @@
                 return finish(&call, &attempts, next);
             }
         };
-        let (end, own_failure) = match result {
-            TryResult::Whole(answer) => {
-                call_log::call_ended(&call, &attempts, "answered", answer.status());
-                return answer;
+        let (end, server_error) = match result {
+            TryResult::Whole(response) => {
+                call_log::call_ended(&call, &attempts, "answered", response.status());
+                return response;
             }
             TryResult::Live(live) => return stream_relay::respond(call, attempts, tried, live),
             TryResult::NoServer(reason, retry_after) => {
                 let next = attempts.give_up(reason, retry_after);
                 return finish(&call, &attempts, next);
             }
-            TryResult::ServerError(answer) => (AttemptEnd::ServerError, Some(answer)),
+            TryResult::ServerError(response) => (AttemptEnd::ServerError, Some(response)),
             TryResult::Ended(end) => (end, None),
         };
         match attempts.on_attempt_end(end, NO_SERVER_RETRY, || call.try_spend_retry()) {
             NextStep::TryElsewhere => {}
             NextStep::PassOn => {
-                let Some(answer) = own_failure else {
+                let Some(response) = server_error else {
                     let next = NextStep::Fail(FailureReason::ServerError);
                     return finish(&call, &attempts, next);
                 };
-                call_log::call_ended(&call, &attempts, "server_error", answer.status());
-                return answer;
+                call_log::call_ended(&call, &attempts, "server_error", response.status());
+                return response;
             }
             next => return finish(&call, &attempts, next),
         }
@@ -332,7 +341,7 @@
 }
 
 fn finish(call: &Call, attempts: &Attempts, next: NextStep) -> Response<ResponseBody> {
-    let (code, answer) = match next {
+    let (code, response) = match next {
         NextStep::Refuse(refused) => (refused.reason().code(), error_response::refused(&refused)),
         NextStep::Fail(reason) => (reason.code(), error_response::failed(reason)),
         NextStep::TryElsewhere | NextStep::PassOn => {
@@ -340,6 +349,6 @@
             (reason.code(), error_response::failed(reason))
         }
     };
-    call_log::call_ended(call, attempts, code, answer.status());
-    answer
+    call_log::call_ended(call, attempts, code, response.status());
+    response
 }
--- a/daemon/src/relay/call_log.rs
+++ b/daemon/src/relay/call_log.rs
@@ -1,7 +1,8 @@
-//! Log lines of calls: one for each decision, with the call's id and what decided it.
+//! Log lines and metrics of calls: one line per decision, with the id of the call and the inputs of
+//! the decision.
 //!
-//! Lines of calls that were served are sampled beyond a rate, and late ones beyond a higher one;
-//! those of failures never are.
+//! Lines of calls served on time are rate limited, those of late calls at a higher rate. Lines of
+//! failures are always written.
 
 use std::time::Duration;
 
@@ -21,19 +22,19 @@
 use crate::relay::tries::Live;
 use crate::relay::upstream::SendError;
 
-/// A call was turned down before it had a route.
+/// The call was rejected before it was sent to any server.
 pub fn rejected(id: &str, why: &str) {
     counter!("badgerferry_calls_total", "outcome" => "turned_away").increment(1);
-    tracing::info!(call = id, why, "call turned away");
+    tracing::info!(call = id, why, "call rejected");
 }
 
-/// A call is not allowed.
+/// The call has no route, or no valid key for its route.
 pub fn denied(id: &str, version: u64, host: &str, path: &str, why: Denied) {
     counter!("badgerferry_calls_total", "outcome" => "denied").increment(1);
     tracing::info!(call = id, version, host, path, %why, "call denied");
 }
 
-/// A server was chosen.
+/// A server was selected for an attempt.
 pub fn routed(call: &Call, attempts: &Attempts, chosen: &Chosen) {
     if !chosen.waited.is_zero() {
         histogram!("badgerferry_relay_engine_wait_seconds", "service" => call.service.to_string())
@@ -62,20 +63,20 @@
     );
 }
 
-/// A long prompt waited until no engines could answer it in its caller's time.
-pub fn prompt_expired(call: &Call, looks: BlockedPolls) {
+/// A queued long prompt was given up, as no engines could meet its deadline any more.
+pub fn prompt_expired(call: &Call, blocked: BlockedPolls) {
     let waited = call.relay.clock.now().since(call.arrived);
     tracing::info!(
         call = call.id(),
         tokens = call.head.prompt.map(|prompt| prompt.tokens),
         waited_ms = waited.as_millis() as u64,
-        looks_behind = looks.not_first,
-        looks_no_engines = looks.too_few_engines,
-        "gave up waiting for engines"
+        looks_behind = blocked.not_first,
+        looks_no_engines = blocked.too_few_engines,
+        "queued prompt expired: no engines in time"
     );
 }
 
-/// No server takes the call now; why, and when it may come back.
+/// No server accepts the call now. `retry_after` is the delay stated to the caller.
 pub fn no_server_available(call: &Call, reason: RefusalReason, retry_after: Duration) {
     if !LATE_LINES.allow() {
         return;
@@ -85,25 +86,25 @@
         service = %call.service,
         reason = reason.code(),
         retry_after_ms = retry_after.as_millis() as u64,
-        "no server takes the call"
+        "no server available"
     );
 }
 
-/// A try got no head of an answer.
+/// An attempt ended without a response head.
 pub fn attempt_failed(call: &Call, chosen: &Chosen, cause: &SendError) {
     counter!("badgerferry_tries_failed_total", "why" => "no_answer").increment(1);
-    // What it asks for matters where it may have run.
-    let work = matches!(cause, SendError::Lost(_)).then(|| call.fingerprint());
+    // The fingerprint is logged if the call may have run and crashed its server.
+    let fingerprint = matches!(cause, SendError::Lost(_)).then(|| call.fingerprint());
     tracing::info!(
         call = call.id(),
         server = %chosen.server,
-        work = work.map(tracing::field::display),
+        work = fingerprint.map(tracing::field::display),
         %cause,
-        "try failed"
+        "attempt failed"
     );
 }
 
-/// A server declined.
+/// The server responded that it did not run the call.
 pub fn declined(call: &Call, chosen: &Chosen, status: StatusCode, head: &AnswerHead) {
     counter!("badgerferry_tries_failed_total", "why" => "declined").increment(1);
     tracing::info!(
@@ -111,15 +112,15 @@
         server = %chosen.server,
         status = status.as_u16(),
         at_fault = head.at_fault,
-        // Saturates: a server may name any time.
+        // Saturates, as a server may state any duration.
         retry_after_ms = (head.notice.retry_after.value())
-            .map(|span| u64::try_from(span.as_millis()).unwrap_or(u64::MAX)),
+            .map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)),
         load = ?head.load.map(|load| (load.running, load.waiting, load.slots)),
         "server declined"
     );
 }
 
-/// An answer can't be used.
+/// The response of a server is invalid or incomplete.
 pub fn unusable_response(call: &Call, chosen: &Chosen, status: StatusCode, why: &str) {
     counter!("badgerferry_tries_failed_total", "why" => "unusable").increment(1);
     tracing::info!(
@@ -128,67 +129,67 @@
         status = status.as_u16(),
         work = %call.fingerprint(),
         why,
-        "answer unusable"
+        "response unusable"
     );
 }
 
-/// The first event is on its way to the caller.
+/// The first event of a stream is being forwarded to the caller.
 pub fn stream_started(call: &Call, live: &Live) {
-    let took = call.relay.clock.now().since(call.arrived);
+    let elapsed = call.relay.clock.now().since(call.arrived);
     histogram!("badgerferry_relay_first_event_seconds", "service" => call.service.to_string())
-        .record(took.as_secs_f64());
+        .record(elapsed.as_secs_f64());
     if !ON_TIME_LINES.allow() {
         return;
     }
     tracing::info!(
         call = call.id(),
         server = %live.flight.chosen.server,
-        first_event_ms = took.as_millis() as u64,
+        first_event_ms = elapsed.as_millis() as u64,
         expected_ms = live.flight.chosen.expected.as_millis() as u64,
         "stream begins"
     );
 }
 
-/// A call has its outcome.
+/// A call whose response is not streamed ended with `outcome`.
 pub fn call_ended(call: &Call, attempts: &Attempts, outcome: &'static str, status: StatusCode) {
     outcome_line(call, attempts, outcome, status, None);
 }
 
-/// What came of a stream.
+/// Latencies of a stream.
 #[derive(Debug, Clone, Copy)]
 pub struct StreamTimings {
-    /// From the call's head to its first event.
+    /// Time from the request head to the first event.
     pub first_event: Duration,
-    /// How long its first run waited for engines.
+    /// Time that the first attempt waited for engines.
     pub waited: Duration,
-    /// What that run was expected to take until the first event.
-    pub expected: Duration,
-    /// The longest pause between events.
-    pub longest_pause: Duration,
+    /// Expected time to the first event of that attempt.
+    pub expected_first_event: Duration,
+    /// Longest gap between events.
+    pub longest_gap: Duration,
 }
 
 impl StreamTimings {
-    /// The times of a stream that begins now.
+    /// Timings of a stream whose first event is forwarded now.
     pub fn start(call: &Call, live: &Live) -> Self {
         Self {
             first_event: call.relay.clock.now().since(call.arrived),
             waited: live.flight.chosen.waited,
-            expected: live.flight.chosen.expected,
-            longest_pause: Duration::ZERO,
+            expected_first_event: live.flight.chosen.expected,
+            longest_gap: Duration::ZERO,
         }
     }
 
-    /// Whether the caller got it in time.
+    /// Whether the stream met the objective and the gap limit of its route.
     fn is_on_time(&self, call: &Call) -> bool {
-        let pauses_well = call
+        let is_within_gap_limit = call
             .route
             .max_gap
-            .is_none_or(|most| self.longest_pause <= most);
-        self.first_event <= call.route.objective && pauses_well
+            .is_none_or(|max_gap| self.longest_gap <= max_gap);
+        self.first_event <= call.route.objective && is_within_gap_limit
     }
 }
 
-/// A stream has its outcome.
+/// The stream of a call ended with `outcome`.
 pub fn stream_ended(call: &Call, attempts: &Attempts, outcome: &'static str, times: StreamTimings) {
     outcome_line(call, attempts, outcome, StatusCode::OK, Some(times));
 }
@@ -200,23 +201,23 @@
     status: StatusCode,
     times: Option<StreamTimings>,
 ) {
-    let took = call.relay.clock.now().since(call.arrived);
+    let elapsed = call.relay.clock.now().since(call.arrived);
     counter!("badgerferry_calls_total", "outcome" => outcome).increment(1);
     histogram!("badgerferry_relay_call_seconds", "service" => call.service.to_string())
-        .record(took.as_secs_f64());
+        .record(elapsed.as_secs_f64());
     let on_time = match times {
         Some(times) => times.is_on_time(call),
-        None => took <= call.route.objective,
+        None => elapsed <= call.route.objective,
     };
-    let is_written = match (outcome, on_time) {
+    let should_log = match (outcome, on_time) {
         ("answered", true) => ON_TIME_LINES.allow(),
         ("answered", false) => LATE_LINES.allow(),
         _ => true,
     };
-    if !is_written {
+    if !should_log {
         return;
     }
-    let millis = |time: Duration| time.as_millis() as u64;
+    let millis = |duration: Duration| duration.as_millis() as u64;
     tracing::info!(
         call = call.id(),
         route = call.route.name,
@@ -224,12 +225,12 @@
         status = status.as_u16(),
         sent = attempts.sent(),
         tokens = call.head.prompt.map(|prompt| prompt.tokens),
-        took_ms = millis(took),
+        took_ms = millis(elapsed),
         objective_ms = millis(call.route.objective),
         first_event_ms = times.map(|times| millis(times.first_event)),
         waited_ms = times.map(|times| millis(times.waited)),
-        expected_ms = times.map(|times| millis(times.expected)),
-        longest_pause_ms = times.map(|times| millis(times.longest_pause)),
+        expected_ms = times.map(|times| millis(times.expected_first_event)),
+        longest_pause_ms = times.map(|times| millis(times.longest_gap)),
         pause_limit_ms = call.route.max_gap.map(millis),
         "call ended"
     );
--- a/daemon/src/relay/caller_io.rs
+++ b/daemon/src/relay/caller_io.rs
@@ -1,4 +1,4 @@
-//! A caller's socket, and where its connection stands between calls.
+//! Socket of a caller, and the state of its connection for idle and header timeouts.
 
 use std::io;
 use std::pin::Pin;
@@ -17,18 +17,18 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Where a connection stands.
+/// State of a caller's connection.
 #[derive(Debug, Clone, Copy)]
 pub enum ConnectionState {
-    /// No call since then.
+    /// No request since this time.
     Idle(Instant),
-    /// The first byte of a head came then.
+    /// A request head is being read; its first byte arrived at this time.
     ReadingHead(Instant),
-    /// A call is being answered.
+    /// A call is in progress.
     Busy,
 }
 
-/// Counts a call as in flight, and its connection as busy, until dropped.
+/// RAII guard that counts a call as in flight and marks its connection busy.
 #[derive(Debug)]
 pub struct CallGuard {
     relay: Arc<Relay>,
@@ -36,7 +36,7 @@
 }
 
 impl CallGuard {
-    /// Counts one more.
+    /// Counts a call as in flight and marks its connection busy.
     pub fn new(relay: &Arc<Relay>, state: Arc<Mutex<ConnectionState>>) -> Self {
         relay.in_flight.fetch_add(1, Ordering::SeqCst);
         *lock(&state) = ConnectionState::Busy;
@@ -54,7 +54,7 @@
     }
 }
 
-/// A socket that notes when a head begins.
+/// A socket that records when a request head begins.
 #[derive(Debug)]
 pub struct CallerIo {
     stream: TcpStream,
@@ -62,7 +62,7 @@
 }
 
 impl CallerIo {
-    /// Wraps a socket.
+    /// Wraps `stream` and records the start of request heads in `state`.
     pub const fn new(stream: TcpStream, state: Arc<Mutex<ConnectionState>>) -> Self {
         Self { stream, state }
     }
@@ -74,9 +74,9 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before {
+        if buf.filled().len() > filled_before {
             let mut state = lock(&self.state);
             if matches!(*state, ConnectionState::Idle(_)) {
                 *state = ConnectionState::ReadingHead(Instant::now());
--- a/daemon/src/relay/front.rs
+++ b/daemon/src/relay/front.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: accepted, bounded in time and size, and handed to [`super::call`].
+//! Accepts callers' connections, enforces their time and size limits, and passes requests to
+//! [`super::call`].
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,19 +28,19 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Bounds before the first route table: the users' usual ones.
-const EARLY_LIMITS: CallerLimits = CallerLimits {
+/// Limits until the first route table arrives: the usual ones of the users.
+const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16_384,
     body_bytes: 4 << 20,
     header_time: Duration::from_secs(3),
     idle_time: Duration::from_secs(15),
 };
-/// Smallest read buffer that the HTTP library takes.
+/// Smallest read buffer that the HTTP library accepts, in bytes.
 const MIN_READ_BUFFER: usize = 8_192;
-/// How often a connection's timers are looked at.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval at which the timeouts of a connection are checked.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes callers' connections for ever.
+/// Accepts and serves callers' connections; never returns.
 pub async fn serve(listener: TcpListener, relay: Arc<Relay>) {
     listener::accept_loop(listener, |stream| {
         serve_connection(stream, Arc::clone(&relay))
@@ -52,12 +53,12 @@
         .routes
         .load()
         .as_ref()
-        .map_or(EARLY_LIMITS, |index| index.table().limits)
+        .map_or(DEFAULT_LIMITS, |index| index.table().limits)
 }
 
 async fn serve_connection(stream: TcpStream, relay: Arc<Relay>) {
     if let Err(cause) = stream.set_nodelay(true) {
-        tracing::debug!(%cause, "a caller's connection ended at once");
+        tracing::debug!(%cause, "failed to set TCP_NODELAY on caller connection");
         return;
     }
     let limits = limits(&relay);
@@ -72,22 +73,25 @@
     builder.header_read_timeout(None);
     let connection = builder.serve_connection(TokioIo::new(io), service);
     tokio::pin!(connection);
-    let mut look = tokio::time::interval(LOOK);
-    look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut check = tokio::time::interval(TIMEOUT_CHECK_INTERVAL);
+    check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(cause) = ended {
-                    tracing::debug!(%cause, "a caller's connection ended");
+                    tracing::debug!(%cause, "caller connection ended with an error");
                 }
                 return;
             }
-            _ = look.tick() => match *lock(&state) {
+            _ = check.tick() => match *lock(&state) {
                 ConnectionState::Idle(since) if since.elapsed() >= limits.idle_time => {
                     connection.as_mut().graceful_shutdown();
                 }
-                ConnectionState::ReadingHead(since) if since.elapsed() >= limits.header_time => return,
-                ConnectionState::Idle(_) | ConnectionState::ReadingHead(_) | ConnectionState::Busy => {}
+                ConnectionState::ReadingHead(since)
+                    if since.elapsed() >= limits.header_time => return,
+                ConnectionState::Idle(_)
+                | ConnectionState::ReadingHead(_)
+                | ConnectionState::Busy => {}
             },
         }
     }
@@ -99,11 +103,11 @@
     req: Request<Incoming>,
 ) -> ServiceResult<Response<ResponseBody>> {
     let guard = CallGuard::new(&relay, state);
-    let mut answer = call::handle(Arc::clone(&relay), req).await;
+    let mut response = call::handle(Arc::clone(&relay), req).await;
     if relay.is_stopping() {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    answer.body_mut().set_guard(guard);
-    Ok(answer)
+    response.body_mut().set_guard(guard);
+    Ok(response)
 }
--- a/daemon/src/relay/listener.rs
+++ b/daemon/src/relay/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the connections that they take.
+//! Listening TCP sockets and their accept loops.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Connections that wait to be accepted; a burst of callers comes at once.
+/// Connections that may wait to be accepted; callers connect in bursts.
 const BACKLOG: i32 = 1_024;
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
+/// Delay after a failed accept, so that the loop does not spin when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Listens, also where the process before left connections that wait for their end.
+/// Listens on `address`, even if connections of the previous process are still in TIME_WAIT.
 ///
 /// # Errors
 ///
-/// The address can't be listened on.
+/// Listening on the address failed.
 pub fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let open = || -> std::io::Result<TcpListener> {
         let socket = Socket::new(
@@ -37,7 +37,7 @@
     open().with_context(|| format!("failed to listen on {address}"))
 }
 
-/// Serves each connection in a task of its own, for ever.
+/// Accepts connections and serves each in its own task; never returns.
 pub async fn accept_loop<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -48,7 +48,7 @@
                 tokio::spawn(serve(stream));
             }
             Err(cause) => {
-                tracing::warn!(%cause, "a connection could not be accepted");
+                tracing::warn!(%cause, "failed to accept connection");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/daemon/src/relay/log_rate_limit.rs
+++ b/daemon/src/relay/log_rate_limit.rs
@@ -1,4 +1,4 @@
-//! How many log lines of one sort are written in a second.
+//! Rate limits on log lines.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -8,44 +8,46 @@
 
 use crate::traffic::lock;
 
-/// Lines of good calls written in each second; the rest are counted.
+/// Log lines per second of calls served on time; further ones are only counted.
 const ON_TIME_LINES_PER_SECOND: u32 = 100;
-/// Lines of late calls written in each second: all of them, unless a box is overloaded.
+/// Log lines per second of late calls: enough for all of them unless the box is overloaded.
 const LATE_LINES_PER_SECOND: u32 = 200;
 
-/// Lines of one sort written in the current second.
+/// Rate limit on one kind of log line, in intervals of one second.
 #[derive(Debug)]
 pub struct LogRateLimit {
-    most: u32,
+    max_per_second: u32,
+    /// Start of the current interval, and lines written in it.
     written: Mutex<Option<(Instant, u32)>>,
 }
 
-/// Lines of calls that were served in time.
+/// Rate limit for calls that were served on time.
 pub static ON_TIME_LINES: LogRateLimit = LogRateLimit::new(ON_TIME_LINES_PER_SECOND);
-/// Lines of calls that were late, or needed more than one step.
+/// Rate limit for calls that were late, or that no server accepted at once.
 pub static LATE_LINES: LogRateLimit = LogRateLimit::new(LATE_LINES_PER_SECOND);
 
 impl LogRateLimit {
-    const fn new(most: u32) -> Self {
+    const fn new(max_per_second: u32) -> Self {
         Self {
-            most,
+            max_per_second,
             written: Mutex::new(None),
         }
     }
 
-    /// Whether one more may be written; those that may not are counted.
+    /// Counts a line and returns whether it may be written. Suppressed lines are counted in a
+    /// metric.
     pub fn allow(&self) -> bool {
-        let mut lines = lock(&self.written);
+        let mut interval = lock(&self.written);
         let now = Instant::now();
-        let (since, written) = match *lines {
+        let (since, written) = match *interval {
             Some((since, written)) if now - since < Duration::from_secs(1) => (since, written),
             _ => (now, 0),
         };
-        let may = written < self.most;
-        *lines = Some((since, written + u32::from(may)));
-        if !may {
+        let is_allowed = written < self.max_per_second;
+        *interval = Some((since, written + u32::from(is_allowed)));
+        if !is_allowed {
             counter!("badgerferry_log_lines_sampled_total").increment(1);
         }
-        may
+        is_allowed
     }
 }
--- a/daemon/src/relay/response_body.rs
+++ b/daemon/src/relay/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or piece by piece as it comes.
+//! Body of a response to a caller: complete in memory, or forwarded chunk by chunk.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -13,33 +13,34 @@
 
 use crate::relay::caller_io::CallGuard;
 
-/// Pieces that wait for a slow caller before its server is held up.
+/// Chunks buffered for a slow caller before backpressure reaches the server.
 pub const BODY_CHANNEL_CAPACITY: usize = 4;
 
-/// A piece of an answer, or its premature end.
+/// A chunk of a streamed body, or its premature end.
 #[derive(Debug)]
 pub enum BodyChunk {
-    /// Bytes.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The answer ends early and must not look complete.
+    /// The response is incomplete. The body fails, so that the caller does not take it for
+    /// complete.
     Aborted,
 }
 
-/// The answer was cut; the connection to the caller is closed.
+/// The response was aborted before its end; the connection to the caller is closed.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer ended early")]
+#[error("response aborted before its end")]
 pub struct ResponseAborted;
 
-/// Where the bytes of a body come from.
+/// Source of the bytes of a body.
 #[derive(Debug)]
 enum Content {
-    /// All of it is here.
+    /// A complete body; `None` if it is empty or has been sent.
     Full(Option<Bytes>),
-    /// It comes piece by piece; it is complete when the sender is gone.
+    /// Chunks of a streamed body, which is complete when the sender is dropped.
     Channel(mpsc::Receiver<BodyChunk>),
 }
 
-/// A body, and what is kept until it has been written.
+/// Response body that may hold a [`CallGuard`] until it has been written.
 #[derive(Debug)]
 pub struct ResponseBody {
     content: Content,
@@ -47,7 +48,7 @@
 }
 
 impl ResponseBody {
-    /// A whole body.
+    /// A body that is complete in memory.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty());
         Self {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// A body that comes piece by piece.
+    /// A body whose chunks arrive over a channel.
     pub const fn channel(rx: mpsc::Receiver<BodyChunk>) -> Self {
         Self {
             content: Content::Channel(rx),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Keeps `guard` until the body has been written, or dropped.
+    /// Holds `guard` until the body has been written or dropped.
     pub fn set_guard(&mut self, guard: CallGuard) {
         self.guard = Some(guard);
     }
@@ -80,7 +81,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match &mut self.content {
             Content::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Content::Channel(rx) => rx.poll_recv(cx).map(|piece| match piece {
+            Content::Channel(rx) => rx.poll_recv(cx).map(|chunk| match chunk {
                 Some(BodyChunk::Data(bytes)) => Some(Ok(Frame::data(bytes))),
                 Some(BodyChunk::Aborted) => Some(Err(ResponseAborted)),
                 None => None,
@@ -102,5 +103,5 @@
     }
 }
 
-/// Services of the front door always answer.
+/// Result of an HTTP service that responds to every request.
 pub type ServiceResult<T> = Result<T, Infallible>;
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -1,8 +1,8 @@
 //! Planned stops and reloads.
 //!
-//! After SIGTERM the box calls itself unready and goes on serving what is open and what still
-//! arrives, each answer with `Connection: close`. Late in its time it refuses new calls, which
-//! could not end any more. It ends when nothing is in flight, or just before it is killed.
+//! After SIGTERM the box reports itself as not ready. It keeps serving open and new calls and adds
+//! `Connection: close` to each response. Later it refuses new calls, which might not end in time.
+//! The process exits when no call is in flight, or just before the platform kills it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,12 +16,12 @@
 
 use crate::relay::state::Relay;
 
-/// How often the count of calls in flight is looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often resting connections are looked at.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Interval at which the number of calls in flight is checked during a stop.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which expired idle connections to servers are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The signals that the platform sends.
+/// Handlers of the signals that the platform sends.
 #[derive(Debug)]
 pub struct Signals {
     term: Signal,
@@ -30,11 +30,11 @@
 }
 
 impl Signals {
-    /// Takes signals from now on; before that any of them ends the process.
+    /// Installs the handlers. Until then, each of these signals ends the process.
     ///
     /// # Errors
     ///
-    /// The runtime can't take signals.
+    /// The runtime can't install a signal handler.
     pub fn install() -> std::io::Result<Self> {
         Ok(Self {
             term: signal(SignalKind::terminate())?,
@@ -44,9 +44,10 @@
     }
 }
 
-/// Returns when the process may end.
+/// Handles signals until a stop is requested, drains the calls in flight and returns when the
+/// process may exit.
 pub async fn wait_for_exit(relay: &Arc<Relay>, mut signals: Signals) {
-    let mut sweep = tokio::time::interval(SWEEP);
+    let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
     loop {
         tokio::select! {
             _ = signals.term.recv() => break,
@@ -55,43 +56,45 @@
             _ = sweep.tick() => relay.upstream.sweep(),
         }
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     relay.stopping.store(true, Ordering::SeqCst);
     tracing::info!(in_flight = in_flight(relay), "planned stop begun");
-    drain(relay, began).await;
+    drain(relay, started_at).await;
     tracing::info!(
         in_flight = in_flight(relay),
-        took_ms = began.elapsed().as_millis() as u64,
+        took_ms = started_at.elapsed().as_millis() as u64,
         "planned stop done"
     );
 }
 
-/// Nothing in the file can change while the process listens where it does: it is read again
-/// and compared, so that a change shows in the logs.
+/// Reads the settings file again and logs whether it has changed. No setting is applied while the
+/// process runs, because the listening addresses can't change.
 fn reload(relay: &Relay) {
     match badgerferry_platform::settings_file::read() {
         Ok(settings) if settings == relay.settings => tracing::info!("settings file unchanged"),
         Ok(_) => tracing::warn!("settings file changed; the change takes effect at the next start"),
-        Err(cause) => tracing::warn!(%cause, "settings file can't be used; the old one stands"),
+        Err(cause) => {
+            tracing::warn!(%cause, "settings file unusable; keeping the current settings")
+        }
     }
 }
 
-async fn drain(relay: &Arc<Relay>, began: Instant) {
+async fn drain(relay: &Arc<Relay>, started_at: Instant) {
     let plan = StopPlan::new(relay.settings.stop_time);
-    let mut quiet_since: Option<Instant> = None;
+    let mut idle_since: Option<Instant> = None;
     loop {
-        let passed = began.elapsed();
-        if plan.refuses_calls(passed) {
+        let elapsed = started_at.elapsed();
+        if plan.refuses_calls(elapsed) {
             relay.refusing.store(true, Ordering::SeqCst);
         }
-        quiet_since = match in_flight(relay) {
-            0 => quiet_since.or_else(|| Some(Instant::now())),
+        idle_since = match in_flight(relay) {
+            0 => idle_since.or_else(|| Some(Instant::now())),
             _ => None,
         };
-        if plan.should_exit(passed, quiet_since.map(|since| since.elapsed())) {
+        if plan.should_exit(elapsed, idle_since.map(|since| since.elapsed())) {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
--- a/daemon/src/relay/stream_relay.rs
+++ b/daemon/src/relay/stream_relay.rs
@@ -1,4 +1,4 @@
-//! A stream on its way to the caller, continued elsewhere when its server breaks off.
+//! Forwards a stream to the caller and resumes it on another server when its server fails.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -28,18 +28,18 @@
 use crate::relay::tries::Live;
 use crate::relay::tries::TryResult;
 
-/// Why a run of a stream is over.
-enum RunEnd {
+/// How the forwarding of one attempt ended.
+enum ForwardEnd {
     Complete,
     Broken {
         join: EventJoin,
-        /// Whether the retry budget has been asked already.
-        repeat_paid: bool,
+        /// Whether the next attempt has been charged to the retry budget already.
+        retry_spent: bool,
     },
     CallerGone,
 }
 
-/// Answers with the head of the first run and lets the rest follow.
+/// Returns the response head of the first attempt and forwards the stream in a new task.
 pub fn respond(
     call: Arc<Call>,
     attempts: Attempts,
@@ -47,93 +47,98 @@
     live: Box<Live>,
 ) -> Response<ResponseBody> {
     let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
-    let answer = tries::pass_on(&live.head, ResponseBody::channel(rx));
+    let response = tries::pass_on(&live.head, ResponseBody::channel(rx));
     call_log::stream_started(&call, &live);
     call.response_started.store(true, Ordering::Relaxed);
-    tokio::spawn(run(call, attempts, tried, live, tx));
-    answer
+    tokio::spawn(forward_stream(call, attempts, tried, live, tx));
+    response
 }
 
-async fn run(
+async fn forward_stream(
     call: Arc<Call>,
     mut attempts: Attempts,
     mut tried: Vec<ServerName>,
     live: Box<Live>,
     tx: mpsc::Sender<BodyChunk>,
 ) {
-    let mut times = StreamTimings::start(&call, &live);
-    let mut pauses = Pauses::begin();
-    let ended = timeout(
+    let mut timings = StreamTimings::start(&call, &live);
+    let mut gaps = EventGaps::start();
+    let result = timeout(
         call.time_left(),
-        run_until_end(&call, &mut attempts, &mut tried, live, &tx, &mut pauses),
+        forward_until_end(&call, &mut attempts, &mut tried, live, &tx, &mut gaps),
     )
     .await;
-    let how = ended.unwrap_or("deadline_while_running");
-    times.longest_pause = pauses.longest;
-    call_log::stream_ended(&call, &attempts, how, times);
-    if how != COMPLETE {
-        // Without room the caller does not read; dropping the sender would look complete.
+    let outcome = result.unwrap_or("deadline_while_running");
+    timings.longest_gap = gaps.longest;
+    call_log::stream_ended(&call, &attempts, outcome, timings);
+    if outcome != COMPLETE {
+        // Dropping the sender would make the response look complete. If the channel is full, this
+        // waits until the caller reads or disconnects.
         let _ = tx.send(BodyChunk::Aborted).await;
     }
 }
 
-/// The longest pause between events so far.
+/// Tracks the longest gap between events.
 #[derive(Debug)]
-struct Pauses {
+struct EventGaps {
     last: Instant,
     longest: Duration,
 }
 
-impl Pauses {
-    fn begin() -> Self {
+impl EventGaps {
+    fn start() -> Self {
         Self {
             last: Instant::now(),
             longest: Duration::ZERO,
         }
     }
 
-    fn event(&mut self) {
+    fn record_event(&mut self) {
         let now = Instant::now();
         self.longest = self.longest.max(now - self.last);
         self.last = now;
     }
 }
 
-/// A server that has sent events for so long does not end by them: those that did ended within
-/// 0.5 s of beginning (39 runs). Calls that wait for what this run tells need not wait for its end.
-const LIVED_ON: Duration = Duration::from_secs(2);
+/// Time after which an attempt that still receives events counts as harmless to its server, so that
+/// calls waiting for the result of this run need not wait for its end. Requests that crash servers
+/// did so within 0.5 s of their start in 39 runs.
+const HARMLESS_AFTER: Duration = Duration::from_secs(2);
 
-/// How a complete stream is called in logs.
+/// Outcome of a complete stream in logs and metrics.
 const COMPLETE: &str = "answered";
 
-async fn run_until_end(
+async fn forward_until_end(
     call: &Arc<Call>,
     attempts: &mut Attempts,
     tried: &mut Vec<ServerName>,
     mut live: Box<Live>,
     tx: &mpsc::Sender<BodyChunk>,
-    pauses: &mut Pauses,
+    gaps: &mut EventGaps,
 ) -> &'static str {
     loop {
-        let (mut join, mut repeat_paid) = match pump(call, attempts, live, tx, pauses).await {
-            RunEnd::Complete => return COMPLETE,
-            RunEnd::CallerGone => return "caller_gone",
-            RunEnd::Broken { join, repeat_paid } => (join, repeat_paid),
-        };
+        let (mut join, mut retry_spent) =
+            match forward_attempt(call, attempts, live, tx, gaps).await {
+                ForwardEnd::Complete => return COMPLETE,
+                ForwardEnd::CallerGone => return "caller_gone",
+                ForwardEnd::Broken { join, retry_spent } => (join, retry_spent),
+            };
         let mut end = AttemptEnd::Lost;
         live = loop {
-            let paid = std::mem::take(&mut repeat_paid);
-            match attempts.on_attempt_end(end, NO_SERVER_RETRY, || paid || call.try_spend_retry()) {
+            let already_spent = std::mem::take(&mut retry_spent);
+            match attempts.on_attempt_end(end, NO_SERVER_RETRY, || {
+                already_spent || call.try_spend_retry()
+            }) {
                 NextStep::TryElsewhere => {}
                 NextStep::Fail(reason) => return reason.code(),
                 NextStep::PassOn | NextStep::Refuse(_) => return "server_lost",
             }
             join.discard_partial();
-            let next = tokio::select! {
-                next = tries::try_once(call, attempts, tried, Some(&join)) => next,
+            let result = tokio::select! {
+                result = tries::try_once(call, attempts, tried, Some(&join)) => result,
                 () = tx.closed() => return "caller_gone",
             };
-            end = match next {
+            end = match result {
                 TryResult::Live(live) => break live,
                 TryResult::Ended(end) => end,
                 TryResult::ServerError(_) => AttemptEnd::ServerError,
@@ -144,13 +149,13 @@
     }
 }
 
-async fn pump(
+async fn forward_attempt(
     call: &Call,
     attempts: &Attempts,
     live: Box<Live>,
     tx: &mpsc::Sender<BodyChunk>,
-    pauses: &mut Pauses,
-) -> RunEnd {
+    gaps: &mut EventGaps,
+) -> ForwardEnd {
     let Live {
         events,
         mut complete,
@@ -161,28 +166,28 @@
         after,
         ..
     } = *live;
-    if !forward(events, tx, pauses).await {
-        return RunEnd::CallerGone;
+    if !send_events(events, tx, gaps).await {
+        return ForwardEnd::CallerGone;
     }
-    let mut patience = tries::silence(call, &flight.chosen, false);
-    let mut lived_on = Some(Instant::now() + LIVED_ON);
+    let mut read_timeout = tries::silence(call, &flight.chosen, false);
+    let mut harmless_at = Some(Instant::now() + HARMLESS_AFTER);
     while !complete {
         let frame = tokio::select! {
-            frame = timeout(patience, body.frame()) => frame,
-            () = tx.closed() => return RunEnd::CallerGone,
+            frame = timeout(read_timeout, body.frame()) => frame,
+            () = tx.closed() => return ForwardEnd::CallerGone,
         };
-        let mut repeat_paid = false;
-        let broken = match frame {
+        let mut retry_spent = false;
+        let failure = match frame {
             Ok(Some(Ok(frame))) => {
                 let bytes = frame.into_data().unwrap_or_default();
                 match join.push(&bytes) {
                     Ok(events) => {
-                        if lived_on.is_some_and(|at| Instant::now() >= at) {
-                            lived_on = None;
+                        if harmless_at.is_some_and(|at| Instant::now() >= at) {
+                            harmless_at = None;
                             flight.runs_well();
                         }
-                        if !forward(events, tx, pauses).await {
-                            return RunEnd::CallerGone;
+                        if !send_events(events, tx, gaps).await {
+                            return ForwardEnd::CallerGone;
                         }
                         continue;
                     }
@@ -193,30 +198,31 @@
                 complete = true;
                 continue;
             }
-            Ok(None) => Broken::Off("it ended inside an event".to_owned()),
+            Ok(None) => Broken::Off("stream ended inside an event".to_owned()),
             Ok(Some(Err(cause))) => Broken::Off(cause.to_string()),
             Err(_elapsed) => {
-                // Silence alone ends no answer: without another server to go on, it is waited for.
-                repeat_paid = attempts.may_retry() && call.try_spend_retry();
-                if !repeat_paid {
-                    patience = Duration::MAX;
+                // Silence alone does not end a stream: if it can't be resumed on another
+                // server, this one is waited for until the deadline.
+                retry_spent = attempts.may_retry() && call.try_spend_retry();
+                if !retry_spent {
+                    read_timeout = Duration::MAX;
                     continue;
                 }
-                Broken::Silent("it was silent too long")
+                Broken::Silent("no data within the timeout")
             }
         };
-        broken.end(call, flight).await;
-        return RunEnd::Broken { join, repeat_paid };
+        failure.end(call, flight).await;
+        return ForwardEnd::Broken { join, retry_spent };
     }
     tries::put_back(call, &flight.chosen.server, connection, after);
     flight.served().await;
-    RunEnd::Complete
+    ForwardEnd::Complete
 }
 
-async fn forward(events: Bytes, tx: &mpsc::Sender<BodyChunk>, pauses: &mut Pauses) -> bool {
+async fn send_events(events: Bytes, tx: &mpsc::Sender<BodyChunk>, gaps: &mut EventGaps) -> bool {
     if events.is_empty() {
         return true;
     }
-    pauses.event();
+    gaps.record_event();
     tx.send(BodyChunk::Data(events)).await.is_ok()
 }
--- a/daemon/src/relay/unknown_headers.rs
+++ b/daemon/src/relay/unknown_headers.rs
@@ -1,4 +1,5 @@
-//! Headers of servers that the adapter does not know: each may be something that a server asks for.
+//! Response headers that the adapter does not know. Such a header may ask something of callers that
+//! the box does not honour, so each name is logged.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -11,23 +12,23 @@
 
 use crate::traffic::lock;
 
-/// Names that get a line; later ones are counted only.
+/// Header names that are logged; further ones are only counted.
 const MAX_LOGGED_NAMES: usize = 64;
 
-/// Names that were seen already.
+/// Unknown header names that have been logged.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders {
-    seen: Mutex<HashSet<HeaderName>>,
+    logged: Mutex<HashSet<HeaderName>>,
 }
 
 impl UnknownHeaders {
-    /// Counts those of an answer, and logs each name once.
+    /// Counts the unknown headers of a response and logs each name once.
     pub fn record(&self, id: &str, server: &ServerName, headers: &HeaderMap) {
         for name in vocabulary::unknown_headers(headers) {
             counter!("badgerferry_headers_unknown_total").increment(1);
-            let mut seen = lock(&self.seen);
-            if seen.len() < MAX_LOGGED_NAMES && seen.insert(name.clone()) {
-                tracing::warn!(call = id, %server, header = %name, "a server's header is not known");
+            let mut logged = lock(&self.logged);
+            if logged.len() < MAX_LOGGED_NAMES && logged.insert(name.clone()) {
+                tracing::warn!(call = id, %server, header = %name, "unknown response header");
             }
         }
     }
--- a/daemon/tests/test_relay_calls.rs
+++ b/daemon/tests/test_relay_calls.rs
@@ -1,4 +1,4 @@
-//! Calls through a box on the platform: what the caller gets and what the servers see.
+//! Calls relayed by a box: the responses to callers and the requests that servers receive.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use badgerferry_standin::relay_box::wait_until;
 use badgerferry_standin::server::Behaviour;
 
-fn once(id: &str) -> String {
+fn non_repeatable_call(id: &str) -> String {
     call("POST", "/once/a?b=c", id, "X-Own: kept\r\n", "the body")
 }
 
-fn again(id: &str) -> String {
+fn repeatable_call(id: &str) -> String {
     call("GET", "/again/a", id, "", "")
 }
 
-fn stream(id: &str) -> String {
+fn stream_call(id: &str) -> String {
     call("POST", "/stream/a", id, "", "prompt")
 }
 
@@ -31,16 +31,16 @@
 }
 
 #[tokio::test]
-async fn a_call_is_passed_on_unchanged_but_for_what_the_box_sets() -> anyhow::Result<()> {
+async fn call_is_forwarded_unchanged_except_for_headers_of_the_box() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let forged = "Badgerferry-Tenant: forged\r\nBadgerferry-Target-Instance: forged\r\n";
     let text = call("POST", "/once/a?b=c", "id-1", forged, "the body");
 
-    let answer = Caller::once(world.relay.front(), &text).await?;
+    let response = Caller::once(world.relay.front(), &text).await?;
 
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(answer.body, "i-0 served id-1");
-    assert_eq!(answer.header("badgerferry-response-seal"), Some("seal"));
+    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!(response.body, "i-0 served id-1");
+    assert_eq!(response.header("badgerferry-response-seal"), Some("seal"));
     let seen = &world.servers[0].seen()[0];
     assert_eq!(seen.line, "POST /once/a?b=c HTTP/1.1");
     assert_eq!(seen.body, b"the body");
@@ -51,7 +51,7 @@
     let left: u64 = seen.headers["badgerferry-deadline-ms"].parse()?;
     assert!(
         left <= 4_000,
-        "the route's limit is shorter than the caller's: {left}"
+        "deadline exceeds the time limit of the route: {left} ms"
     );
     Ok(())
 }
@@ -60,7 +60,7 @@
 async fn unknown_routes_and_keys_are_denied() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let nowhere = call("GET", "/nowhere/", "id-1", "", "");
-    let stranger = again("id-2").replace("key-1", "key-2");
+    let stranger = repeatable_call("id-2").replace("key-1", "key-2");
 
     let no_route = Caller::once(world.relay.front(), &nowhere).await?;
     let no_key = Caller::once(world.relay.front(), &stranger).await?;
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_declined_call_goes_to_another_server() -> anyhow::Result<()> {
+async fn declined_call_is_sent_to_another_server() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     world
         .servers
@@ -79,9 +79,9 @@
         .for_each(|server| server.next(&[Behaviour::Decline]));
     world.servers[1].usually(Behaviour::Serve);
 
-    // Whichever server comes first declines, the other declines as well: then it is refused.
-    let refused = Caller::once(world.relay.front(), &once("id-1")).await?;
-    let served = Caller::once(world.relay.front(), &once("id-2")).await?;
+    // Both servers decline, in either order, so the call is refused.
+    let refused = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
+    let served = Caller::once(world.relay.front(), &non_repeatable_call("id-2")).await?;
 
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
@@ -90,38 +90,41 @@
 }
 
 #[tokio::test]
-async fn a_lost_call_that_may_not_be_repeated_reaches_one_server_and_gets_no_promise()
--> anyhow::Result<()> {
+async fn lost_non_repeatable_call_reaches_one_server_and_may_have_run() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     world
         .servers
         .iter()
         .for_each(|server| server.usually(Behaviour::CloseUnanswered));
 
-    let answer = Caller::once(world.relay.front(), &once("id-1")).await?;
+    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
-    assert_eq!(answer.status, 502);
+    assert_eq!(response.status, 502);
     assert_eq!(world.seen(), 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_lost_call_that_may_be_repeated_is_served_elsewhere() -> anyhow::Result<()> {
+async fn lost_repeatable_call_is_served_by_another_server() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     world.servers[0].usually(Behaviour::CloseInBody);
 
     for at in 0..6 {
-        let answer = Caller::once(world.relay.front(), &again(&format!("id-{at}"))).await?;
+        let response =
+            Caller::once(world.relay.front(), &repeatable_call(&format!("id-{at}"))).await?;
 
-        assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-        assert!(answer.body.starts_with("i-1 served"));
+        assert_eq!(
+            (response.status, response.whole),
+            (200, true),
+            "{response:?}"
+        );
+        assert!(response.body.starts_with("i-1 served"));
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn another_calls_answer_or_one_without_proof_never_reaches_the_caller() -> anyhow::Result<()>
-{
+async fn response_of_another_call_or_without_proof_is_not_forwarded() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     for behaviour in [Behaviour::ForeignId, Behaviour::NoProof, Behaviour::Garbage] {
         world
@@ -129,95 +132,101 @@
             .iter()
             .for_each(|server| server.usually(behaviour));
 
-        let answer = Caller::once(world.relay.front(), &once("id-1")).await?;
+        let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
-        assert_eq!(answer.status, 502, "{behaviour:?}");
+        assert_eq!(response.status, 502, "{behaviour:?}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn an_answer_too_many_is_not_taken_for_the_next_calls() -> anyhow::Result<()> {
+async fn surplus_response_is_not_used_for_the_next_call() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.servers[0].usually(Behaviour::AnswerTwice);
     let mut caller = Caller::connect(world.relay.front()).await?;
 
     for at in 0..5 {
         let id = format!("id-{at}");
-        caller.send(&again(&id)).await?;
-        let answer = caller.answer().await?;
+        caller.send(&repeatable_call(&id)).await?;
+        let response = caller.answer().await?;
 
         let own = format!("i-0 served {id}");
-        assert!(answer.status != 200 || answer.body == own, "{answer:?}");
+        assert!(
+            response.status != 200 || response.body == own,
+            "{response:?}"
+        );
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn a_server_with_another_name_at_the_address_runs_nothing() -> anyhow::Result<()> {
+async fn call_misdirected_to_another_server_is_retried() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     world.servers[0].usually(Behaviour::Misdirect);
 
     for at in 0..4 {
-        let answer = Caller::once(world.relay.front(), &once(&format!("id-{at}"))).await?;
+        let response = Caller::once(
+            world.relay.front(),
+            &non_repeatable_call(&format!("id-{at}")),
+        )
+        .await?;
 
-        assert_eq!(answer.status, 200, "{answer:?}");
+        assert_eq!(response.status, 200, "{response:?}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn an_answer_without_a_length_is_whole_where_the_connection_ends_cleanly()
+async fn response_without_length_is_complete_when_the_connection_closes_cleanly()
 -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.servers[0].usually(Behaviour::Unframed);
 
-    let answer = Caller::once(world.relay.front(), &once("id-1")).await?;
+    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(answer.body, "i-0 served id-1");
+    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!(response.body, "i-0 served id-1");
     Ok(())
 }
 
 #[tokio::test]
-async fn a_servers_own_failure_reaches_the_caller_with_its_status_and_proof() -> anyhow::Result<()>
-{
+async fn server_error_is_forwarded_with_status_and_proof() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.servers[0].usually(Behaviour::Fail);
 
-    let answer = Caller::once(world.relay.front(), &once("id-1")).await?;
+    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
-    assert_eq!(answer.status, 500);
-    assert_eq!(answer.header("badgerferry-response-seal"), Some("seal"));
-    assert_eq!(answer.body, "i-0 served id-1");
+    assert_eq!(response.status, 500);
+    assert_eq!(response.header("badgerferry-response-seal"), Some("seal"));
+    assert_eq!(response.body, "i-0 served id-1");
     Ok(())
 }
 
 #[tokio::test]
-async fn a_call_that_no_server_answers_fails_at_its_routes_limit() -> anyhow::Result<()> {
+async fn unanswered_call_fails_at_the_time_limit_of_its_route() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.servers[0].usually(Behaviour::Silent);
 
-    let answer = Caller::once(world.relay.front(), &once("id-1")).await?;
+    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
-    assert_eq!(answer.status, 504);
+    assert_eq!(response.status, 504);
     let server = &world.servers[0];
     wait_until(|| server.working.load(Ordering::SeqCst) == 0).await
 }
 
 #[tokio::test]
-async fn a_stream_broken_inside_an_event_goes_on_elsewhere_in_the_same_answer() -> anyhow::Result<()>
-{
+async fn stream_broken_inside_an_event_resumes_on_another_server_in_the_same_response()
+-> anyhow::Result<()> {
     let world = World::start(3).await?;
     world
         .servers
         .iter()
         .for_each(|server| server.next(&[Behaviour::BreakAfter(2)]));
 
-    let answer = Caller::once(world.relay.front(), &stream("id-1")).await?;
+    let response = Caller::once(world.relay.front(), &stream_call("id-1")).await?;
 
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(answer.body, events(0..5));
+    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!(response.body, events(0..5));
     let resumed: Vec<Option<String>> = (world.servers.iter())
         .flat_map(badgerferry_standin::server::Server::seen)
         .map(|seen| seen.headers.get("last-event-id").cloned())
@@ -231,33 +240,38 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_can_go_on_nowhere_does_not_look_complete() -> anyhow::Result<()> {
+async fn stream_that_no_server_can_resume_is_aborted() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     world
         .servers
         .iter()
         .for_each(|server| server.usually(Behaviour::BreakAfter(1)));
 
-    let answer = Caller::once(world.relay.front(), &stream("id-1")).await?;
+    let response = Caller::once(world.relay.front(), &stream_call("id-1")).await?;
 
-    assert_eq!((answer.status, answer.whole), (200, false));
-    assert!(events(0..5).starts_with(&answer.body), "{}", answer.body);
+    assert_eq!((response.status, response.whole), (200, false));
+    assert!(
+        events(0..5).starts_with(&response.body),
+        "{}",
+        response.body
+    );
     Ok(())
 }
 
-/// Found by a hunt: a stream that was silent for a second was cut where it could not go on.
+/// Guards against aborting a stream that was silent for a second when no other server could resume
+/// it.
 #[tokio::test]
-async fn silence_alone_ends_no_stream_that_can_go_on_nowhere() -> anyhow::Result<()> {
+async fn silent_stream_that_no_server_can_resume_is_not_aborted() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let path = "/stream/a";
     let text = call("POST", path, "id-1", "", "").replace("5000", "3500");
     world.servers[0].usually(Behaviour::SilentAfter(1));
     let begun = std::time::Instant::now();
 
-    let answer = Caller::once(world.relay.front(), &text).await?;
+    let response = Caller::once(world.relay.front(), &text).await?;
 
-    // The caller's own limit ends it, however often it was tried again meanwhile.
-    assert!(!answer.whole);
+    // The caller's own deadline ends the stream, regardless of the retries before it.
+    assert!(!response.whole);
     assert!(
         begun.elapsed() >= Duration::from_millis(3_400),
         "{:?}",
@@ -267,11 +281,11 @@
 }
 
 #[tokio::test]
-async fn the_callers_leaving_ends_the_servers_work() -> anyhow::Result<()> {
+async fn server_stops_when_the_caller_disconnects() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let server = &world.servers[0];
     server.usually(Behaviour::Silent);
-    for text in [again("id-1"), stream("id-2")] {
+    for text in [repeatable_call("id-1"), stream_call("id-2")] {
         let mut caller = Caller::connect(world.relay.front()).await?;
         caller.send(&text).await?;
         wait_until(|| server.working.load(Ordering::SeqCst) > 0).await?;
@@ -284,12 +298,12 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_in_mid_stream_ends_the_servers_work() -> anyhow::Result<()> {
+async fn server_stops_when_the_caller_disconnects_during_a_stream() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let server = &world.servers[0];
     server.usually(Behaviour::SilentAfter(2));
     let mut caller = Caller::connect(world.relay.front()).await?;
-    caller.send(&stream("id-1")).await?;
+    caller.send(&stream_call("id-1")).await?;
     world.relay.wait_line(&["stream begins", "id-1"]).await?;
 
     drop(caller);
@@ -298,7 +312,7 @@
 }
 
 #[tokio::test]
-async fn bad_bytes_get_a_clear_end_and_reach_no_server() -> anyhow::Result<()> {
+async fn malformed_requests_are_rejected_and_reach_no_server() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let head = "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAuthorization: Bearer key-1\r\n";
     let long = "x".repeat(70_000);
@@ -308,33 +322,36 @@
             format!("{head}Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"),
         ),
         (
-            "a length that is none",
+            "an invalid length",
             format!("{head}Content-Length: x\r\n\r\n"),
         ),
         (
-            "a broken chunk",
+            "an invalid chunk",
             format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n"),
         ),
-        ("a head too long", format!("{head}X-Long: {long}\r\n\r\n")),
         (
-            "a body too long",
+            "a head that is too long",
+            format!("{head}X-Long: {long}\r\n\r\n"),
+        ),
+        (
+            "a body that is too long",
             format!("{head}Content-Length: 70000\r\n\r\n{long}"),
         ),
-        ("no protocol", "hello there\r\n\r\n".to_owned()),
+        ("no HTTP", "hello there\r\n\r\n".to_owned()),
         (
-            "a bad deadline",
+            "an invalid deadline",
             format!("{head}Badgerferry-Deadline-Ms: soon\r\n\r\n"),
         ),
     ];
     for (what, text) in cases {
         let mut caller = Caller::connect(world.relay.front()).await?;
-        // The box may close before all of it is sent.
+        // The box may close the connection before the whole request is sent.
         let _ = caller.send(&text).await;
-        let answer = caller.answer().await?;
+        let response = caller.answer().await?;
 
         assert!(
-            matches!(answer.status, 0 | 400 | 413 | 431),
-            "{what}: {answer:?}"
+            matches!(response.status, 0 | 400 | 413 | 431),
+            "{what}: {response:?}"
         );
     }
     assert_eq!(world.seen(), 0);
@@ -342,21 +359,21 @@
 }
 
 #[tokio::test]
-async fn a_body_that_stops_short_is_not_held_for_ever() -> anyhow::Result<()> {
+async fn incomplete_request_body_times_out() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let mut caller = Caller::connect(world.relay.front()).await?;
-    let text = once("id-1").replace("Content-Length: 8", "Content-Length: 9");
+    let text = non_repeatable_call("id-1").replace("Content-Length: 8", "Content-Length: 9");
     caller.send(&text).await?;
 
-    let answer = caller.answer().await?;
+    let response = caller.answer().await?;
 
-    assert_eq!(answer.status, 408);
+    assert_eq!(response.status, 408);
     assert_eq!(world.seen(), 0);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_head_that_never_ends_and_a_connection_at_rest_are_closed() -> anyhow::Result<()> {
+async fn incomplete_heads_and_idle_connections_are_closed() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let mut slow = Caller::connect(world.relay.front()).await?;
     let mut idle = Caller::connect(world.relay.front()).await?;
@@ -368,11 +385,15 @@
 }
 
 #[tokio::test]
-async fn calls_sent_at_once_on_one_connection_are_answered_in_order() -> anyhow::Result<()> {
+async fn pipelined_calls_are_answered_in_order() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     let mut caller = Caller::connect(world.relay.front()).await?;
     caller
-        .send(&format!("{}{}", again("id-1"), again("id-2")))
+        .send(&format!(
+            "{}{}",
+            repeatable_call("id-1"),
+            repeatable_call("id-2")
+        ))
         .await?;
 
     let (first, second) = (caller.answer().await?, caller.answer().await?);
@@ -383,25 +404,25 @@
 }
 
 #[tokio::test]
-async fn a_chunked_body_reaches_the_server_whole() -> anyhow::Result<()> {
+async fn chunked_body_reaches_the_server_complete() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let text = "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAuthorization: Bearer key-1\r\n\
                 Badgerferry-Attempt-Id: id-1\r\nTransfer-Encoding: chunked\r\n\r\n\
                 3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n";
 
-    let answer = Caller::once(world.relay.front(), text).await?;
+    let response = Caller::once(world.relay.front(), text).await?;
 
-    assert_eq!(answer.status, 200);
+    assert_eq!(response.status, 200);
     assert_eq!(world.servers[0].seen()[0].body, b"abcdefg");
     Ok(())
 }
 
-/// What the command line adds up to causes is what boxes write.
+/// Guards against log lines that the command line can't parse: both share `CallRecord`.
 #[tokio::test]
-async fn the_last_line_of_a_call_tells_what_decided_its_time() -> anyhow::Result<()> {
+async fn call_end_line_contains_the_latencies_of_the_call() -> anyhow::Result<()> {
     let world = World::start(1).await?;
-    Caller::once(world.relay.front(), &stream("id-1")).await?;
-    Caller::once(world.relay.front(), &again("id-2")).await?;
+    Caller::once(world.relay.front(), &stream_call("id-1")).await?;
+    Caller::once(world.relay.front(), &repeatable_call("id-2")).await?;
     world.relay.wait_line(&[CALL_END_MESSAGE, "id-1"]).await?;
     world.relay.wait_line(&[CALL_END_MESSAGE, "id-2"]).await?;
 
@@ -421,19 +442,23 @@
 }
 
 #[tokio::test]
-async fn a_header_that_nothing_reads_is_told_once() {
-    let world = World::start(1).await.expect("a world");
+async fn unknown_response_header_is_logged_once() {
+    let world = World::start(1).await.expect("world starts");
     world.servers[0].add_header("Server-Mood", "tired");
     for at in 0..3 {
         let text = call("POST", "/again/a", &format!("call-{at}"), "", "");
-        let answer = Caller::once(world.relay.front(), &text).await;
-        let answer = answer.expect("an answer");
-        assert_eq!(answer.header("server-mood"), Some("tired"), "{answer:?}");
+        let response = Caller::once(world.relay.front(), &text).await;
+        let response = response.expect("response");
+        assert_eq!(
+            response.header("server-mood"),
+            Some("tired"),
+            "{response:?}"
+        );
     }
 
-    let line = "a server's header is not known";
-    let told = || world.relay.log().matches(line).count();
-    wait_until(|| told() > 0).await.expect("a line");
-    assert_eq!(told(), 1);
+    let line = "unknown response header";
+    let count = || world.relay.log().matches(line).count();
+    wait_until(|| count() > 0).await.expect("log line");
+    assert_eq!(count(), 1);
     assert!(world.relay.log().contains("server-mood"));
 }
