--- a/daemon/src/relay/listener.rs
+++ b/daemon/src/relay/listener.rs
@@ -16,7 +16,7 @@
 /// Delay after a failed accept, so that the loop does not spin when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Listens on `address`, even if connections of the previous process are still in TIME_WAIT.
+/// Listens on `address`, even if connections of the previous process are still in `TIME_WAIT`.
 ///
 /// # Errors
 ///
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -73,9 +73,7 @@
     match badgerferry_platform::settings_file::read() {
         Ok(settings) if settings == relay.settings => tracing::info!("settings file unchanged"),
         Ok(_) => tracing::warn!("settings file changed; the change takes effect at the next start"),
-        Err(cause) => {
-            tracing::warn!(%cause, "settings file unusable; keeping the current settings")
-        }
+        Err(cause) => tracing::warn!(%cause, "settings file unusable; keeping old settings"),
     }
 }
 
