--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -1,7 +1,8 @@
-//! One call from its head to the head of its answer.
+//! Lifecycle of a call, from its request head to the head of its response.
 //!
-//! The steps, in order: routes known, route found, key known, body read, then tries until
-//! one gives an answer or none may follow. What follows a try is decided by
+//! The steps, in order: wait for the routes, find the route, check the key, read the body, then
+//! make attempts until one succeeds or no further attempt is allowed. The step after an attempt is
+//! chosen by
 //! [`badgerferry_lib::relay::attempts`].
 
 use std::sync::Arc;
@@ -39,71 +40,73 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-use crate::relay::answer_body::AnswerBody;
 use crate::relay::call_attempt;
 use crate::relay::call_attempt::AttemptResult;
-use crate::relay::caller_answer;
+use crate::relay::call_log;
 use crate::relay::candidates::NO_SERVER_RETRY;
-use crate::relay::live_stream;
-use crate::relay::log_lines;
+use crate::relay::error_response;
+use crate::relay::response_body::ResponseBody;
 use crate::relay::server_gate::MAX_ADMISSION_WAIT;
 use crate::relay::state::Relay;
+use crate::relay::stream_relay;
 use crate::traffic::lock;
 
-/// How long a call waits at most for the first routes of a box that has just started; half of its
-/// time where that is less.
-const ROUTES_SOON: Duration = Duration::from_secs(2);
-/// When to come back where this box has no routes yet, or is leaving.
-const SOON: Duration = Duration::from_millis(300);
+/// Longest wait of a call for the first route table of a box that has just started. A call with a
+/// shorter deadline waits for half of its remaining time.
+const MAX_ROUTES_WAIT: Duration = Duration::from_secs(2);
+/// Retry-After of a box that has no routes yet or is stopping.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A call whose head and body are read.
+/// A call whose head and body have been read.
 #[derive(Debug)]
 pub struct Call {
-    /// Shared state.
+    /// Shared state of the daemon.
     pub relay: Arc<Relay>,
-    /// The routes in force when it came.
+    /// Routes in force when the call arrived.
     pub routes: Arc<RouteIndex>,
-    /// Its route.
+    /// Route of the call.
     pub route: Route,
-    /// The service drawn for it.
+    /// Service selected among the targets of the route.
     pub service: ServiceName,
-    /// Whose it is.
+    /// Workspace that the key belongs to, if the route requires a key.
     pub workspace: Option<WorkspaceName>,
-    /// Its rank.
+    /// Priority of the principal, or else of the route.
     pub priority: u8,
-    /// What its head says.
+    /// Parsed request head.
     pub head: CallHead,
-    /// What it asks for, once that was worked out.
-    work: OnceLock<RequestFingerprint>,
-    /// Whether a server ended under its last run.
+    /// Fingerprint, computed on first use.
+    fingerprint: OnceLock<RequestFingerprint>,
+    /// Whether the last run ended with a server crash.
     pub saw_crash: AtomicBool,
-    /// Whether its caller has the head of an answer: from then on it can only go on or be cut.
-    pub has_begun: AtomicBool,
-    /// Host.
+    /// Whether the caller has received the response head. From then on the response can only be
+    /// continued or aborted.
+    pub response_started: AtomicBool,
+    /// Host of the URI, or else of the Host header.
     pub host: String,
-    /// Method.
+    /// Request method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers as they came.
+    /// Request headers, unmodified.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// When its head was read.
+    /// Time at which the request head was read.
     pub arrived: Time,
-    /// When it must have its final answer.
+    /// Time by which the call must have ended.
     pub deadline: Time,
 }
 
 impl Call {
-    /// The caller's id, for logs.
+    /// Id chosen by the caller, or `-`, for logs.
     pub fn id(&self) -> &str {
         self.head.id.as_deref().unwrap_or("-")
     }
 
-    /// What it asks for and for whom, the same for each caller's try at any box.
-    pub fn work(&self) -> RequestFingerprint {
-        *self.work.get_or_init(|| {
+    /// Fingerprint of the request and its workspace, equal for each attempt of the caller at any
+    /// box.
+    pub fn fingerprint(&self) -> RequestFingerprint {
+        *self.fingerprint.get_or_init(|| {
             RequestFingerprint::of(&FingerprintInput {
                 method: self.method.as_str(),
                 host: &self.host,
@@ -117,86 +120,98 @@
         })
     }
 
-    /// Time that is left.
+    /// Time until the deadline.
     pub fn time_left(&self) -> Duration {
         self.relay.clock.now().until(self.deadline)
     }
 
-    /// When its answer, or its first event, should be there.
+    /// Time by which the response, or the first event of a stream, is due under the objective of
+    /// the route.
     pub fn due(&self) -> Time {
-        self.first_arrived() + self.route.objective
+        self.first_request_time() + self.route.objective
     }
 
-    /// When the caller first asked: one that comes back has less time left than its route gives.
-    pub fn first_arrived(&self) -> Time {
+    /// Estimated time of the caller's first request. A caller that retries states less remaining
+    /// time than the time limit of the route.
+    pub fn first_request_time(&self) -> Time {
         let left = self.head.time_left.unwrap_or(self.route.time_limit);
-        let passed = self.route.time_limit.saturating_sub(left);
+        let elapsed = self.route.time_limit.saturating_sub(left);
         Time::from_micros(
             self.arrived
                 .as_micros()
-                .saturating_sub(passed.as_micros() as u64),
+                .saturating_sub(elapsed.as_micros() as u64),
         )
     }
 
-    /// How long it may wait for its place, where no server takes it at once: so that it can still be on
-    /// time, and a repeat not at all. A stream that has begun would be cut instead.
-    pub fn patience(&self, is_first: bool) -> Duration {
+    /// Longest wait for admission if no server accepts the call at once. A first attempt waits for
+    /// at most half of the time until it is due, so that it can still be on time; a retry does not
+    /// wait. A stream whose response has started may wait until its deadline, because it would be
+    /// aborted otherwise.
+    pub fn max_admission_wait(&self, is_first: bool) -> Duration {
         let left = self.relay.clock.now().until(self.due());
-        let most = match self.has_begun.load(Ordering::Relaxed) {
+        let max_wait = match self.response_started.load(Ordering::Relaxed) {
             true => self.time_left(),
             false if is_first => left / 2,
             false => Duration::ZERO,
         };
-        most.min(MAX_ADMISSION_WAIT)
+        max_wait.min(MAX_ADMISSION_WAIT)
     }
 
-    /// Whether the box's share of the retry budget has a repeat left.
+    /// Whether the box's share of the retry budget has a retry left.
     pub fn has_retry_budget(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
-        self.with_retries(|window, rule| window.has_retry_left(now, rule, boxes))
+        self.with_retry_window(|window, rule| window.has_retry_left(now, rule, boxes))
     }
 
-    /// Takes one repeat from the box's share of the retry budget, if there is one.
-    pub fn may_repeat(&self) -> bool {
+    /// Takes one retry from the box's share of the retry budget, if one is left.
+    pub fn try_spend_retry(&self) -> bool {
         let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
-        let allowed = self.with_retries(|window, rule| window.try_spend(now, rule, boxes));
+        let allowed = self.with_retry_window(|window, rule| window.try_spend(now, rule, boxes));
         if !allowed {
-            tracing::info!(call = self.id(), service = %self.service, boxes, "no retry budget left");
+            tracing::info!(
+                call = self.id(),
+                service = %self.service,
+                boxes,
+                "retry budget exhausted"
+            );
         }
         allowed
     }
 
-    fn with_retries<T>(&self, f: impl FnOnce(&mut RetryWindow, &RetryBudgetRule) -> T) -> T {
+    fn with_retry_window<T>(&self, f: impl FnOnce(&mut RetryWindow, &RetryBudgetRule) -> T) -> T {
         let mut retries = lock(&self.relay.retries);
         let window = retries.entry(self.service.clone()).or_default();
         f(window, &self.relay.settings.retries)
     }
 }
 
-/// Answers a call.
-pub async fn answer(relay: Arc<Relay>, req: Request<Incoming>) -> Response<AnswerBody> {
+/// Handles a request and returns the response to the caller.
+pub async fn handle(relay: Arc<Relay>, req: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = relay.clock.now();
-    match read(&relay, arrived, req).await {
+    match read_call(&relay, arrived, req).await {
         Ok(call) => run(call).await,
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
-async fn read(
+async fn read_call(
     relay: &Arc<Relay>,
     arrived: Time,
     req: Request<Incoming>,
-) -> Result<Call, Response<AnswerBody>> {
+) -> Result<Call, Response<ResponseBody>> {
     let (parts, body) = req.into_parts();
     let head = headers::read_call(&parts.headers).map_err(|cause| {
-        log_lines::turned_away("-", cause.0);
-        caller_answer::bad(StatusCode::BAD_REQUEST, cause.0)
+        call_log::rejected("-", cause.0);
+        error_response::invalid_request(StatusCode::BAD_REQUEST, cause.0)
     })?;
     let id = head.id.clone().unwrap_or_else(|| "-".to_owned());
-    let patience = head.time_left.map_or(ROUTES_SOON, |left| left / 2);
-    let Some(routes) = relay.routes_within(patience.min(ROUTES_SOON)).await else {
-        log_lines::turned_away(&id, "no_settings");
-        return Err(caller_answer::not_run("no_settings", Some(SOON)));
+    let routes_wait = head.time_left.map_or(MAX_ROUTES_WAIT, |left| left / 2);
+    let Some(routes) = relay.routes_within(routes_wait.min(MAX_ROUTES_WAIT)).await else {
+        call_log::rejected(&id, "no_settings");
+        return Err(error_response::not_run(
+            "no_settings",
+            Some(UNAVAILABLE_RETRY_AFTER),
+        ));
     };
     let host = parts.uri.host().map(str::to_owned).or_else(|| {
         let value = parts.headers.get(http::header::HOST)?;
@@ -204,8 +219,8 @@
     });
     let host = host.unwrap_or_default();
     let denied = |denied| {
-        log_lines::denied(&id, routes.table().version, &host, parts.uri.path(), denied);
-        caller_answer::denied(denied)
+        call_log::denied(&id, routes.table().version, &host, parts.uri.path(), denied);
+        error_response::denied(denied)
     };
     let route = routes.route(&host, parts.uri.path()).map_err(denied)?;
     let principal = routes
@@ -215,12 +230,15 @@
     let body = read_body(body, limits.body_bytes, limits.header_time)
         .await
         .map_err(|(status, code)| {
-            log_lines::turned_away(&id, code);
-            caller_answer::bad(status, code)
+            call_log::rejected(&id, code);
+            error_response::invalid_request(status, code)
         })?;
     if relay.refuses() {
-        log_lines::turned_away(&id, "box_leaving");
-        return Err(caller_answer::not_run("box_leaving", Some(SOON)));
+        call_log::rejected(&id, "box_leaving");
+        return Err(error_response::not_run(
+            "box_leaving",
+            Some(UNAVAILABLE_RETRY_AFTER),
+        ));
     }
     let time_left = head.time_left.unwrap_or(route.time_limit);
     let service = route.target(rand::random()).clone();
@@ -234,9 +252,9 @@
         deadline: arrived + time_left.min(route.time_limit),
         route: route.clone(),
         head,
-        work: OnceLock::new(),
+        fingerprint: OnceLock::new(),
         saw_crash: AtomicBool::new(false),
-        has_begun: AtomicBool::new(false),
+        response_started: AtomicBool::new(false),
         host,
         method: parts.method,
         uri: parts
@@ -253,33 +271,33 @@
 
 async fn read_body(
     body: Incoming,
-    most: usize,
-    silence: Duration,
+    max_bytes: usize,
+    read_timeout: Duration,
 ) -> Result<Bytes, (StatusCode, &'static str)> {
-    let mut body = Limited::new(body, most);
-    let mut pieces: Vec<Bytes> = Vec::new();
+    let mut body = Limited::new(body, max_bytes);
+    let mut chunks: Vec<Bytes> = Vec::new();
     loop {
-        let frame = match timeout(silence, body.frame()).await {
+        let frame = match timeout(read_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => break,
             Ok(Some(Err(cause))) if cause.is::<LengthLimitError>() => {
                 return Err((StatusCode::PAYLOAD_TOO_LARGE, "body_too_long"));
             }
-            Ok(Some(Err(_broken))) => return Err((StatusCode::BAD_REQUEST, "bad_body")),
+            Ok(Some(Err(_invalid))) => return Err((StatusCode::BAD_REQUEST, "bad_body")),
             Err(_elapsed) => return Err((StatusCode::REQUEST_TIMEOUT, "body_stopped")),
         };
-        pieces.extend(frame.into_data().ok());
+        chunks.extend(frame.into_data().ok());
     }
-    Ok(match pieces.len() {
-        1 => pieces.remove(0),
-        _ => pieces.concat().into(),
+    Ok(match chunks.len() {
+        1 => chunks.remove(0),
+        _ => chunks.concat().into(),
     })
 }
 
-async fn run(call: Call) -> Response<AnswerBody> {
+async fn run(call: Call) -> Response<ResponseBody> {
     let call = Arc::new(call);
     let mut attempts = Attempts::new(call.route.kind.is_repeatable(), call.route.max_attempts);
-    call.with_retries(|window, rule| window.record_first_send(call.arrived, rule));
+    call.with_retry_window(|window, rule| window.record_first_send(call.arrived, rule));
     let mut tried = Vec::new();
     loop {
         let result = match timeout(
@@ -294,43 +312,43 @@
                 return finish(&call, &attempts, next);
             }
         };
-        let (end, own_failure) = match result {
-            AttemptResult::Complete(answer) => {
-                log_lines::ended(&call, &attempts, "answered", answer.status());
-                return answer;
+        let (end, server_error) = match result {
+            AttemptResult::Complete(response) => {
+                call_log::call_ended(&call, &attempts, "answered", response.status());
+                return response;
             }
-            AttemptResult::Live(live) => return live_stream::respond(call, attempts, tried, live),
+            AttemptResult::Live(live) => return stream_relay::respond(call, attempts, tried, live),
             AttemptResult::NoServer(reason, retry_after) => {
                 let next = attempts.give_up(reason, retry_after);
                 return finish(&call, &attempts, next);
             }
-            AttemptResult::ServerError(answer) => (AttemptEnd::ServerError, Some(answer)),
+            AttemptResult::ServerError(response) => (AttemptEnd::ServerError, Some(response)),
             AttemptResult::Ended(end) => (end, None),
         };
-        match attempts.on_attempt_end(end, NO_SERVER_RETRY, || call.may_repeat()) {
+        match attempts.on_attempt_end(end, NO_SERVER_RETRY, || call.try_spend_retry()) {
             NextStep::TryElsewhere => {}
             NextStep::PassOn => {
-                let Some(answer) = own_failure else {
+                let Some(response) = server_error else {
                     let next = NextStep::Fail(FailureReason::ServerError);
                     return finish(&call, &attempts, next);
                 };
-                log_lines::ended(&call, &attempts, "server_error", answer.status());
-                return answer;
+                call_log::call_ended(&call, &attempts, "server_error", response.status());
+                return response;
             }
             next => return finish(&call, &attempts, next),
         }
     }
 }
 
-fn finish(call: &Call, attempts: &Attempts, next: NextStep) -> Response<AnswerBody> {
-    let (code, answer) = match next {
-        NextStep::Refuse(refused) => (refused.reason().code(), caller_answer::refused(&refused)),
-        NextStep::Fail(reason) => (reason.code(), caller_answer::failed(reason)),
+fn finish(call: &Call, attempts: &Attempts, next: NextStep) -> Response<ResponseBody> {
+    let (code, response) = match next {
+        NextStep::Refuse(refused) => (refused.reason().code(), error_response::refused(&refused)),
+        NextStep::Fail(reason) => (reason.code(), error_response::failed(reason)),
         NextStep::TryElsewhere | NextStep::PassOn => {
             let reason = FailureReason::AttemptsUsed;
-            (reason.code(), caller_answer::failed(reason))
+            (reason.code(), error_response::failed(reason))
         }
     };
-    log_lines::ended(call, attempts, code, answer.status());
-    answer
+    call_log::call_ended(call, attempts, code, response.status());
+    response
 }
--- a/daemon/src/relay/call_attempt.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -24,14 +24,14 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-use crate::relay::answer_body::AnswerBody;
 use crate::relay::call::Call;
+use crate::relay::call_log;
 use crate::relay::connection_pool::Connection;
 use crate::relay::connection_pool::Reuse;
 use crate::relay::connection_pool::SendError;
-use crate::relay::log_lines;
 use crate::relay::request_quarantine;
 use crate::relay::request_quarantine::Run;
+use crate::relay::response_body::ResponseBody;
 use crate::relay::server_gate::Admitted;
 use crate::relay::server_gate::MAX_SERVERS_PER_ATTEMPT;
 use crate::relay::server_gate::OWNER_RETRY_DELAY;
@@ -47,13 +47,13 @@
 #[derive(Debug)]
 pub enum AttemptResult {
     /// A complete response to forward.
-    Complete(Response<AnswerBody>),
+    Complete(Response<ResponseBody>),
     /// A stream whose first events have arrived.
     Live(Box<StreamingResponse>),
     /// No server can take the call; the reason and the delay before a retry.
     NoServer(RefusalReason, Duration),
     /// The server ran the call and failed; its complete error response.
-    ServerError(Response<AnswerBody>),
+    ServerError(Response<ResponseBody>),
     /// The attempt ended without a response that can be forwarded.
     Ended(AttemptEnd),
 }
@@ -202,7 +202,7 @@
             Self::ConnectionLost(why) | Self::InvalidData(why) => why,
             Self::TimedOut(why) => *why,
         };
-        log_lines::unusable(call, &attempt.selection, StatusCode::OK, why);
+        call_log::unusable_response(call, &attempt.selection, StatusCode::OK, why);
         match self {
             Self::ConnectionLost(_) => attempt.finish_broken().await,
             Self::InvalidData(_) | Self::TimedOut(_) => attempt.finish(ServerOutcome::Failure),
@@ -221,12 +221,12 @@
     let (run, selection, admitted) = match admit(call, tried).await {
         Ok(started) => started,
         Err((reason, retry_after)) => {
-            log_lines::no_server_takes(call, reason, retry_after);
+            call_log::no_server_available(call, reason, retry_after);
             return AttemptResult::NoServer(reason, retry_after);
         }
     };
     tried.push(selection.server.clone());
-    log_lines::routed(call, attempts, &selection);
+    call_log::routed(call, attempts, &selection);
     let resume_after = join.and_then(EventJoin::last);
     let request = request(call, &selection, resume_after);
     let mut attempt = AttemptGuard::new(call, run, selection);
@@ -251,7 +251,7 @@
     let server = &attempt.selection.server;
     relay
         .unknown_headers
-        .note(call.id(), server, &parts.headers);
+        .record(call.id(), server, &parts.headers);
     attempt.is_framed = headers::is_framed(&parts.headers);
     let now = call.relay.clock.now();
     lock(&call.relay.tracker).call_answered(now, &attempt.selection.server);
@@ -307,7 +307,7 @@
         let pending = PendingCall {
             id: call.id(),
             target: &selection.target,
-            max_wait: call.patience(tried.is_empty()),
+            max_wait: call.max_admission_wait(tried.is_empty()),
         };
         if let Ok(admitted) = call.relay.gate.admit_call(&pending).await {
             return Ok((selection, admitted));
@@ -334,7 +334,7 @@
 }
 
 async fn handle_send_error(call: &Call, attempt: AttemptGuard, cause: &SendError) -> AttemptResult {
-    log_lines::try_failed(call, &attempt.selection, cause);
+    call_log::attempt_failed(call, &attempt.selection, cause);
     match cause {
         SendError::NotSent(_) => {
             attempt.finish(ServerOutcome::Unreachable);
@@ -388,7 +388,7 @@
 }
 
 fn unusable(call: &Call, attempt: AttemptGuard, status: StatusCode, why: &str) -> AttemptResult {
-    log_lines::unusable(call, &attempt.selection, status, why);
+    call_log::unusable_response(call, &attempt.selection, status, why);
     attempt.finish(ServerOutcome::Failure);
     AttemptResult::Ended(AttemptEnd::Lost)
 }
@@ -402,7 +402,7 @@
         head,
         body,
     } = received;
-    log_lines::declined(call, &attempt.selection, parts.status, &head);
+    call_log::declined(call, &attempt.selection, parts.status, &head);
     if let Some(address) = &head.at_fault {
         let now = call.relay.clock.now();
         lock(&call.relay.tracker).record_fault(now, address);
@@ -433,7 +433,7 @@
         ..
     } = received;
     let Some(bytes) = read_body(body).await else {
-        log_lines::unusable(
+        call_log::unusable_response(
             call,
             &attempt.selection,
             parts.status,
@@ -443,7 +443,7 @@
         return AttemptResult::Ended(AttemptEnd::Lost);
     };
     return_connection(call, &attempt.selection.server, connection, after);
-    let response = response_to_caller(&parts, AnswerBody::whole(bytes));
+    let response = response_to_caller(&parts, ResponseBody::full(bytes));
     if parts.status.is_server_error() {
         attempt.finish(ServerOutcome::Failure);
         AttemptResult::ServerError(response)
@@ -476,7 +476,10 @@
 }
 
 /// Response for the caller: the server's head without the headers of its own connection.
-pub fn response_to_caller(parts: &http::response::Parts, body: AnswerBody) -> Response<AnswerBody> {
+pub fn response_to_caller(
+    parts: &http::response::Parts,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
     *response.headers_mut() = headers::without_connection(&parts.headers);
--- a/daemon/src/relay/caller_io.rs
+++ b/daemon/src/relay/caller_io.rs
@@ -1,4 +1,4 @@
-//! A caller's socket, and where its connection stands between calls.
+//! Socket of a caller, and the state of its connection for idle and header timeouts.
 
 use std::io;
 use std::pin::Pin;
@@ -17,54 +17,54 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Where a connection stands.
+/// State of a caller's connection.
 #[derive(Debug, Clone, Copy)]
-pub enum Standing {
-    /// No call since then.
+pub enum ConnectionState {
+    /// No request since this time.
     Idle(Instant),
-    /// The first byte of a head came then.
-    Head(Instant),
-    /// A call is being answered.
+    /// A request head is being read; its first byte arrived at this time.
+    ReadingHead(Instant),
+    /// A call is in progress.
     Busy,
 }
 
-/// Counts a call as in flight, and its connection as busy, until dropped.
+/// RAII guard that counts a call as in flight and marks its connection busy.
 #[derive(Debug)]
-pub struct CallHold {
+pub struct CallGuard {
     relay: Arc<Relay>,
-    standing: Arc<Mutex<Standing>>,
+    state: Arc<Mutex<ConnectionState>>,
 }
 
-impl CallHold {
-    /// Counts one more.
-    pub fn new(relay: &Arc<Relay>, standing: Arc<Mutex<Standing>>) -> Self {
+impl CallGuard {
+    /// Counts a call as in flight and marks its connection busy.
+    pub fn new(relay: &Arc<Relay>, state: Arc<Mutex<ConnectionState>>) -> Self {
         relay.in_flight.fetch_add(1, Ordering::SeqCst);
-        *lock(&standing) = Standing::Busy;
+        *lock(&state) = ConnectionState::Busy;
         Self {
             relay: Arc::clone(relay),
-            standing,
+            state,
         }
     }
 }
 
-impl Drop for CallHold {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.relay.in_flight.fetch_sub(1, Ordering::SeqCst);
-        *lock(&self.standing) = Standing::Idle(Instant::now());
+        *lock(&self.state) = ConnectionState::Idle(Instant::now());
     }
 }
 
-/// A socket that notes when a head begins.
+/// A socket that records when a request head begins.
 #[derive(Debug)]
 pub struct CallerIo {
     stream: TcpStream,
-    standing: Arc<Mutex<Standing>>,
+    state: Arc<Mutex<ConnectionState>>,
 }
 
 impl CallerIo {
-    /// Wraps a socket.
-    pub const fn new(stream: TcpStream, standing: Arc<Mutex<Standing>>) -> Self {
-        Self { stream, standing }
+    /// Wraps `stream` and records the start of request heads in `state`.
+    pub const fn new(stream: TcpStream, state: Arc<Mutex<ConnectionState>>) -> Self {
+        Self { stream, state }
     }
 }
 
@@ -74,12 +74,12 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before {
-            let mut standing = lock(&self.standing);
-            if matches!(*standing, Standing::Idle(_)) {
-                *standing = Standing::Head(Instant::now());
+        if buf.filled().len() > filled_before {
+            let mut state = lock(&self.state);
+            if matches!(*state, ConnectionState::Idle(_)) {
+                *state = ConnectionState::ReadingHead(Instant::now());
             }
         }
         polled
--- /dev/null
+++ b/daemon/src/relay/log_rate_limit.rs
@@ -0,0 +1,53 @@
+//! Rate limits on log lines.
+
+use std::sync::Mutex;
+use std::time::Duration;
+use std::time::Instant;
+
+use metrics::counter;
+
+use crate::traffic::lock;
+
+/// Log lines per second of calls served on time; further ones are only counted.
+const ON_TIME_LINES_PER_SECOND: u32 = 100;
+/// Log lines per second of late calls: enough for all of them unless the box is overloaded.
+const LATE_LINES_PER_SECOND: u32 = 200;
+
+/// Rate limit on one kind of log line, in intervals of one second.
+#[derive(Debug)]
+pub struct LogRateLimit {
+    max_per_second: u32,
+    /// Start of the current interval, and lines written in it.
+    written: Mutex<Option<(Instant, u32)>>,
+}
+
+/// Rate limit for calls that were served on time.
+pub static ON_TIME_LINES: LogRateLimit = LogRateLimit::new(ON_TIME_LINES_PER_SECOND);
+/// Rate limit for calls that were late, or that no server accepted at once.
+pub static LATE_LINES: LogRateLimit = LogRateLimit::new(LATE_LINES_PER_SECOND);
+
+impl LogRateLimit {
+    const fn new(max_per_second: u32) -> Self {
+        Self {
+            max_per_second,
+            written: Mutex::new(None),
+        }
+    }
+
+    /// Counts a line and returns whether it may be written. Suppressed lines are counted in a
+    /// metric.
+    pub fn allow(&self) -> bool {
+        let mut interval = lock(&self.written);
+        let now = Instant::now();
+        let (since, written) = match *interval {
+            Some((since, written)) if now - since < Duration::from_secs(1) => (since, written),
+            _ => (now, 0),
+        };
+        let is_allowed = written < self.max_per_second;
+        *interval = Some((since, written + u32::from(is_allowed)));
+        if !is_allowed {
+            counter!("badgerferry_log_lines_sampled_total").increment(1);
+        }
+        is_allowed
+    }
+}
--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -123,7 +123,7 @@
     if !has_fingerprint {
         return Ok(run(None, 0));
     }
-    let fingerprint = call.work();
+    let fingerprint = call.fingerprint();
     let max_wait = MAX_OUTCOME_WAIT.min(call.time_left() / 2);
     let until = relay.clock.now() + max_wait;
     loop {
@@ -214,7 +214,7 @@
 impl ServerCrash {
     fn record(&self, call: &Call) {
         let relay = &call.relay;
-        let (now, fingerprint) = (relay.clock.now(), call.work());
+        let (now, fingerprint) = (relay.clock.now(), call.fingerprint());
         counter!("badgerferry_servers_ended_total").increment(1);
         tracing::warn!(
             call = call.id(),
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -29,12 +29,12 @@
 use badgerferry_platform::headers::Reader;
 
 use crate::relay::call::Call;
+use crate::relay::call_log;
 use crate::relay::candidates;
 use crate::relay::candidates::CandidateQuery;
 use crate::relay::candidates::NO_SERVER_RETRY;
 use crate::relay::candidates::NoCandidate;
 use crate::relay::first_event_watchdog::FirstEventWatchdog;
-use crate::relay::log_lines;
 use crate::relay::reservations::Reservations;
 use crate::relay::reservations::ReserveError;
 use crate::relay::server_gate::Target;
@@ -190,7 +190,7 @@
     CandidateQuery {
         service: &call.service,
         tried,
-        max_wait: call.patience(tried.is_empty()),
+        max_wait: call.max_admission_wait(tried.is_empty()),
     }
 }
 
@@ -501,7 +501,7 @@
         }
         if now >= expires_at {
             let blocked_polls = lock(&relay.long_prompt_queue).blocked_polls(queue_entry.ticket);
-            log_lines::gave_up_waiting(call, blocked_polls);
+            call_log::prompt_expired(call, blocked_polls);
             return Err((RefusalReason::WouldMissDeadline, NO_SERVER_RETRY));
         }
         tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
--- /dev/null
+++ b/daemon/src/relay/stream_relay.rs
@@ -0,0 +1,228 @@
+//! Forwards a stream to the caller and resumes it on another server when its server fails.
+
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use badgerferry_lib::ids::ServerName;
+use badgerferry_lib::relay::attempts::AttemptEnd;
+use badgerferry_lib::relay::attempts::Attempts;
+use badgerferry_lib::relay::attempts::NextStep;
+use badgerferry_lib::relay::event_join::EventJoin;
+use http::Response;
+use http_body_util::BodyExt;
+use hyper::body::Bytes;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+use tokio::time::timeout;
+
+use crate::relay::call::Call;
+use crate::relay::call_attempt;
+use crate::relay::call_attempt::AttemptResult;
+use crate::relay::call_attempt::StreamFailure;
+use crate::relay::call_attempt::StreamingResponse;
+use crate::relay::call_log;
+use crate::relay::call_log::StreamTimings;
+use crate::relay::candidates::NO_SERVER_RETRY;
+use crate::relay::response_body::BODY_CHANNEL_CAPACITY;
+use crate::relay::response_body::BodyChunk;
+use crate::relay::response_body::ResponseBody;
+
+/// How the forwarding of one attempt ended.
+enum ForwardEnd {
+    Complete,
+    Broken {
+        join: EventJoin,
+        /// Whether the next attempt has been charged to the retry budget already.
+        retry_spent: bool,
+    },
+    CallerGone,
+}
+
+/// Returns the response head of the first attempt and forwards the stream in a new task.
+pub fn respond(
+    call: Arc<Call>,
+    attempts: Attempts,
+    tried: Vec<ServerName>,
+    live: Box<StreamingResponse>,
+) -> Response<ResponseBody> {
+    let (tx, rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+    let response = call_attempt::response_to_caller(&live.head, ResponseBody::channel(rx));
+    call_log::stream_started(&call, &live);
+    call.response_started.store(true, Ordering::Relaxed);
+    tokio::spawn(forward_stream(call, attempts, tried, live, tx));
+    response
+}
+
+async fn forward_stream(
+    call: Arc<Call>,
+    mut attempts: Attempts,
+    mut tried: Vec<ServerName>,
+    live: Box<StreamingResponse>,
+    tx: mpsc::Sender<BodyChunk>,
+) {
+    let mut timings = StreamTimings::start(&call, &live);
+    let mut gaps = EventGaps::start();
+    let result = timeout(
+        call.time_left(),
+        forward_until_end(&call, &mut attempts, &mut tried, live, &tx, &mut gaps),
+    )
+    .await;
+    let outcome = result.unwrap_or("deadline_while_running");
+    timings.longest_gap = gaps.longest;
+    call_log::stream_ended(&call, &attempts, outcome, timings);
+    if outcome != COMPLETE {
+        // Dropping the sender would make the response look complete. If the channel is full, this
+        // waits until the caller reads or disconnects.
+        let _ = tx.send(BodyChunk::Aborted).await;
+    }
+}
+
+/// Tracks the longest gap between events.
+#[derive(Debug)]
+struct EventGaps {
+    last: Instant,
+    longest: Duration,
+}
+
+impl EventGaps {
+    fn start() -> Self {
+        Self {
+            last: Instant::now(),
+            longest: Duration::ZERO,
+        }
+    }
+
+    fn record_event(&mut self) {
+        let now = Instant::now();
+        self.longest = self.longest.max(now - self.last);
+        self.last = now;
+    }
+}
+
+/// Time after which an attempt that still receives events counts as harmless to its server, so that
+/// calls waiting for the result of this run need not wait for its end. Requests that crash servers
+/// did so within 0.5 s of their start in 39 runs.
+const HARMLESS_AFTER: Duration = Duration::from_secs(2);
+
+/// Outcome of a complete stream in logs and metrics.
+const COMPLETE: &str = "answered";
+
+async fn forward_until_end(
+    call: &Arc<Call>,
+    attempts: &mut Attempts,
+    tried: &mut Vec<ServerName>,
+    mut live: Box<StreamingResponse>,
+    tx: &mpsc::Sender<BodyChunk>,
+    gaps: &mut EventGaps,
+) -> &'static str {
+    loop {
+        let (mut join, mut retry_spent) =
+            match forward_attempt(call, attempts, live, tx, gaps).await {
+                ForwardEnd::Complete => return COMPLETE,
+                ForwardEnd::CallerGone => return "caller_gone",
+                ForwardEnd::Broken { join, retry_spent } => (join, retry_spent),
+            };
+        let mut end = AttemptEnd::Lost;
+        live = loop {
+            let already_spent = std::mem::take(&mut retry_spent);
+            match attempts.on_attempt_end(end, NO_SERVER_RETRY, || {
+                already_spent || call.try_spend_retry()
+            }) {
+                NextStep::TryElsewhere => {}
+                NextStep::Fail(reason) => return reason.code(),
+                NextStep::PassOn | NextStep::Refuse(_) => return "server_lost",
+            }
+            join.discard_partial();
+            let result = tokio::select! {
+                result = call_attempt::run_attempt(call, attempts, tried, Some(&join)) => result,
+                () = tx.closed() => return "caller_gone",
+            };
+            end = match result {
+                AttemptResult::Live(live) => break live,
+                AttemptResult::Ended(end) => end,
+                AttemptResult::ServerError(_) => AttemptEnd::ServerError,
+                AttemptResult::Complete(_) => AttemptEnd::Lost,
+                AttemptResult::NoServer(..) => return "no_server",
+            };
+        };
+    }
+}
+
+async fn forward_attempt(
+    call: &Call,
+    attempts: &Attempts,
+    live: Box<StreamingResponse>,
+    tx: &mpsc::Sender<BodyChunk>,
+    gaps: &mut EventGaps,
+) -> ForwardEnd {
+    let StreamingResponse {
+        events,
+        mut complete,
+        mut body,
+        mut join,
+        connection,
+        attempt,
+        after,
+        ..
+    } = *live;
+    if !send_events(events, tx, gaps).await {
+        return ForwardEnd::CallerGone;
+    }
+    let mut read_timeout = call_attempt::silence_timeout(call, &attempt.selection, false);
+    let mut harmless_at = Some(Instant::now() + HARMLESS_AFTER);
+    while !complete {
+        let frame = tokio::select! {
+            frame = timeout(read_timeout, body.frame()) => frame,
+            () = tx.closed() => return ForwardEnd::CallerGone,
+        };
+        let mut retry_spent = false;
+        let failure = match frame {
+            Ok(Some(Ok(frame))) => {
+                let bytes = frame.into_data().unwrap_or_default();
+                match join.push(&bytes) {
+                    Ok(events) => {
+                        if harmless_at.is_some_and(|at| Instant::now() >= at) {
+                            harmless_at = None;
+                            attempt.record_success();
+                        }
+                        if !send_events(events, tx, gaps).await {
+                            return ForwardEnd::CallerGone;
+                        }
+                        continue;
+                    }
+                    Err(cause) => StreamFailure::InvalidData(cause.to_string()),
+                }
+            }
+            Ok(None) if !join.is_inside_event() => {
+                complete = true;
+                continue;
+            }
+            Ok(None) => StreamFailure::ConnectionLost("stream ended inside an event".to_owned()),
+            Ok(Some(Err(cause))) => StreamFailure::ConnectionLost(cause.to_string()),
+            Err(_elapsed) => {
+                // Silence alone does not end a stream: if it can't be resumed on another
+                // server, this one is waited for until the deadline.
+                retry_spent = attempts.may_retry() && call.try_spend_retry();
+                if !retry_spent {
+                    read_timeout = Duration::MAX;
+                    continue;
+                }
+                StreamFailure::TimedOut("no data within the timeout")
+            }
+        };
+        failure.finish(call, attempt).await;
+        return ForwardEnd::Broken { join, retry_spent };
+    }
+    call_attempt::return_connection(call, &attempt.selection.server, connection, after);
+    attempt.finish_served().await;
+    ForwardEnd::Complete
+}
+
+async fn send_events(events: Bytes, tx: &mpsc::Sender<BodyChunk>, gaps: &mut EventGaps) -> bool {
+    if events.is_empty() {
+        return true;
+    }
+    gaps.record_event();
+    tx.send(BodyChunk::Data(events)).await.is_ok()
+}
