--- a/daemon/src/api_error.rs
+++ b/daemon/src/api_error.rs
@@ -176,9 +176,9 @@
         | RefusalReason::DeadlineWhileWaiting
         | RefusalReason::NoServer
         | RefusalReason::Leaving
-        | RefusalReason::NoClaim
-        | RefusalReason::EndsServers
-        | RefusalReason::SuspectRuns
+        | RefusalReason::KeyNotChecked
+        | RefusalReason::CrashesServers
+        | RefusalReason::SuspectRunning
         | RefusalReason::ServersLimited
         | RefusalReason::ServersShedding
         | RefusalReason::ServersLeaving
@@ -199,9 +199,11 @@
         RefusalReason::DuplicateKey => {
             "this submission was not run; an earlier one with the same key may have been"
         }
-        RefusalReason::NoClaim => "its key can't be checked while the platform is out of reach",
-        RefusalReason::EndsServers => "servers ended under each of the last runs of it",
-        RefusalReason::SuspectRuns => "servers ended under it, and another run of it goes on",
+        RefusalReason::KeyNotChecked => {
+            "its key can't be checked while the platform is out of reach"
+        }
+        RefusalReason::CrashesServers => "servers ended under each of the last runs of it",
+        RefusalReason::SuspectRunning => "servers ended under it, and another run of it goes on",
         RefusalReason::ServersLimited => "the servers take no more calls now",
         RefusalReason::ServersShedding => "the servers shed load",
         RefusalReason::ServersLeaving => "all servers that could take it leave",
--- a/daemon/src/once_claim.rs
+++ b/daemon/src/once_claim.rs
@@ -72,7 +72,7 @@
     }
     // The write may still come; a refusal must not leave its key claimed.
     release(traffic, claim);
-    Err(RefusalReason::NoClaim)
+    Err(RefusalReason::KeyNotChecked)
 }
 
 /// Takes back the claim of a request that was not run, in the background.
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -255,7 +255,7 @@
     };
     let mut dispatcher = traffic.dispatcher();
     dispatcher.set_boxes(serving);
-    dispatcher.limits.set_others(now, &others);
+    dispatcher.limits.set_peer_demand(now, &others);
     drop(dispatcher);
     lock(&traffic.status).peers = peers;
 }
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -138,10 +138,10 @@
                 counter!("badgerferry_calls_held_total").increment(1);
                 let left_s = left.as_secs();
                 tracing::info!(call = call.id(), %work, lives = crashes, left_s, "call held: it ends servers");
-                return Err((RefusalReason::EndsServers, left));
+                return Err((RefusalReason::CrashesServers, left));
             }
             Admission::Wait if now >= until => {
-                return Err((RefusalReason::SuspectRuns, RUNS_RETRY));
+                return Err((RefusalReason::SuspectRunning, RUNS_RETRY));
             }
             Admission::Wait => {
                 // Looked at again in either case.
--- a/daemon/src/request_run.rs
+++ b/daemon/src/request_run.rs
@@ -132,7 +132,7 @@
         held: Vec::new(),
     };
     let now = traffic.clock.now();
-    traffic.decide(|dispatcher| dispatcher.arrive(now, request, limit, &mut rand::rng()));
+    traffic.decide(|dispatcher| dispatcher.submit(now, request, limit, &mut rand::rng()));
     while !exchange.is_done() {
         let woken = run.wait(&exchange).await;
         let now = traffic.clock.now();
@@ -162,7 +162,7 @@
     fn feed(&mut self, exchange: &mut Exchange, now: Time, woken: Woken) -> Vec<Action> {
         let frame;
         let event = match woken {
-            Woken::CallerGone => Event::CallerGone,
+            Woken::CallerGone => Event::CallerDisconnected,
             Woken::Decided(decision) => {
                 if let Decision::Start(start) = &decision {
                     self.log_start(start);
@@ -170,8 +170,8 @@
                 decision.into_event()
             }
             Woken::Step(StepDone::Reserved(true)) => Event::Reserved,
-            Woken::Step(StepDone::Reserved(false)) => Event::NotReserved,
-            Woken::Step(StepDone::Prefilled(Ok(()))) => Event::ShareReady,
+            Woken::Step(StepDone::Reserved(false)) => Event::ReservationFailed,
+            Woken::Step(StepDone::Prefilled(Ok(()))) => Event::SharePrefilled,
             Woken::Step(StepDone::Streaming(Ok(stream))) => {
                 self.stream = Some(stream);
                 return Vec::new();
@@ -183,10 +183,10 @@
                 frame = found;
                 Event::Frame(&frame)
             }
-            Woken::StreamEnded => Event::Broken,
+            Woken::StreamEnded => Event::AttemptLost,
             Woken::Tick => Event::Tick,
         };
-        exchange.on(now, &event, &mut rand::rng())
+        exchange.on_event(now, &event, &mut rand::rng())
     }
 
     fn failure(&self, cause: &SendError) -> Event<'static> {
@@ -194,7 +194,7 @@
         match cause {
             SendError::NoConnection { .. } => Event::NoConnection,
             SendError::NotStarted { .. } => Event::ServerDidNotStart,
-            SendError::Lost { .. } => Event::Broken,
+            SendError::Lost { .. } => Event::AttemptLost,
         }
     }
 
@@ -245,10 +245,10 @@
             Action::FirstToken => {
                 let took = now.since(self.meta.arrived);
                 telemetry::record_first_token(self.meta.prompt_tokens, took);
-                self.traffic.dispatcher().first_token(now, self.id);
+                self.traffic.dispatcher().record_first_token(now, self.id);
             }
-            Action::Ended(end) => self.ended(now, &end),
-            Action::QueueAgain { avoid, repeat } => self.queue_again(now, avoid, repeat),
+            Action::PlacementEnded(end) => self.ended(now, &end),
+            Action::Requeue { avoid, is_retry } => self.queue_again(now, avoid, is_retry),
             Action::Finish(outcome) => self.finish(now, outcome).await,
         }
     }
@@ -380,20 +380,21 @@
         if let PlacementEnd::Whole { prompt_tokens, .. } = end {
             self.prompt_tokens = *prompt_tokens;
             let mut estimate = lock(&self.traffic.estimate);
-            estimate.learn(
+            estimate.record(
                 &self.meta.model,
                 self.prompt.len(),
                 *prompt_tokens,
                 self.class.bytes_per_token,
             );
         }
-        self.traffic.dispatcher().ended(now, self.id, end);
+        self.traffic.dispatcher().placement_ended(now, self.id, end);
     }
 
-    fn queue_again(&self, now: Time, avoid: Option<ServerName>, repeat: bool) {
+    fn queue_again(&self, now: Time, avoid: Option<ServerName>, is_retry: bool) {
         let request = self.meta.clone();
-        self.traffic
-            .decide(|dispatcher| dispatcher.again(now, request, avoid, repeat, &mut rand::rng()));
+        self.traffic.decide(|dispatcher| {
+            dispatcher.requeue(now, request, avoid, is_retry, &mut rand::rng())
+        });
     }
 
     async fn finish(&mut self, now: Time, outcome: Outcome) {
--- a/daemon/src/routes.rs
+++ b/daemon/src/routes.rs
@@ -283,7 +283,7 @@
     let ratio = caller.class.bytes_per_token;
     let prompt_bytes = model_request.prompt.len();
     request.prompt_tokens =
-        lock(&traffic.estimate).tokens(&model_request.model, prompt_bytes, ratio);
+        lock(&traffic.estimate).estimate(&model_request.model, prompt_bytes, ratio);
     if request.prompt_tokens > caller.class.max_prompt {
         return Err(refusal(RefusalReason::PromptTooLong));
     }
--- a/daemon/src/service_run.rs
+++ b/daemon/src/service_run.rs
@@ -85,7 +85,7 @@
     });
     let now = traffic.clock.now();
     let limit = prepared.limit;
-    traffic.decide(|dispatcher| dispatcher.arrive(now, request, limit, &mut rand::rng()));
+    traffic.decide(|dispatcher| dispatcher.submit(now, request, limit, &mut rand::rng()));
     let mut answer = None;
     let mut target = None;
     loop {
@@ -101,16 +101,18 @@
             },
         };
         let now = traffic.clock.now();
-        for action in exchange.on(now, &event, &mut rand::rng()) {
+        for action in exchange.on_event(now, &event, &mut rand::rng()) {
             match action {
                 Action::Send { server, .. } => target = Some(server),
-                Action::Ended(end) => {
-                    traffic.dispatcher().ended(now, prepared.request.id, &end);
+                Action::PlacementEnded(end) => {
+                    traffic
+                        .dispatcher()
+                        .placement_ended(now, prepared.request.id, &end);
                 }
-                Action::QueueAgain { avoid, repeat } => {
+                Action::Requeue { avoid, is_retry } => {
                     let again = prepared.request.clone();
                     traffic.decide(|dispatcher| {
-                        dispatcher.again(now, again, avoid, repeat, &mut rand::rng())
+                        dispatcher.requeue(now, again, avoid, is_retry, &mut rand::rng())
                     });
                 }
                 Action::Finish(outcome) => {
@@ -165,13 +167,13 @@
     match done {
         Ok(found) => {
             *answer = Some(found);
-            Event::Answered
+            Event::ResponseComplete
         }
         Err(SendError::NoConnection { .. }) => Event::NoConnection,
         Err(SendError::NotStarted { .. }) => Event::ServerDidNotStart,
         Err(SendError::Lost { cause, address }) => {
             tracing::warn!(address, cause, "service call lost");
-            Event::Broken
+            Event::AttemptLost
         }
     }
 }
--- a/daemon/src/traffic.rs
+++ b/daemon/src/traffic.rs
@@ -31,7 +31,7 @@
 use badgerferry_lib::settings_follow::SettingsFollow;
 use badgerferry_lib::settings_tree::SettingsTree;
 use badgerferry_lib::settings_view::SettingsView;
-use badgerferry_lib::token_estimate::TokenEstimate;
+use badgerferry_lib::token_estimator::TokenEstimator;
 use metrics_exporter_prometheus::PrometheusHandle;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -84,7 +84,7 @@
     /// The platform.
     pub platform: HttpPlatform,
     /// Prompt token estimates.
-    pub estimate: Mutex<TokenEstimate>,
+    pub estimate: Mutex<TokenEstimator>,
     /// What is held at engines.
     pub holdings: Mutex<Holdings>,
     /// Requests whose answers are not yet out.
--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -92,8 +92,8 @@
                 number += 1;
                 let request = request(number, &mut rng);
                 let id = request.id;
-                black_box(dispatcher.arrive(Time::ZERO, request, limit, &mut rng));
-                dispatcher.ended(Time::ZERO, id, &PlacementEnd::Neutral);
+                black_box(dispatcher.submit(Time::ZERO, request, limit, &mut rng));
+                dispatcher.placement_ended(Time::ZERO, id, &PlacementEnd::Neutral);
                 dispatcher.forget(Time::ZERO, id);
             });
         });
--- a/lib/src/breaker.rs
+++ b/lib/src/breaker.rs
@@ -15,7 +15,7 @@
     /// No work until this time.
     Open(Time),
     /// One request is trying it.
-    Trying,
+    HalfOpen,
 }
 
 impl Breaker {
@@ -24,14 +24,14 @@
         match self {
             Self::Closed | Self::Failing(_) => true,
             Self::Open(until) => now >= until,
-            Self::Trying => false,
+            Self::HalfOpen => false,
         }
     }
 
     /// Records that a request went there.
     pub const fn on_dispatch(&mut self) {
         if matches!(self, Self::Open(_)) {
-            *self = Self::Trying;
+            *self = Self::HalfOpen;
         }
     }
 
@@ -41,18 +41,18 @@
     }
 
     /// Records a failure.
-    pub fn on_failure(&mut self, now: Time, limit: u32, rest: Duration) {
+    pub fn on_failure(&mut self, now: Time, limit: u32, open_time: Duration) {
         *self = match *self {
             Self::Closed if limit > 1 => Self::Failing(1),
             Self::Failing(count) if count + 1 < limit => Self::Failing(count + 1),
             Self::Open(until) if now < until => Self::Open(until),
-            _ => Self::Open(now + rest),
+            _ => Self::Open(now + open_time),
         };
     }
 
     /// Records that the request that tried it ended without saying anything of it.
-    pub const fn on_nothing_learned(&mut self, now: Time) {
-        if matches!(self, Self::Trying) {
+    pub const fn on_inconclusive(&mut self, now: Time) {
+        if matches!(self, Self::HalfOpen) {
             *self = Self::Open(now);
         }
     }
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -181,7 +181,7 @@
     }
 
     /// Takes a request from its caller.
-    pub fn arrive(
+    pub fn submit(
         &mut self,
         now: Time,
         request: Request,
@@ -197,7 +197,7 @@
                 retry_after,
             }];
         }
-        self.retries.earn(self.settings.retry_percent);
+        self.retries.deposit(self.settings.retry_percent);
         let demand = self.demand.entry(key.model.clone()).or_default();
         let now_s = now.as_micros() as f64 / 1e6;
         demand.count(now_s, request.prompt_tokens, key.long);
@@ -206,15 +206,15 @@
     }
 
     /// Puts a request back whose placement ended; it keeps its place by its arrival.
-    pub fn again(
+    pub fn requeue(
         &mut self,
         now: Time,
         request: Request,
         avoid: Option<ServerName>,
-        repeat: bool,
+        is_retry: bool,
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
-        if repeat && !self.retries.spend() {
+        if is_retry && !self.retries.try_spend() {
             return vec![Decision::Refuse {
                 request: request.id,
                 reason: RefusalReason::NoServer,
@@ -225,7 +225,7 @@
         self.avoid.entry(id).or_default().extend(avoid);
         let key = self.key(&request);
         self.queues.entry(key.clone()).or_default().push(request);
-        if !repeat {
+        if !is_retry {
             // A group that found an engine taken waits for the next tick, not for itself.
             return Vec::new();
         }
@@ -234,7 +234,7 @@
     }
 
     /// Records the first token of a request.
-    pub fn first_token(&mut self, now: Time, id: RequestId) {
+    pub fn record_first_token(&mut self, now: Time, id: RequestId) {
         let Some(active) = self.active.get(&id) else {
             return;
         };
@@ -246,7 +246,12 @@
     }
 
     /// Records the end of a placement and gives back the request it was for.
-    pub fn ended(&mut self, now: Time, id: RequestId, end: &PlacementEnd) -> Option<Request> {
+    pub fn placement_ended(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        end: &PlacementEnd,
+    ) -> Option<Request> {
         let active = self.active.remove(&id)?;
         for name in active.placement.servers() {
             let Some(&index) = self.by_name.get(name) else {
@@ -263,7 +268,7 @@
                 ),
                 PlacementEnd::NoRoom(full) if full == name => server.had_no_room(now),
                 PlacementEnd::Failed(_) | PlacementEnd::NoRoom(_) | PlacementEnd::Neutral => {
-                    server.breaker.on_nothing_learned(now);
+                    server.breaker.on_inconclusive(now);
                 }
             }
         }
@@ -272,7 +277,7 @@
                 .service_times
                 .entry(active.request.model.clone())
                 .or_default();
-            times.learn_output(*tokens);
+            times.record_output(*tokens);
             if let (Some(prefix), Placement::One(name)) = (active.request.prefix, &active.placement)
             {
                 self.on_cached(&name.clone(), prefix, active.request.prompt_tokens);
@@ -284,7 +289,7 @@
 
     /// Forgets a request whose outcome is known.
     pub fn forget(&mut self, now: Time, id: RequestId) {
-        self.ended(now, id, &PlacementEnd::Neutral);
+        self.placement_ended(now, id, &PlacementEnd::Neutral);
         self.avoid.remove(&id);
         for queue in self.queues.values_mut() {
             queue.remove(id);
@@ -337,12 +342,12 @@
             return Err((RefusalReason::PromptTooLong, RETRY_LATER));
         }
         let wait = self.expected_wait(key, fleet, request);
-        let waiting = self.waiting_of(&request.workspace);
+        let waiting = self.workspace_len(&request.workspace);
         if waiting as u64 >= request.queue_limit {
             return Err((RefusalReason::QueueFull, wait.max(RETRY_LATER)));
         }
         if self.policy == Policy::Cost {
-            let needed = self.times(&key.model).expect(request, fleet.pace);
+            let needed = self.times(&key.model).expected_time(request, fleet.pace);
             let left = now.until(request.deadline);
             if wait + needed > left {
                 let over = (wait + needed).saturating_sub(left);
@@ -355,10 +360,10 @@
             .map_err(|retry_after| (RefusalReason::WorkspaceLimit, retry_after))
     }
 
-    fn waiting_of(&self, workspace: &WorkspaceName) -> usize {
+    fn workspace_len(&self, workspace: &WorkspaceName) -> usize {
         self.queues
             .values()
-            .map(|queue| queue.waiting_of(workspace))
+            .map(|queue| queue.workspace_len(workspace))
             .sum()
     }
 
@@ -389,8 +394,9 @@
         let Some(queue) = self.queues.get_mut(key) else {
             return Vec::new();
         };
-        let late =
-            queue.take_where(|request| now + times.expect(request, fleet.pace) >= request.deadline);
+        let late = queue.remove_where(|request| {
+            now + times.expected_time(request, fleet.pace) >= request.deadline
+        });
         let rate = times.drain_rate(key.long, fleet.own_rate);
         let retry_after = Duration::from_secs_f64(queue.tokens() as f64 / rate.max(1.0));
         late.into_iter()
@@ -421,7 +427,7 @@
                 break;
             };
             let times = self.service_times.entry(key.model.clone()).or_default();
-            times.count_started(now, key.long, request.prompt_tokens);
+            times.record_started(now, key.long, request.prompt_tokens);
             self.record(now, request, &start);
             decisions.push(Decision::Start(start));
         }
--- a/lib/src/exchange.rs
+++ b/lib/src/exchange.rs
@@ -29,10 +29,10 @@
 use crate::outcome::Unsent;
 use crate::request::Placement;
 use crate::request::Share;
-use crate::stream_join::Dropped;
+use crate::stream_join::DropReason;
 use crate::stream_join::Frame;
+use crate::stream_join::FrameDecision;
 use crate::stream_join::StreamJoin;
-use crate::stream_join::Verdict;
 use crate::time::Time;
 
 /// Prefill estimates may be off by this factor before the engine is taken for lost.
@@ -40,14 +40,14 @@
 /// Prefill from which a prompt is worth waiting for: trying it elsewhere throws it away.
 const LONG_PREFILL: Duration = Duration::from_secs(2);
 /// Part of the time left that such a prompt waits for its first token at one engine.
-const LONG_PATIENCE: u32 = 3;
+const LONG_PREFILL_WAIT_DIVISOR: u32 = 3;
 /// Placements of a group that found an engine taken, before the request is refused.
-const MAX_GROUP_TRIES: u32 = 1_000;
+const MAX_GROUP_PLACEMENTS: u32 = 1_000;
 
 #[derive(Debug)]
-enum Claim {
+enum Execution {
     Unsent(Unsent),
-    Trying(InFlight),
+    Sent(InFlight),
     MayHaveRun,
 }
 
@@ -55,7 +55,7 @@
 struct Group {
     id: AttemptId,
     shares: Vec<Share>,
-    held: usize,
+    reserved: usize,
 }
 
 #[derive(Debug)]
@@ -79,10 +79,10 @@
 pub struct Exchange {
     limits: ExchangeLimits,
     phase: Phase,
-    claim: Option<Claim>,
+    execution: Option<Execution>,
     join: StreamJoin,
     attempts: u32,
-    group_tries: u32,
+    group_placements: u32,
     dispatches: u32,
     dispatches_since_proof: u32,
     prefill: Duration,
@@ -95,14 +95,14 @@
         Self {
             limits,
             phase: Phase::Waiting,
-            claim: Some(Claim::Unsent(Unsent::new())),
+            execution: Some(Execution::Unsent(Unsent::new())),
             join: StreamJoin::new(),
             attempts: 0,
-            group_tries: 0,
+            group_placements: 0,
             dispatches: 0,
             dispatches_since_proof: 0,
             prefill: Duration::ZERO,
-            step_deadline: Time::FAR,
+            step_deadline: Time::MAX,
         }
     }
 
@@ -124,19 +124,19 @@
     /// When [`Event::Tick`] must come at the latest.
     pub fn next_tick(&self) -> Time {
         match self.phase {
-            Phase::Done => Time::FAR,
+            Phase::Done => Time::MAX,
             _ => self.step_deadline.min(self.limits.deadline),
         }
     }
 
     /// Takes an event and says what to do, in order.
-    pub fn on(&mut self, now: Time, event: &Event<'_>, rng: &mut impl Rng) -> Vec<Action> {
+    pub fn on_event(&mut self, now: Time, event: &Event<'_>, rng: &mut impl Rng) -> Vec<Action> {
         let mut out = Vec::new();
         if self.is_done() {
             return out;
         }
         match event {
-            Event::CallerGone => {
+            Event::CallerDisconnected => {
                 self.abandon(PlacementEnd::Neutral, &mut out);
                 self.finish(Outcome::Cancelled, &mut out);
             }
@@ -150,14 +150,14 @@
                 retry_after,
             } => self.on_refused(*reason, *retry_after, &mut out),
             Event::Reserved => self.on_reserved(now, &mut out, rng),
-            Event::NotReserved => self.on_not_reserved(&mut out),
-            Event::ShareReady => self.on_share_ready(now, &mut out, rng),
+            Event::ReservationFailed => self.on_reservation_failed(&mut out),
+            Event::SharePrefilled => self.on_share_prefilled(now, &mut out, rng),
             Event::NoConnection => self.on_not_started(NotStarted::NoConnection, &mut out),
-            Event::ServerDidNotStart => self.on_not_started(NotStarted::ServerSaidSo, &mut out),
+            Event::ServerDidNotStart => self.on_not_started(NotStarted::ServerDeclined, &mut out),
             Event::Frame(frame) => self.on_frame(now, frame, &mut out),
-            Event::Answered => self.on_answered(&mut out),
-            Event::Broken => self.on_broken(&mut out),
-            Event::Tick if now >= self.step_deadline => self.on_broken(&mut out),
+            Event::ResponseComplete => self.on_response_complete(&mut out),
+            Event::AttemptLost => self.on_attempt_lost(&mut out),
+            Event::Tick if now >= self.step_deadline => self.on_attempt_lost(&mut out),
             Event::Tick => {}
         }
         out
@@ -169,8 +169,8 @@
             _ => PlacementEnd::Neutral,
         };
         self.abandon(end, out);
-        let outcome = match self.claim.take() {
-            Some(Claim::Unsent(proof)) => Outcome::Refused(Refused::new(
+        let outcome = match self.execution.take() {
+            Some(Execution::Unsent(proof)) => Outcome::Refused(Refused::new(
                 proof,
                 RefusalReason::DeadlineWhileWaiting,
                 Some(Duration::from_secs(1)),
@@ -186,8 +186,8 @@
         retry_after: Option<Duration>,
         out: &mut Vec<Action>,
     ) {
-        let outcome = match self.claim.take() {
-            Some(Claim::Unsent(proof)) => {
+        let outcome = match self.execution.take() {
+            Some(Execution::Unsent(proof)) => {
                 Outcome::Refused(Refused::new(proof, reason, retry_after))
             }
             _ if reason == RefusalReason::DeadlineWhileWaiting => {
@@ -211,7 +211,7 @@
                 let group = Group {
                     id: AttemptId::draw(rng),
                     shares: shares.clone(),
-                    held: 0,
+                    reserved: 0,
                 };
                 self.step_deadline = now + self.limits.first_token;
                 self.reserve_next(group, out);
@@ -220,7 +220,7 @@
     }
 
     fn reserve_next(&mut self, group: Group, out: &mut Vec<Action>) {
-        let share = &group.shares[group.held];
+        let share = &group.shares[group.reserved];
         out.push(Action::Reserve {
             server: share.server.clone(),
             group: group.id,
@@ -232,11 +232,11 @@
     fn on_reserved(&mut self, now: Time, out: &mut Vec<Action>, rng: &mut impl Rng) {
         match std::mem::replace(&mut self.phase, Phase::Waiting) {
             Phase::Reserving(mut group) => {
-                group.held += 1;
-                if group.held < group.shares.len() {
+                group.reserved += 1;
+                if group.reserved < group.shares.len() {
                     self.reserve_next(group, out);
                 } else {
-                    self.spend();
+                    self.count_dispatch();
                     self.attempts += 1;
                     self.prefill_share(now, group, 0, rng, out);
                 }
@@ -245,20 +245,20 @@
         }
     }
 
-    fn on_not_reserved(&mut self, out: &mut Vec<Action>) {
+    fn on_reservation_failed(&mut self, out: &mut Vec<Action>) {
         let end = match (&self.phase, self.current_server()) {
             (Phase::Reserving(_), Some(server)) => PlacementEnd::NoRoom(server.clone()),
             _ => return,
         };
         self.abandon(end, out);
-        self.group_tries += 1;
-        if self.group_tries >= MAX_GROUP_TRIES {
+        self.group_placements += 1;
+        if self.group_placements >= MAX_GROUP_PLACEMENTS {
             self.on_refused(RefusalReason::NoServer, Some(Duration::from_secs(1)), out);
             return;
         }
-        out.push(Action::QueueAgain {
+        out.push(Action::Requeue {
             avoid: None,
-            repeat: false,
+            is_retry: false,
         });
     }
 
@@ -291,10 +291,10 @@
         self.phase = Phase::Prefilling { group, index };
     }
 
-    fn on_share_ready(&mut self, now: Time, out: &mut Vec<Action>, rng: &mut impl Rng) {
+    fn on_share_prefilled(&mut self, now: Time, out: &mut Vec<Action>, rng: &mut impl Rng) {
         match std::mem::replace(&mut self.phase, Phase::Waiting) {
             Phase::Prefilling { group, index } => {
-                self.claim = Some(Claim::MayHaveRun);
+                self.execution = Some(Execution::MayHaveRun);
                 self.prefill_share(now, group, index + 1, rng, out);
             }
             other => self.phase = other,
@@ -311,15 +311,15 @@
         if self.prefill < LONG_PREFILL {
             return usual;
         }
-        usual + now.until(self.limits.deadline) / LONG_PATIENCE
+        usual + now.until(self.limits.deadline) / LONG_PREFILL_WAIT_DIVISOR
     }
 
-    fn spend(&mut self) {
+    fn count_dispatch(&mut self) {
         self.dispatches += 1;
         self.dispatches_since_proof += 1;
-        self.claim = match self.claim.take() {
-            Some(Claim::Unsent(proof)) => Some(Claim::Trying(proof.dispatch())),
-            _ => Some(Claim::MayHaveRun),
+        self.execution = match self.execution.take() {
+            Some(Execution::Unsent(proof)) => Some(Execution::Sent(proof.dispatch())),
+            _ => Some(Execution::MayHaveRun),
         };
     }
 
@@ -332,7 +332,7 @@
         out: &mut Vec<Action>,
     ) {
         if group.is_none() {
-            self.spend();
+            self.count_dispatch();
             self.attempts += 1;
         }
         assert!(
@@ -358,53 +358,53 @@
         let Some(server) = self.current_server().cloned() else {
             return;
         };
-        self.claim = match self.claim.take() {
-            Some(Claim::Trying(in_flight)) => {
+        self.execution = match self.execution.take() {
+            Some(Execution::Sent(in_flight)) => {
                 self.dispatches_since_proof = 0;
-                Some(Claim::Unsent(in_flight.not_started(evidence)))
+                Some(Execution::Unsent(in_flight.not_started(evidence)))
             }
             other => other,
         };
         // The attempt left nothing behind at the server; a group's reservations are released.
         self.release(out);
-        out.push(Action::Ended(match evidence {
+        out.push(Action::PlacementEnded(match evidence {
             NotStarted::NoConnection => PlacementEnd::Failed(server.clone()),
-            NotStarted::ServerSaidSo => PlacementEnd::Neutral,
+            NotStarted::ServerDeclined => PlacementEnd::Neutral,
         }));
-        self.again(server, out);
+        self.retry_or_finish(server, out);
     }
 
-    fn on_broken(&mut self, out: &mut Vec<Action>) {
+    fn on_attempt_lost(&mut self, out: &mut Vec<Action>) {
         match &self.phase {
             Phase::Waiting | Phase::Done => return,
-            Phase::Reserving(_) => return self.on_not_reserved(out),
+            Phase::Reserving(_) => return self.on_reservation_failed(out),
             Phase::Prefilling { .. } | Phase::Streaming { .. } => {}
         }
         let Some(server) = self.current_server().cloned() else {
             return;
         };
-        self.claim = Some(Claim::MayHaveRun);
+        self.execution = Some(Execution::MayHaveRun);
         self.abandon(PlacementEnd::Failed(server.clone()), out);
-        self.again(server, out);
+        self.retry_or_finish(server, out);
     }
 
-    fn again(&mut self, avoid: ServerName, out: &mut Vec<Action>) {
+    fn retry_or_finish(&mut self, avoid: ServerName, out: &mut Vec<Action>) {
         self.phase = Phase::Waiting;
-        self.step_deadline = Time::FAR;
-        let unsent = matches!(self.claim, Some(Claim::Unsent(_)));
+        self.step_deadline = Time::MAX;
+        let unsent = matches!(self.execution, Some(Execution::Unsent(_)));
         if !self.limits.repeatable && !unsent {
             self.finish(Outcome::Failed(FailureReason::ServerLost), out);
             return;
         }
         if self.attempts < self.limits.max_attempts {
-            out.push(Action::QueueAgain {
+            out.push(Action::Requeue {
                 avoid: Some(avoid),
-                repeat: true,
+                is_retry: true,
             });
             return;
         }
-        let outcome = match self.claim.take() {
-            Some(Claim::Unsent(proof)) => Outcome::Refused(Refused::new(
+        let outcome = match self.execution.take() {
+            Some(Execution::Unsent(proof)) => Outcome::Refused(Refused::new(
                 proof,
                 RefusalReason::NoServer,
                 Some(Duration::from_secs(1)),
@@ -416,35 +416,35 @@
 
     fn on_frame(&mut self, now: Time, frame: &Frame, out: &mut Vec<Action>) {
         let Phase::Streaming { attempt, .. } = &self.phase else {
-            out.push(Action::CountDropped(Dropped::Foreign));
+            out.push(Action::CountDropped(DropReason::OtherAttempt));
             return;
         };
         let first = self.join.next_offset() == 0;
         match self.join.accept(*attempt, frame) {
-            Verdict::Forward(text) => {
-                self.claim = Some(Claim::MayHaveRun);
+            FrameDecision::Forward(text) => {
+                self.execution = Some(Execution::MayHaveRun);
                 self.step_deadline = now + self.limits.between_tokens;
                 out.push(Action::Forward(text.to_owned()));
                 if first {
                     out.push(Action::FirstToken);
                 }
             }
-            Verdict::Whole { prompt_tokens } => self.on_whole(prompt_tokens, out),
-            Verdict::Drop(why) => out.push(Action::CountDropped(why)),
-            Verdict::Broken => self.on_broken(out),
+            FrameDecision::Complete { prompt_tokens } => self.complete(prompt_tokens, out),
+            FrameDecision::Drop(why) => out.push(Action::CountDropped(why)),
+            FrameDecision::Abort => self.on_attempt_lost(out),
         }
     }
 
-    fn on_answered(&mut self, out: &mut Vec<Action>) {
+    fn on_response_complete(&mut self, out: &mut Vec<Action>) {
         if matches!(self.phase, Phase::Streaming { .. }) {
-            self.on_whole(0, out);
+            self.complete(0, out);
         }
     }
 
-    fn on_whole(&mut self, prompt_tokens: u64, out: &mut Vec<Action>) {
+    fn complete(&mut self, prompt_tokens: u64, out: &mut Vec<Action>) {
         let tokens = self.join.next_offset();
         self.release(out);
-        out.push(Action::Ended(PlacementEnd::Whole {
+        out.push(Action::PlacementEnded(PlacementEnd::Whole {
             prompt_tokens,
             tokens,
         }));
@@ -454,7 +454,7 @@
     fn current_server(&self) -> Option<&ServerName> {
         match &self.phase {
             Phase::Waiting | Phase::Done => None,
-            Phase::Reserving(group) => group.shares.get(group.held).map(|share| &share.server),
+            Phase::Reserving(group) => group.shares.get(group.reserved).map(|share| &share.server),
             Phase::Prefilling { group, index } => {
                 group.shares.get(*index).map(|share| &share.server)
             }
@@ -462,7 +462,7 @@
         }
     }
 
-    /// Leaves the placement: cancels what runs, releases what is held, tells routing.
+    /// Leaves the placement: cancels what runs, releases what is reserved, tells routing.
     fn abandon(&mut self, end: PlacementEnd, out: &mut Vec<Action>) {
         if matches!(self.phase, Phase::Waiting) {
             return;
@@ -477,16 +477,16 @@
             });
         }
         self.release(out);
-        out.push(Action::Ended(end));
+        out.push(Action::PlacementEnded(end));
     }
 
     fn release(&mut self, out: &mut Vec<Action>) {
         let phase = std::mem::replace(&mut self.phase, Phase::Waiting);
-        self.step_deadline = Time::FAR;
+        self.step_deadline = Time::MAX;
         let (group, asked) = match phase {
             // The member asked last may have reserved although its answer did not come.
             Phase::Reserving(group) => {
-                let asked = group.held + 1;
+                let asked = group.reserved + 1;
                 (group, asked)
             }
             Phase::Prefilling { group, .. }
--- a/lib/src/exchange_action.rs
+++ b/lib/src/exchange_action.rs
@@ -7,7 +7,7 @@
 use crate::outcome::Outcome;
 use crate::outcome::RefusalReason;
 use crate::request::Placement;
-use crate::stream_join::Dropped;
+use crate::stream_join::DropReason;
 use crate::stream_join::Frame;
 use crate::time::Time;
 
@@ -46,9 +46,9 @@
     /// The member asked last reserved its share.
     Reserved,
     /// The member asked last has no room, or could not be asked.
-    NotReserved,
+    ReservationFailed,
     /// The member asked last has prefilled its share.
-    ShareReady,
+    SharePrefilled,
     /// No connection was made.
     NoConnection,
     /// The server said that it did not start the work.
@@ -56,11 +56,11 @@
     /// A frame of the answer.
     Frame(&'a Frame),
     /// A plain service's whole answer has come.
-    Answered,
+    ResponseComplete,
     /// The connection ended, or what came was no frame.
-    Broken,
+    AttemptLost,
     /// The caller went away.
-    CallerGone,
+    CallerDisconnected,
     /// Time passed.
     Tick,
 }
@@ -116,17 +116,17 @@
     /// Pass text on to the caller.
     Forward(String),
     /// Count a frame that was dropped.
-    CountDropped(Dropped),
+    CountDropped(DropReason),
     /// Tell the dispatcher that the first token came.
     FirstToken,
     /// Tell the dispatcher how the placement ended.
-    Ended(PlacementEnd),
+    PlacementEnded(PlacementEnd),
     /// Ask the dispatcher for another placement.
-    QueueAgain {
+    Requeue {
         /// A server to keep away from.
         avoid: Option<ServerName>,
         /// Whether this counts as a repeat.
-        repeat: bool,
+        is_retry: bool,
     },
     /// The caller's final answer.
     Finish(Outcome),
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -38,7 +38,7 @@
         let own = views().filter(|server| server.info().hall == *hall);
         let own_rate: f64 = own.map(|server| server.prefill_rate() as f64).sum();
         Self {
-            pace: Pace::of(views()),
+            pace: Pace::mean(views()),
             own_rate: own_rate / boxes as f64,
             usable_memory: views().map(long_lane::usable_memory).sum(),
             most_memory: views()
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -41,6 +41,6 @@
 pub mod status_wire;
 pub mod stream_join;
 pub mod time;
-pub mod token_estimate;
+pub mod token_estimator;
 pub mod wait_queue;
 pub mod workspace_limit;
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -40,7 +40,7 @@
     /// No connection was made, so no byte was sent.
     NoConnection,
     /// The server answered that it did not start the work.
-    ServerSaidSo,
+    ServerDeclined,
 }
 
 impl InFlight {
@@ -72,11 +72,11 @@
     /// The same not-repeatable request key was already used.
     DuplicateKey,
     /// The request key could not be claimed, because the platform gave no answer.
-    NoClaim,
+    KeyNotChecked,
     /// Servers ended under each of the last runs of what it asks for.
-    EndsServers,
+    CrashesServers,
     /// Servers ended under what it asks for, and another run of it is under way for long.
-    SuspectRuns,
+    SuspectRunning,
     /// All servers that could take it say how many calls they take, and have those.
     ServersLimited,
     /// All servers that could take it turned calls away and asked for a pause.
@@ -98,9 +98,9 @@
             Self::Leaving => "box_leaving",
             Self::NoSettings => "no_settings",
             Self::DuplicateKey => "duplicate_key",
-            Self::NoClaim => "key_not_checked",
-            Self::EndsServers => "ends_servers",
-            Self::SuspectRuns => "suspect_runs",
+            Self::KeyNotChecked => "key_not_checked",
+            Self::CrashesServers => "ends_servers",
+            Self::SuspectRunning => "suspect_runs",
             Self::ServersLimited => "servers_limited",
             Self::ServersShedding => "servers_shedding",
             Self::ServersLeaving => "servers_leaving",
--- a/lib/src/priority.rs
+++ b/lib/src/priority.rs
@@ -22,7 +22,7 @@
 
 impl Priority {
     /// Reads the settings' word; anything else is normal.
-    pub fn from_word(word: &str) -> Self {
+    pub fn from_setting(word: &str) -> Self {
         match word {
             "urgent" => Self::Urgent,
             "batch" => Self::Batch,
@@ -64,7 +64,7 @@
 }
 
 /// Ranks that there are.
-pub const RANKS: usize = 6;
+pub const RANK_COUNT: usize = 6;
 
 /// Order at a server; a lower number is served first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -73,10 +73,10 @@
 impl Rank {
     /// Reads a rank from the wire; numbers out of range are the last rank.
     pub const fn from_wire(number: u8) -> Self {
-        if (number as usize) < RANKS {
+        if (number as usize) < RANK_COUNT {
             Self(number)
         } else {
-            Self(RANKS as u8 - 1)
+            Self(RANK_COUNT as u8 - 1)
         }
     }
 
--- a/lib/src/relay/attempts.rs
+++ b/lib/src/relay/attempts.rs
@@ -139,10 +139,10 @@
                 self.failed_connects += 1;
                 self.mark_not_started(NotStarted::NoConnection);
             }
-            AttemptEnd::Declined => self.mark_not_started(NotStarted::ServerSaidSo),
+            AttemptEnd::Declined => self.mark_not_started(NotStarted::ServerDeclined),
             AttemptEnd::Shed => {
                 self.times_shed += 1;
-                self.mark_not_started(NotStarted::ServerSaidSo);
+                self.mark_not_started(NotStarted::ServerDeclined);
             }
             AttemptEnd::Lost | AttemptEnd::ServerError => self.state = Some(Execution::MayHaveRun),
         }
--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -442,8 +442,8 @@
                 1.0
             }
             ServerOutcome::Inconclusive => {
-                record.breaker.on_nothing_learned(now);
-                hall.on_nothing_learned(now);
+                record.breaker.on_inconclusive(now);
+                hall.on_inconclusive(now);
                 return;
             }
         };
--- a/lib/src/server_view.rs
+++ b/lib/src/server_view.rs
@@ -16,7 +16,7 @@
 use crate::ids::ModelName;
 use crate::ids::RequestId;
 use crate::ids::ServerName;
-use crate::priority::RANKS;
+use crate::priority::RANK_COUNT;
 use crate::priority::Rank;
 use crate::request::PrefixHash;
 use crate::time::Time;
@@ -61,7 +61,7 @@
     /// Models that are loaded.
     pub models: Vec<ModelName>,
     /// Prompt tokens not yet prefilled, by rank.
-    pub queued: [u64; RANKS],
+    pub queued: [u64; RANK_COUNT],
     /// Requests that generate.
     pub running: u32,
     /// Memory for KV, in tokens.
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -12,7 +12,7 @@
 /// Weight of one answer's length against the running mean.
 const OUTPUT_WEIGHT: f64 = 0.02;
 /// Length assumed before the first answer, in tokens.
-const FIRST_OUTPUT: f64 = 128.0;
+const INITIAL_OUTPUT_TOKENS: f64 = 128.0;
 /// Time constant of the measured drain of short requests.
 const SHORT_WINDOW_S: f64 = 5.0;
 /// Time constant of the drain of long ones, of which a box starts one in several seconds; a
@@ -25,14 +25,14 @@
     /// Prompt tokens a second at one server.
     pub prefill_rate: f64,
     /// Prompt tokens a second at all of them.
-    pub whole_rate: f64,
+    pub total_prefill_rate: f64,
     /// Time between tokens of one answer.
     pub token_interval: Duration,
 }
 
 impl Pace {
     /// The mean pace of servers.
-    pub fn of<'a>(servers: impl Iterator<Item = &'a ServerView>) -> Self {
+    pub fn mean<'a>(servers: impl Iterator<Item = &'a ServerView>) -> Self {
         let mut rate = 0;
         let mut interval_us = 0;
         let mut count = 0_u32;
@@ -44,7 +44,7 @@
         let servers = f64::from(count.max(1));
         Self {
             prefill_rate: (rate as f64 / servers).max(1.0),
-            whole_rate: (rate as f64).max(1.0),
+            total_prefill_rate: (rate as f64).max(1.0),
             token_interval: Duration::from_micros(interval_us / u64::from(count.max(1))),
         }
     }
@@ -68,7 +68,7 @@
 impl Default for ServiceTime {
     fn default() -> Self {
         Self {
-            output: FIRST_OUTPUT,
+            output: INITIAL_OUTPUT_TOKENS,
             drains: [Drain::default(); 2],
         }
     }
@@ -76,12 +76,12 @@
 
 impl ServiceTime {
     /// Learns an answer's length.
-    pub fn learn_output(&mut self, tokens: u64) {
+    pub fn record_output(&mut self, tokens: u64) {
         self.output += (tokens as f64 - self.output) * OUTPUT_WEIGHT;
     }
 
     /// Time from a start to the whole answer of a request at this pace.
-    pub fn expect(&self, request: &Request, pace: Pace) -> Duration {
+    pub fn expected_time(&self, request: &Request, pace: Pace) -> Duration {
         if request.prompt_tokens == 0 {
             return Duration::ZERO;
         }
@@ -91,12 +91,12 @@
     }
 
     /// Counts tokens that started.
-    pub fn count_started(&mut self, now: Time, long: bool, tokens: u64) {
+    pub fn record_started(&mut self, now: Time, long: bool, tokens: u64) {
         let drain = &mut self.drains[usize::from(long)];
         if drain.backlog_since.is_some() {
             drain.started += tokens as f64;
         }
-        drain.settle(now);
+        drain.update(now);
     }
 
     /// Says whether requests wait; only then does what starts tell the drain.
@@ -112,7 +112,7 @@
                 drain.started = 0.0;
             }
             (false, Some(_)) => drain.backlog_since = None,
-            _ => drain.settle(now),
+            _ => drain.update(now),
         }
     }
 
@@ -124,7 +124,7 @@
 
 impl Drain {
     /// Takes a measured second or more into the rate.
-    fn settle(&mut self, now: Time) {
+    fn update(&mut self, now: Time) {
         let Some(since) = self.backlog_since else {
             return;
         };
@@ -132,10 +132,10 @@
         if span < 1.0 {
             return;
         }
-        let seen = self.started / span;
+        let measured = self.started / span;
         let weight = 1.0 - (-span / self.window_s).exp();
-        let before = self.rate.unwrap_or(seen);
-        self.rate = Some(before + (seen - before) * weight);
+        let before = self.rate.unwrap_or(measured);
+        self.rate = Some(before + (measured - before) * weight);
         self.backlog_since = Some(now);
         self.started = 0.0;
     }
--- a/lib/src/settings_view.rs
+++ b/lib/src/settings_view.rs
@@ -194,7 +194,7 @@
         first_token: millis(tree, node, Key::RequestFirstToken),
         between_tokens: millis(tree, node, Key::RequestBetweenTokens),
         max_attempts: tree.whole(node, Key::RequestMaxAttempts) as u32,
-        priority: Priority::from_word(priority.as_str().unwrap_or_default()),
+        priority: Priority::from_setting(priority.as_str().unwrap_or_default()),
         ageing: millis(tree, node, Key::RequestAgeing),
         max_prompt: tree.whole(node, Key::RequestMaxPrompt),
         max_output: tree.whole(node, Key::RequestMaxOutput),
--- a/lib/src/stream_join.rs
+++ b/lib/src/stream_join.rs
@@ -43,37 +43,37 @@
 
 /// What to do with a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict<'a> {
+pub enum FrameDecision<'a> {
     /// Forward this text to the caller.
     Forward(&'a str),
     /// The answer is whole.
-    Whole {
+    Complete {
         /// Tokens in the prompt, as the engine counted them.
         prompt_tokens: u64,
     },
     /// Drop the frame; the stream goes on.
-    Drop(Dropped),
+    Drop(DropReason),
     /// The stream lost a frame; give the attempt up.
-    Broken,
+    Abort,
 }
 
 /// Why a frame was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Dropped {
+pub enum DropReason {
     /// It belongs to another attempt.
-    Foreign,
+    OtherAttempt,
     /// Its token was forwarded before.
-    Repeated,
+    Duplicate,
     /// The answer was already whole.
     AfterEnd,
 }
 
-impl Dropped {
+impl DropReason {
     /// Stable label for metrics.
     pub const fn label(self) -> &'static str {
         match self {
-            Self::Foreign => "foreign",
-            Self::Repeated => "repeated",
+            Self::OtherAttempt => "foreign",
+            Self::Duplicate => "repeated",
             Self::AfterEnd => "after_end",
         }
     }
@@ -84,7 +84,7 @@
 pub struct StreamJoin {
     text: String,
     next: u64,
-    whole: bool,
+    complete: bool,
 }
 
 impl StreamJoin {
@@ -93,7 +93,7 @@
         Self {
             text: String::new(),
             next: 0,
-            whole: false,
+            complete: false,
         }
     }
 
@@ -108,27 +108,27 @@
     }
 
     /// Judges a frame that came on `current`'s stream.
-    pub fn accept<'a>(&mut self, current: AttemptId, frame: &'a Frame) -> Verdict<'a> {
+    pub fn accept<'a>(&mut self, current: AttemptId, frame: &'a Frame) -> FrameDecision<'a> {
         if frame.attempt != current {
-            return Verdict::Drop(Dropped::Foreign);
+            return FrameDecision::Drop(DropReason::OtherAttempt);
         }
-        if self.whole {
-            return Verdict::Drop(Dropped::AfterEnd);
+        if self.complete {
+            return FrameDecision::Drop(DropReason::AfterEnd);
         }
         match &frame.body {
             FrameBody::Token { offset, .. } if *offset < self.next => {
-                Verdict::Drop(Dropped::Repeated)
+                FrameDecision::Drop(DropReason::Duplicate)
             }
-            FrameBody::Token { offset, .. } if *offset > self.next => Verdict::Broken,
+            FrameBody::Token { offset, .. } if *offset > self.next => FrameDecision::Abort,
             FrameBody::Token { text, .. } => {
                 self.text.push_str(text);
                 self.next += 1;
-                Verdict::Forward(text)
+                FrameDecision::Forward(text)
             }
-            FrameBody::End { tokens, .. } if *tokens != self.next => Verdict::Broken,
+            FrameBody::End { tokens, .. } if *tokens != self.next => FrameDecision::Abort,
             FrameBody::End { prompt_tokens, .. } => {
-                self.whole = true;
-                Verdict::Whole {
+                self.complete = true;
+                FrameDecision::Complete {
                     prompt_tokens: *prompt_tokens,
                 }
             }
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -17,7 +17,7 @@
     /// The start of the process's own time line.
     pub const ZERO: Self = Self(0);
     /// A time that no process reaches; for "no limit".
-    pub const FAR: Self = Self(u64::MAX);
+    pub const MAX: Self = Self(u64::MAX);
 
     /// Makes a time from whole microseconds.
     pub const fn from_micros(micros: u64) -> Self {
--- a/lib/src/token_estimate.rs
+++ b/lib/src/token_estimator.rs
@@ -15,24 +15,24 @@
 
 /// Bytes per token for each model, corrected by reports.
 #[derive(Debug, Default)]
-pub struct TokenEstimate {
+pub struct TokenEstimator {
     ratios: BTreeMap<ModelName, f64>,
 }
 
-impl TokenEstimate {
+impl TokenEstimator {
     /// Estimates the tokens of a prompt of `bytes`; at least one.
-    pub fn tokens(&self, model: &ModelName, bytes: usize, default_ratio: f64) -> u64 {
+    pub fn estimate(&self, model: &ModelName, bytes: usize, default_ratio: f64) -> u64 {
         let ratio = self.ratios.get(model).copied().unwrap_or(default_ratio);
         ((bytes as f64 / ratio).ceil() as u64).max(1)
     }
 
     /// Learns from an engine's own count.
-    pub fn learn(&mut self, model: &ModelName, bytes: usize, tokens: u64, default_ratio: f64) {
+    pub fn record(&mut self, model: &ModelName, bytes: usize, tokens: u64, default_ratio: f64) {
         if tokens == 0 {
             return;
         }
-        let seen = (bytes as f64 / tokens as f64).clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
+        let measured = (bytes as f64 / tokens as f64).clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
         let ratio = self.ratios.entry(model.clone()).or_insert(default_ratio);
-        *ratio += (seen - *ratio) * REPORT_WEIGHT;
+        *ratio += (measured - *ratio) * REPORT_WEIGHT;
     }
 }
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -59,7 +59,7 @@
     }
 
     /// Requests of one workspace that wait.
-    pub fn waiting_of(&self, workspace: &WorkspaceName) -> usize {
+    pub fn workspace_len(&self, workspace: &WorkspaceName) -> usize {
         self.flows.get(workspace).map_or(0, Flow::len)
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Takes out every request for which `gone` holds.
-    pub fn take_where(&mut self, gone: impl Fn(&Request) -> bool) -> Vec<Request> {
+    pub fn remove_where(&mut self, gone: impl Fn(&Request) -> bool) -> Vec<Request> {
         if self.is_empty() {
             return Vec::new();
         }
@@ -132,13 +132,13 @@
 
     /// Takes one request out, if it waits here.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
-        self.take_where(|request| request.id == id).pop()
+        self.remove_where(|request| request.id == id).pop()
     }
 
     fn count_out(&mut self, request: &Request) {
         self.tokens -= request.prompt_tokens;
         self.len -= 1;
-        if self.waiting_of(&request.workspace) == 0 {
+        if self.workspace_len(&request.workspace) == 0 {
             self.waiting.remove(&request.workspace);
         }
     }
--- a/lib/src/workspace_limit.rs
+++ b/lib/src/workspace_limit.rs
@@ -123,7 +123,7 @@
     }
 
     /// Sets the demand that the other boxes of the hall told of, in tokens a second.
-    pub fn set_others(&mut self, now: Time, others: &BTreeMap<WorkspaceName, f64>) {
+    pub fn set_peer_demand(&mut self, now: Time, others: &BTreeMap<WorkspaceName, f64>) {
         for (name, demand) in others {
             self.state(now, name).others = *demand;
         }
--- a/lib/tests/test_scenarios.rs
+++ b/lib/tests/test_scenarios.rs
@@ -105,13 +105,13 @@
                 retry_after: Some(Duration::from_secs(3)),
             },
             "reserved" => Event::Reserved,
-            "no-room" => Event::NotReserved,
-            "ready" => Event::ShareReady,
+            "no-room" => Event::ReservationFailed,
+            "ready" => Event::SharePrefilled,
             "no-connection" => Event::NoConnection,
             "not-started" => Event::ServerDidNotStart,
-            "answered" => Event::Answered,
-            "broken" => Event::Broken,
-            "gone" => Event::CallerGone,
+            "answered" => Event::ResponseComplete,
+            "broken" => Event::AttemptLost,
+            "gone" => Event::CallerDisconnected,
             "tick" => Event::Tick,
             "foreign" => {
                 frame = self.frame(&words[1..], false);
@@ -123,7 +123,7 @@
             }
             other => panic!("no such happening: {other}"),
         };
-        let actions = self.exchange.on(now, &event, &mut self.rng);
+        let actions = self.exchange.on_event(now, &event, &mut self.rng);
         actions
             .into_iter()
             .map(|action| self.line(action))
@@ -163,10 +163,10 @@
             Action::Forward(text) => format!("forward {text}"),
             Action::CountDropped(why) => format!("drop {}", why.label()),
             Action::FirstToken => "first token".to_owned(),
-            Action::Ended(end) => format!("ended {end:?}"),
-            Action::QueueAgain { avoid, repeat } => {
+            Action::PlacementEnded(end) => format!("ended {end:?}"),
+            Action::Requeue { avoid, is_retry } => {
                 let avoid = avoid.map_or_else(|| "nobody".to_owned(), |name| name.to_string());
-                format!("queue again, avoid {avoid}, repeat {repeat}")
+                format!("queue again, avoid {avoid}, repeat {is_retry}")
             }
             Action::Finish(outcome) => format!("finish: {}", outcome_line(&outcome)),
         }
--- a/testutils/src/fake_engine.rs
+++ b/testutils/src/fake_engine.rs
@@ -14,7 +14,7 @@
 use badgerferry_lib::engine_wire::RenewRequest;
 use badgerferry_lib::ids::AttemptId;
 use badgerferry_lib::ids::ModelName;
-use badgerferry_lib::priority::RANKS;
+use badgerferry_lib::priority::RANK_COUNT;
 use badgerferry_lib::priority::Rank;
 use badgerferry_lib::server_view::EngineReport;
 use badgerferry_lib::stream_join::Frame;
@@ -486,7 +486,7 @@
 
     /// How it stands.
     pub fn report(&self) -> EngineReport {
-        let mut queued = [0; RANKS];
+        let mut queued = [0; RANK_COUNT];
         for job in self.jobs.values() {
             queued[job.rank.index()] += job.prefill_left;
         }
--- a/testutils/src/fake_platform.rs
+++ b/testutils/src/fake_platform.rs
@@ -111,7 +111,7 @@
         let entry = Entry {
             version: self.last_version,
             value,
-            expires: ttl.map_or(Time::FAR, |ttl| now + ttl),
+            expires: ttl.map_or(Time::MAX, |ttl| now + ttl),
         };
         self.entries.insert(key.to_owned(), entry);
         Ok(self.last_version)
--- a/testutils/src/relay_model/run.rs
+++ b/testutils/src/relay_model/run.rs
@@ -212,7 +212,7 @@
             },
             events,
             ticket: None,
-            expires_at: Time::FAR,
+            expires_at: Time::MAX,
             started: at,
             parts_left: 0,
             placed: None,
--- a/testutils/src/world.rs
+++ b/testutils/src/world.rs
@@ -418,7 +418,7 @@
         match what {
             Happening::Arrive(boxx, asked) => self.arrive(boxx, *asked),
             Happening::CallerLeaves(boxx, request) => {
-                self.feed_now(boxx, request, &Event::CallerGone);
+                self.feed_now(boxx, request, &Event::CallerDisconnected);
             }
             Happening::AtEngine(engine, life, route, message) => {
                 self.at_engine(engine, life, route, message);
--- a/testutils/src/world/boxes.rs
+++ b/testutils/src/world/boxes.rs
@@ -88,7 +88,7 @@
         };
         let decisions = boxx
             .dispatcher
-            .arrive(self.now, request, limit, &mut self.rng);
+            .submit(self.now, request, limit, &mut self.rng);
         self.set_exchange_tick(index, id);
         self.carry_out(index, decisions);
     }
@@ -143,7 +143,7 @@
             return;
         };
         let due_before = running.exchange.next_tick();
-        let actions = running.exchange.on(now, event, &mut self.rng);
+        let actions = running.exchange.on_event(now, event, &mut self.rng);
         let due = running.exchange.next_tick();
         for action in actions {
             self.act(index, id, action);
@@ -194,13 +194,15 @@
             Action::FirstToken => {
                 let now = self.now;
                 let boxx = &mut self.boxes[index];
-                boxx.dispatcher.first_token(now, id);
+                boxx.dispatcher.record_first_token(now, id);
             }
-            Action::Ended(end) => {
+            Action::PlacementEnded(end) => {
                 self.let_go(index, id);
-                self.boxes[index].dispatcher.ended(self.now, id, &end);
+                self.boxes[index]
+                    .dispatcher
+                    .placement_ended(self.now, id, &end);
             }
-            Action::QueueAgain { avoid, repeat } => self.queue_again(index, id, avoid, repeat),
+            Action::Requeue { avoid, is_retry } => self.queue_again(index, id, avoid, is_retry),
             Action::Finish(outcome) => self.finish(index, id, outcome),
         }
     }
@@ -210,7 +212,7 @@
         index: usize,
         id: RequestId,
         avoid: Option<ServerName>,
-        repeat: bool,
+        is_retry: bool,
     ) {
         let boxx = &mut self.boxes[index];
         let Some(running) = boxx.running.get(&id) else {
@@ -219,7 +221,7 @@
         let request = running.asked.request.clone();
         let decisions = boxx
             .dispatcher
-            .again(self.now, request, avoid, repeat, &mut self.rng);
+            .requeue(self.now, request, avoid, is_retry, &mut self.rng);
         self.carry_out(index, decisions);
     }
 
@@ -351,11 +353,11 @@
         }
         let event = match message {
             ToBox::Reserved(true) => Event::Reserved,
-            ToBox::Reserved(false) => Event::NotReserved,
-            ToBox::ShareReady => Event::ShareReady,
+            ToBox::Reserved(false) => Event::ReservationFailed,
+            ToBox::ShareReady => Event::SharePrefilled,
             ToBox::NoConnection => Event::NoConnection,
             ToBox::NotStarted => Event::ServerDidNotStart,
-            ToBox::Broken => Event::Broken,
+            ToBox::Broken => Event::AttemptLost,
             ToBox::Frame(frame) => Event::Frame(frame),
         };
         self.feed_now(index, route.request, &event);
