--- a/lib/src/backoff.rs
+++ b/lib/src/backoff.rs
@@ -1,19 +1,19 @@
-//! Pauses after failures: doubling, bounded, with full jitter.
+//! Exponential backoff with an upper bound and jitter.
 //!
-//! The jitter spreads boxes that lost the platform in the same instant, so that they do
-//! not all come back in the same instant.
+//! The jitter prevents boxes that lost the platform at the same instant from all reconnecting at
+//! the same instant.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// First bound of a pause.
-const FIRST: Duration = Duration::from_millis(200);
-/// Last bound; 350 daemons then make some 130 calls a second in all, and a settings
-/// change still reaches all of them within seconds of the platform's return.
-const LAST: Duration = Duration::from_secs(5);
+/// Upper bound of the first pause.
+const INITIAL_BOUND: Duration = Duration::from_millis(200);
+/// Upper bound of every pause. With it, 350 daemons send about 130 calls per second in total, and a
+/// settings change still reaches all of them within seconds of the platform's recovery.
+const MAX_BOUND: Duration = Duration::from_secs(5);
 
-/// The pauses of one controller.
+/// Pauses between the attempts of one control loop.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
     bound: Duration,
@@ -21,20 +21,22 @@
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { bound: FIRST }
+        Self {
+            bound: INITIAL_BOUND,
+        }
     }
 }
 
 impl Backoff {
-    /// The next pause.
+    /// Draws the next pause and doubles the bound for the one after it.
     pub fn next(&mut self, rng: &mut impl Rng) -> Duration {
         let pause = self.bound.mul_f64(rng.random_range(0.1..=1.0));
-        self.bound = (self.bound * 2).min(LAST);
+        self.bound = (self.bound * 2).min(MAX_BOUND);
         pause
     }
 
-    /// Forgets failures after a success.
+    /// Returns to the initial bound after a success.
     pub const fn reset(&mut self) {
-        self.bound = FIRST;
+        self.bound = INITIAL_BOUND;
     }
 }
--- a/lib/src/breaker.rs
+++ b/lib/src/breaker.rs
@@ -1,25 +1,25 @@
-//! Rests a server that fails, and tries it again with one request.
+//! Circuit breaker: excludes a failing server, then probes it with one request.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Whether a server gets work.
+/// Circuit breaker of one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Breaker {
-    /// Work goes there.
+    /// Requests are sent to the server.
     #[default]
     Closed,
-    /// Failures in a row so far, fewer than the setting.
+    /// Requests are sent. Number of consecutive failures, below the limit of the settings.
     Failing(u32),
-    /// No work until this time.
+    /// No requests until this time.
     Open(Time),
-    /// One request is trying it.
+    /// One request probes the server.
     HalfOpen,
 }
 
 impl Breaker {
-    /// Whether a request may go there now.
+    /// Whether a request may be sent to the server now.
     pub fn admits(self, now: Time) -> bool {
         match self {
             Self::Closed | Self::Failing(_) => true,
@@ -28,19 +28,20 @@
         }
     }
 
-    /// Records that a request went there.
+    /// Records that a request was sent. If the breaker was open, this request is the probe.
     pub const fn on_dispatch(&mut self) {
         if matches!(self, Self::Open(_)) {
             *self = Self::HalfOpen;
         }
     }
 
-    /// Records a success.
+    /// Records a success, which closes the breaker.
     pub const fn on_success(&mut self) {
         *self = Self::Closed;
     }
 
-    /// Records a failure.
+    /// Records a failure. The breaker opens for `open_time` after `limit` consecutive failures, or
+    /// if the probe failed.
     pub fn on_failure(&mut self, now: Time, limit: u32, open_time: Duration) {
         *self = match *self {
             Self::Closed if limit > 1 => Self::Failing(1),
@@ -50,7 +51,8 @@
         };
     }
 
-    /// Records that the request that tried it ended without saying anything of it.
+    /// Records that the probe ended without evidence about the server. The next request probes
+    /// again.
     pub const fn on_inconclusive(&mut self, now: Time) {
         if matches!(self, Self::HalfOpen) {
             *self = Self::Open(now);
--- a/lib/src/decision.rs
+++ b/lib/src/decision.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher decides, and the load that it decides under.
+//! Decisions of the dispatcher, and its load.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use crate::request::Placement;
 use crate::routing::Candidate;
 
-/// What to do with a request.
+/// Decision on one request.
 #[derive(Debug, Clone)]
 pub enum Decision {
-    /// Start it.
+    /// Send the request to a server.
     Start(Start),
-    /// Refuse it, or give it up.
+    /// Refuse the request, on arrival or while it is queued.
     Refuse {
-        /// The request.
+        /// The refused request.
         request: RequestId,
-        /// Why.
+        /// Reason sent to the caller.
         reason: RefusalReason,
-        /// When to come back.
+        /// Time after which the caller may try again.
         retry_after: Duration,
     },
 }
 
 impl Decision {
-    /// The request that it is about.
+    /// Identifier of the request that was decided on.
     pub const fn request(&self) -> RequestId {
         match self {
             Self::Start(start) => start.request,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// What it means to the request's machine.
+    /// The corresponding event for the request's [`Exchange`](crate::exchange::Exchange).
     pub fn into_event(self) -> Event<'static> {
         match self {
             Self::Start(start) => Event::Placed {
@@ -52,28 +52,28 @@
     }
 }
 
-/// A request that starts.
+/// A request that leaves the queue.
 #[derive(Debug, Clone)]
 pub struct Start {
-    /// The request.
+    /// Its identifier.
     pub request: RequestId,
-    /// Where it goes.
+    /// The server or group that it is sent to.
     pub placement: Placement,
-    /// Expected time of its prefill there.
+    /// Expected prefill time there.
     pub prefill: Duration,
-    /// How long it waited here.
+    /// Time that the request was queued.
     pub waited: Duration,
-    /// What was weighed.
+    /// Candidates that were compared, with their costs.
     pub weighed: Vec<Candidate>,
 }
 
-/// Counts for `status` and metrics.
+/// Queue and request counts for `status` and metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests waiting here.
+    /// Queued requests.
     pub waiting: usize,
-    /// Their prompt tokens.
+    /// Prompt tokens of the queued requests.
     pub waiting_tokens: u64,
-    /// Requests at servers.
+    /// Requests that were sent to servers and have not ended.
     pub active: usize,
 }
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -1,12 +1,13 @@
-//! Decides what happens to each request of a box: start, wait, or refuse.
+//! Decides for each request of a box whether to start, queue or refuse it.
 //!
-//! A box holds requests back rather than pile them on servers: an engine is given a
-//! fraction of a second of work, and the rest waits here, where order can still change
-//! and a refusal is still true. Each request is told at once if it can't make its time
-//! limit; one that has waited too long is given up the moment that becomes certain.
+//! A box queues requests rather than overload servers. An engine gets a fraction of a second of
+//! work in advance; the remaining requests stay in the box's queue, where their order can still
+//! change and where they have certainly not run when they are refused. A request that can't meet
+//! its time limit is refused on arrival; a queued request is refused as soon as it can no longer
+//! meet its limit.
 //!
-//! The dispatcher does no I/O. The driver feeds it arrivals, reports, the ends of
-//! placements and ticks, and carries out the [`Decision`]s.
+//! The dispatcher does no I/O. The driver passes arrivals, reports, ends of placements and ticks to
+//! it and carries out its [`Decision`]s.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -48,10 +49,10 @@
 use crate::workspace_limit::HallLimit;
 use crate::workspace_limit::WorkspaceLimits;
 
-/// When to come back after a refusal whose cause has no queue to compute from.
+/// Retry time after a refusal whose cause allows no estimate from the queue.
 const RETRY_LATER: Duration = Duration::from_secs(2);
 
-/// Requests that wait for the same servers.
+/// Identifies a queue: the requests in it compete for the same servers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     model: ModelName,
@@ -65,7 +66,7 @@
     avoid: Vec<ServerName>,
 }
 
-/// The decisions of one box.
+/// Scheduler of one box's requests.
 #[derive(Debug)]
 pub struct Dispatcher {
     hall: HallName,
@@ -78,16 +79,16 @@
     avoid: BTreeMap<RequestId, Vec<ServerName>>,
     demand: BTreeMap<ModelName, Demand>,
     service_times: BTreeMap<ModelName, ServiceTime>,
-    /// Limits of workspaces; the control side sets the boxes and their demand.
+    /// Rate limits of workspaces. The daemon sets the number of boxes and their demand.
     pub limits: WorkspaceLimits,
     retries: RetryBudget,
     boxes: usize,
-    turn: usize,
+    round_robin: usize,
     stopping: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no server yet.
+    /// Creates a dispatcher without servers.
     pub fn new(hall: HallName, policy: Policy, settings: RoutingSettings) -> Self {
         Self {
             hall,
@@ -103,23 +104,23 @@
             limits: WorkspaceLimits::default(),
             retries: RetryBudget::default(),
             boxes: 1,
-            turn: 0,
+            round_robin: 0,
             stopping: false,
         }
     }
 
-    /// Takes new settings.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: RoutingSettings) {
         self.settings = settings;
     }
 
-    /// Sets how many boxes of the hall serve beside this one, itself included.
+    /// Sets the number of boxes that serve in this hall, including this one.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = boxes.max(1);
         self.limits.set_boxes(self.boxes);
     }
 
-    /// While set, every arrival is refused; what is here finishes.
+    /// While set, new requests are refused; queued and active requests complete.
     pub const fn set_stopping(&mut self, stopping: bool) {
         self.stopping = stopping;
     }
@@ -129,7 +130,7 @@
         self.stopping
     }
 
-    /// Counts for `status` and metrics.
+    /// Queue and request counts for `status` and metrics.
     pub fn load(&self) -> Load {
         Load {
             waiting: self.queues.values().map(WaitQueue::len).sum(),
@@ -138,12 +139,13 @@
         }
     }
 
-    /// The servers as this box sees them.
+    /// The servers with this box's view of their load.
     pub fn servers(&self) -> &[ServerView] {
         &self.servers
     }
 
-    /// Takes the list of servers. One that is no longer listed takes no new work.
+    /// Replaces the list of servers. A server that is no longer listed gets no new requests and is
+    /// removed once its requests have ended.
     pub fn set_servers(&mut self, listed: &[ServerInfo]) {
         for info in listed {
             if let Some(&index) = self.by_name.get(&info.name) {
@@ -166,21 +168,21 @@
             .collect();
     }
 
-    /// Takes an engine's report, made at `taken_at` on this box's clock.
+    /// Records an engine's report; `taken_at` is its time on this box's clock.
     pub fn on_report(&mut self, name: &ServerName, report: EngineReport, taken_at: Time) {
         if let Some(&index) = self.by_name.get(name) {
             self.servers[index].set_report(report, taken_at);
         }
     }
 
-    /// Takes an engine's word that it cached a prefix; a hint that may be late.
+    /// Records that an engine has cached a prefix. This is a hint that may be outdated.
     pub fn on_cached(&mut self, name: &ServerName, prefix: PrefixHash, tokens: u64) {
         if let Some(&index) = self.by_name.get(name) {
             self.servers[index].cached(prefix, tokens);
         }
     }
 
-    /// Takes a request from its caller.
+    /// Admits, queues or refuses a new request and starts what can be started.
     pub fn submit(
         &mut self,
         now: Time,
@@ -205,7 +207,7 @@
         self.drain(now, &key, &fleet, rng)
     }
 
-    /// Puts a request back whose placement ended; it keeps its place by its arrival.
+    /// Queues a request again whose placement ended; it keeps its arrival time.
     pub fn requeue(
         &mut self,
         now: Time,
@@ -226,14 +228,15 @@
         let key = self.key(&request);
         self.queues.entry(key.clone()).or_default().push(request);
         if !is_retry {
-            // A group that found an engine taken waits for the next tick, not for itself.
+            // A group that found an engine without free memory is placed again at the next tick.
+            // Placing it at once would find the same engine occupied.
             return Vec::new();
         }
         let fleet = self.fleet(now, &key.model);
         self.drain(now, &key, &fleet, rng)
     }
 
-    /// Records the first token of a request.
+    /// Records that the first token of a request was received.
     pub fn record_first_token(&mut self, now: Time, id: RequestId) {
         let Some(active) = self.active.get(&id) else {
             return;
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Records the end of a placement and gives back the request it was for.
+    /// Records the end of a placement and returns its request.
     pub fn placement_ended(
         &mut self,
         now: Time,
@@ -287,7 +290,7 @@
         Some(active.request)
     }
 
-    /// Forgets a request whose outcome is known.
+    /// Removes a request whose outcome is known.
     pub fn forget(&mut self, now: Time, id: RequestId) {
         self.placement_ended(now, id, &PlacementEnd::Neutral);
         self.avoid.remove(&id);
@@ -296,7 +299,8 @@
         }
     }
 
-    /// Gives up what can't make its limit any more, then starts what can start.
+    /// Refuses queued requests that can no longer meet their time limits, then starts what can be
+    /// started.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Decision> {
         let mut decisions = Vec::new();
         let keys: Vec<_> = self.queues.keys().cloned().collect();
@@ -305,13 +309,13 @@
                 continue;
             }
             let fleet = self.fleet(now, &key.model);
-            decisions.extend(self.give_up_late(now, &key, &fleet));
+            decisions.extend(self.refuse_late(now, &key, &fleet));
             decisions.extend(self.drain(now, &key, &fleet, rng));
         }
         decisions
     }
 
-    /// Whether a request's prompt is long.
+    /// Whether the prompt is longer than the limit for short prompts in the settings.
     pub const fn is_long(&self, request: &Request) -> bool {
         request.prompt_tokens > self.settings.long_prompt
     }
@@ -337,8 +341,8 @@
         if fleet.serving.is_empty() {
             return Err((RefusalReason::NoServer, RETRY_LATER));
         }
-        let wanted = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && wanted > fleet.usable_memory {
+        let needed_tokens = request.prompt_tokens + request.max_output;
+        if request.prompt_tokens > 0 && needed_tokens > fleet.usable_memory {
             return Err((RefusalReason::PromptTooLong, RETRY_LATER));
         }
         let wait = self.expected_wait(key, fleet, request);
@@ -348,10 +352,10 @@
         }
         if self.policy == Policy::Cost {
             let needed = self.times(&key.model).expected_time(request, fleet.pace);
-            let left = now.until(request.deadline);
-            if wait + needed > left {
-                let over = (wait + needed).saturating_sub(left);
-                let retry_after = over.max(Duration::from_secs(1));
+            let remaining = now.until(request.deadline);
+            if wait + needed > remaining {
+                let excess = (wait + needed).saturating_sub(remaining);
+                let retry_after = excess.max(Duration::from_secs(1));
                 return Err((RefusalReason::WouldMissDeadline, retry_after));
             }
         }
@@ -367,7 +371,7 @@
             .sum()
     }
 
-    /// The servers of a model as they stand, worked out once for a decision.
+    /// The current state of a model's servers, computed once per decision.
     fn fleet(&self, now: Time, model: &ModelName) -> Fleet {
         Fleet::new(now, &self.servers, model, &self.hall, self.boxes)
     }
@@ -376,7 +380,7 @@
         self.service_times.get(model).copied().unwrap_or_default()
     }
 
-    /// Time that a new request waits here, as expected from the queue and its drain.
+    /// Expected queueing time of a new request, from the queue and its drain rate.
     fn expected_wait(&self, key: &QueueKey, fleet: &Fleet, request: &Request) -> Duration {
         let Some(queue) = self.queues.get(key).filter(|queue| !queue.is_empty()) else {
             return Duration::ZERO;
@@ -386,7 +390,7 @@
         Duration::from_secs_f64(ahead as f64 / rate.max(1.0))
     }
 
-    fn give_up_late(&mut self, now: Time, key: &QueueKey, fleet: &Fleet) -> Vec<Decision> {
+    fn refuse_late(&mut self, now: Time, key: &QueueKey, fleet: &Fleet) -> Vec<Decision> {
         if self.policy != Policy::Cost {
             return Vec::new();
         }
@@ -448,21 +452,26 @@
         let mut usable = fleet.serving.clone();
         if let Some(avoid) = self.avoid.get(&request.id) {
             let others = |index: &usize| !avoid.contains(&self.servers[*index].info().name);
-            let kept: Vec<_> = usable.iter().copied().filter(others).collect();
-            if !kept.is_empty() {
-                usable = kept;
+            let not_avoided: Vec<_> = usable.iter().copied().filter(others).collect();
+            if !not_avoided.is_empty() {
+                usable = not_avoided;
             }
         }
-        let wanted = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && wanted > fleet.most_memory {
+        let needed_tokens = request.prompt_tokens + request.max_output;
+        if request.prompt_tokens > 0 && needed_tokens > fleet.most_memory {
             return self.place_group(now, request, &usable);
         }
         match self.policy {
             Policy::Cost if long => self.place_long(now, request, &usable, rng),
             Policy::Cost => self.place_short(now, request, &mut usable, rng),
             plain => {
-                let chosen =
-                    routing::choose_plain(plain, &self.servers, &usable, &mut self.turn, rng)?;
+                let chosen = routing::choose_plain(
+                    plain,
+                    &self.servers,
+                    &usable,
+                    &mut self.round_robin,
+                    rng,
+                )?;
                 Some(self.start_at(now, request, chosen, Vec::new()))
             }
         }
@@ -500,12 +509,12 @@
         usable: &[usize],
         rng: &mut impl Rng,
     ) -> Option<Start> {
-        let wanted = request.prompt_tokens + request.max_output;
+        let needed_tokens = request.prompt_tokens + request.max_output;
         let mut free: Vec<_> = self
             .lane(request, usable)
             .into_iter()
             .filter(|&index| self.is_free_for_long(now, index))
-            .filter(|&index| long_lane::long_room(&self.servers[index]) >= wanted)
+            .filter(|&index| long_lane::long_room(&self.servers[index]) >= needed_tokens)
             .collect();
         let rank = request.priority.rank(true);
         let cx = self.context(now, free.len());
@@ -513,7 +522,7 @@
         Some(self.start_at(now, request, choice.index, choice.weighed))
     }
 
-    /// The engines that long prompts of this model use, in lane order.
+    /// The engines of the model that are used for long prompts, in lane order.
     fn lane(&self, request: &Request, usable: &[usize]) -> Vec<usize> {
         let model = &request.model;
         let mut lane = usable.to_vec();
@@ -522,9 +531,9 @@
         });
         let demand = self.demand.get(model).copied().unwrap_or_default();
         let size = demand.lane_size(lane.len(), self.settings.long_share_percent);
-        let wanted = request.prompt_tokens + request.max_output;
+        let needed_tokens = request.prompt_tokens + request.max_output;
         let views = lane.iter().map(|&index| &self.servers[index]);
-        lane.truncate(size.max(long_lane::group_size(views, wanted)));
+        lane.truncate(size.max(long_lane::group_size(views, needed_tokens)));
         lane
     }
 
@@ -534,7 +543,7 @@
     }
 
     fn place_group(&self, now: Time, request: &Request, usable: &[usize]) -> Option<Start> {
-        let wanted = request.prompt_tokens + request.max_output;
+        let needed_tokens = request.prompt_tokens + request.max_output;
         let lane = self.lane(request, usable);
         let free: Vec<_> = lane
             .into_iter()
@@ -542,7 +551,7 @@
             .filter(|&index| self.is_free_for_long(now, index))
             .map(|index| &self.servers[index])
             .collect();
-        let shares = long_lane::plan_group(&free, request.prompt_tokens, wanted)?;
+        let shares = long_lane::plan_group(&free, request.prompt_tokens, needed_tokens)?;
         let prefill = free.first()?.prefill_time(request.prompt_tokens);
         Some(Start {
             request: request.id,
@@ -573,16 +582,16 @@
     fn record(&mut self, now: Time, request: Request, start: &Start) {
         let long = self.is_long(&request);
         let rank = request.priority.rank(long);
-        let whole = request.prompt_tokens + request.max_output;
-        let parts: Vec<Share> = match &start.placement {
+        let total_tokens = request.prompt_tokens + request.max_output;
+        let shares: Vec<Share> = match &start.placement {
             Placement::One(name) => vec![Share {
                 server: name.clone(),
-                tokens: whole,
+                tokens: total_tokens,
                 prompt: request.prompt_tokens,
             }],
             Placement::Group(shares) => shares.clone(),
         };
-        for share in parts {
+        for share in shares {
             let work = OwnWork {
                 rank,
                 prefill: share.prompt,
--- a/lib/src/exchange.rs
+++ b/lib/src/exchange.rs
@@ -1,14 +1,13 @@
-//! One request from its arrival to its outcome.
+//! State machine of one request, from its arrival to its outcome.
 //!
-//! The machine knows where the request is: waiting, having its group reserved, having
-//! its prompt prefilled share by share, or streaming. It takes what happened at the
-//! edges and says what to do there, in order. It ends with exactly one
-//! [`Action::Finish`], within the request's time limit.
+//! The phases are: queued, reserving memory at a group of engines, prefilling the prompt share by
+//! share, and streaming the response. Each [`Event`] returns the [`Action`]s to carry out, in
+//! order. The last action is exactly one [`Action::Finish`], within the request's time limit.
 //!
-//! What it guarantees: a not-repeatable request is dispatched once; "not run" is said
-//! only with the proof in hand (see [`crate::outcome`]); a resumed answer joins without
-//! a lost or doubled token (see [`crate::stream_join`]); and whatever it made an engine
-//! hold, it releases or cancels on every way out.
+//! Guarantees: a non-repeatable request is dispatched again only if it did not run. "Not run" is
+//! reported only with proof (see [`crate::outcome`]). A resumed response has no lost or duplicate
+//! tokens (see [`crate::stream_join`]). Every reservation and attempt at an engine is released or
+//! cancelled, however the request ends.
 
 use std::time::Duration;
 
@@ -35,13 +34,13 @@
 use crate::stream_join::StreamJoin;
 use crate::time::Time;
 
-/// Prefill estimates may be off by this factor before the engine is taken for lost.
+/// Factor by which a prefill may exceed its estimate before the engine is considered lost.
 const PREFILL_SLACK: u32 = 3;
-/// Prefill from which a prompt is worth waiting for: trying it elsewhere throws it away.
+/// Prefill time above which the time-out is extended, because a retry discards the prefilled part.
 const LONG_PREFILL: Duration = Duration::from_secs(2);
-/// Part of the time left that such a prompt waits for its first token at one engine.
+/// Divisor of the remaining time by which the time-out of a long prefill is extended.
 const LONG_PREFILL_WAIT_DIVISOR: u32 = 3;
-/// Placements of a group that found an engine taken, before the request is refused.
+/// Failed reservations of a group after which the request is refused.
 const MAX_GROUP_PLACEMENTS: u32 = 1_000;
 
 #[derive(Debug)]
@@ -60,7 +59,7 @@
 
 #[derive(Debug)]
 enum Phase {
-    Waiting,
+    Queued,
     Reserving(Group),
     Prefilling {
         group: Group,
@@ -74,7 +73,7 @@
     Done,
 }
 
-/// The machine of one request.
+/// State machine of one request.
 #[derive(Debug)]
 pub struct Exchange {
     limits: ExchangeLimits,
@@ -90,11 +89,11 @@
 }
 
 impl Exchange {
-    /// A request just read from its caller.
+    /// A request that was just received from its caller.
     pub const fn new(limits: ExchangeLimits) -> Self {
         Self {
             limits,
-            phase: Phase::Waiting,
+            phase: Phase::Queued,
             execution: Some(Execution::Unsent(Unsent::new())),
             join: StreamJoin::new(),
             attempts: 0,
@@ -106,22 +105,22 @@
         }
     }
 
-    /// The answer as far as it was forwarded.
+    /// The part of the response that was forwarded.
     pub const fn join(&self) -> &StreamJoin {
         &self.join
     }
 
-    /// Times that work was sent to a server that may have started it.
+    /// Number of times that the request was dispatched to a server, which may have started it.
     pub const fn dispatches(&self) -> u32 {
         self.dispatches
     }
 
-    /// Whether the outcome is known.
+    /// Whether the request has its outcome.
     pub const fn is_done(&self) -> bool {
         matches!(self.phase, Phase::Done)
     }
 
-    /// When [`Event::Tick`] must come at the latest.
+    /// Time at which the next [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Time {
         match self.phase {
             Phase::Done => Time::MAX,
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Takes an event and says what to do, in order.
+    /// Processes an event and returns the actions to carry out, in order.
     pub fn on_event(&mut self, now: Time, event: &Event<'_>, rng: &mut impl Rng) -> Vec<Action> {
         let mut out = Vec::new();
         if self.is_done() {
@@ -230,7 +229,7 @@
     }
 
     fn on_reserved(&mut self, now: Time, out: &mut Vec<Action>, rng: &mut impl Rng) {
-        match std::mem::replace(&mut self.phase, Phase::Waiting) {
+        match std::mem::replace(&mut self.phase, Phase::Queued) {
             Phase::Reserving(mut group) => {
                 group.reserved += 1;
                 if group.reserved < group.shares.len() {
@@ -272,12 +271,12 @@
     ) {
         let Some(share) = group.shares.get(index) else {
             let last = group.shares.last().map(|share| share.server.clone());
-            let lead = last.expect("a group has members");
+            let lead = last.expect("a group has at least one member");
             self.send(now, lead, Some(group), rng, out);
             return;
         };
         if share.prompt == 0 {
-            // It only holds room for the answer.
+            // The engine only reserves memory for the response.
             return self.prefill_share(now, group, index + 1, rng, out);
         }
         let from = group.shares[..index].iter().map(|share| share.prompt).sum();
@@ -292,7 +291,7 @@
     }
 
     fn on_share_prefilled(&mut self, now: Time, out: &mut Vec<Action>, rng: &mut impl Rng) {
-        match std::mem::replace(&mut self.phase, Phase::Waiting) {
+        match std::mem::replace(&mut self.phase, Phase::Queued) {
             Phase::Prefilling { group, index } => {
                 self.execution = Some(Execution::MayHaveRun);
                 self.prefill_share(now, group, index + 1, rng, out);
@@ -301,17 +300,17 @@
         }
     }
 
-    /// When the first token, or a share, must have come.
+    /// Time at which the first token, or the prefill of a share, is considered lost.
     ///
-    /// An engine that died closes its connection and is known at once. This limit is for
-    /// one that stands still, so a long prompt, which others at the engine may delay by
-    /// their own prefill, gets a part of its whole time.
+    /// A crashed engine closes its connection and is detected at once. This time-out detects
+    /// engines that hang. A long prompt may be delayed by the prefill of other requests at the
+    /// engine, so its time-out is extended by a part of its remaining time.
     fn first_token_deadline(&self, now: Time) -> Time {
-        let usual = now + self.limits.first_token + self.prefill * PREFILL_SLACK;
+        let deadline = now + self.limits.first_token + self.prefill * PREFILL_SLACK;
         if self.prefill < LONG_PREFILL {
-            return usual;
+            return deadline;
         }
-        usual + now.until(self.limits.deadline) / LONG_PREFILL_WAIT_DIVISOR
+        deadline + now.until(self.limits.deadline) / LONG_PREFILL_WAIT_DIVISOR
     }
 
     fn count_dispatch(&mut self) {
@@ -337,7 +336,7 @@
         }
         assert!(
             self.limits.repeatable || self.dispatches_since_proof == 1,
-            "a not-repeatable request is dispatched only while it certainly has not run"
+            "a non-repeatable request is dispatched again only if it did not run"
         );
         let attempt = AttemptId::draw(rng);
         out.push(Action::Send {
@@ -365,7 +364,8 @@
             }
             other => other,
         };
-        // The attempt left nothing behind at the server; a group's reservations are released.
+        // The attempt occupies no memory at the server, but the reservations of a group must be
+        // released.
         self.release(out);
         out.push(Action::PlacementEnded(match evidence {
             NotStarted::NoConnection => PlacementEnd::Failed(server.clone()),
@@ -376,7 +376,7 @@
 
     fn on_attempt_lost(&mut self, out: &mut Vec<Action>) {
         match &self.phase {
-            Phase::Waiting | Phase::Done => return,
+            Phase::Queued | Phase::Done => return,
             Phase::Reserving(_) => return self.on_reservation_failed(out),
             Phase::Prefilling { .. } | Phase::Streaming { .. } => {}
         }
@@ -389,7 +389,7 @@
     }
 
     fn retry_or_finish(&mut self, avoid: ServerName, out: &mut Vec<Action>) {
-        self.phase = Phase::Waiting;
+        self.phase = Phase::Queued;
         self.step_deadline = Time::MAX;
         let unsent = matches!(self.execution, Some(Execution::Unsent(_)));
         if !self.limits.repeatable && !unsent {
@@ -453,7 +453,7 @@
 
     fn current_server(&self) -> Option<&ServerName> {
         match &self.phase {
-            Phase::Waiting | Phase::Done => None,
+            Phase::Queued | Phase::Done => None,
             Phase::Reserving(group) => group.shares.get(group.reserved).map(|share| &share.server),
             Phase::Prefilling { group, index } => {
                 group.shares.get(*index).map(|share| &share.server)
@@ -462,9 +462,10 @@
         }
     }
 
-    /// Leaves the placement: cancels what runs, releases what is reserved, tells routing.
+    /// Ends the placement: cancels its attempt, releases its reservations and notifies the
+    /// dispatcher.
     fn abandon(&mut self, end: PlacementEnd, out: &mut Vec<Action>) {
-        if matches!(self.phase, Phase::Waiting) {
+        if matches!(self.phase, Phase::Queued) {
             return;
         }
         if let Phase::Streaming {
@@ -481,24 +482,24 @@
     }
 
     fn release(&mut self, out: &mut Vec<Action>) {
-        let phase = std::mem::replace(&mut self.phase, Phase::Waiting);
+        let phase = std::mem::replace(&mut self.phase, Phase::Queued);
         self.step_deadline = Time::MAX;
-        let (group, asked) = match phase {
-            // The member asked last may have reserved although its answer did not come.
+        let (group, requested) = match phase {
+            // The last engine may have made the reservation although its response was not received.
             Phase::Reserving(group) => {
-                let asked = group.reserved + 1;
-                (group, asked)
+                let requested = group.reserved + 1;
+                (group, requested)
             }
             Phase::Prefilling { group, .. }
             | Phase::Streaming {
                 group: Some(group), ..
             } => {
-                let asked = group.shares.len();
-                (group, asked)
+                let requested = group.shares.len();
+                (group, requested)
             }
-            Phase::Waiting | Phase::Streaming { group: None, .. } | Phase::Done => return,
+            Phase::Queued | Phase::Streaming { group: None, .. } | Phase::Done => return,
         };
-        for share in group.shares.iter().take(asked) {
+        for share in group.shares.iter().take(requested) {
             out.push(Action::Release {
                 server: share.server.clone(),
                 group: group.id,
--- a/lib/src/exchange_action.rs
+++ b/lib/src/exchange_action.rs
@@ -1,4 +1,4 @@
-//! What a request's machine takes and what it asks for: its events and actions.
+//! Events and actions of a request's state machine.
 
 use std::time::Duration;
 
@@ -11,73 +11,73 @@
 use crate::stream_join::Frame;
 use crate::time::Time;
 
-/// Limits of one request, from its class.
+/// Limits of one request, set by its class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExchangeLimits {
-    /// When the outcome must be known.
+    /// When the outcome must be known at the latest.
     pub deadline: Time,
-    /// Time to the first token beyond the prefill.
+    /// Time-out for the first token, in addition to the prefill.
     pub first_token: Duration,
-    /// Longest silence within an answer.
+    /// Time-out between tokens of a response.
     pub between_tokens: Duration,
-    /// Attempts in all.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
-    /// Whether it may be tried again after it may have run.
+    /// Whether the request may be retried after it may have run.
     pub repeatable: bool,
 }
 
-/// What happened at an edge.
+/// Input of the state machine.
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// The dispatcher chose where it goes.
+    /// The dispatcher chose a placement.
     Placed {
-        /// Where.
+        /// The server or group.
         placement: Placement,
-        /// Expected time of its prefill.
+        /// Expected prefill time.
         prefill: Duration,
     },
-    /// The dispatcher refused it, or gave it up.
+    /// The dispatcher refused the request, on arrival or while it was queued.
     Refused {
-        /// Why.
+        /// Reason sent to the caller.
         reason: RefusalReason,
-        /// When to come back.
+        /// Time after which the caller may try again, if known.
         retry_after: Option<Duration>,
     },
-    /// The member asked last reserved its share.
+    /// The last reservation request succeeded.
     Reserved,
-    /// The member asked last has no room, or could not be asked.
+    /// The last reservation request failed: the engine has no memory left or is unreachable.
     ReservationFailed,
-    /// The member asked last has prefilled its share.
+    /// The last prefill request completed.
     SharePrefilled,
-    /// No connection was made.
+    /// No connection to the server was made.
     NoConnection,
-    /// The server said that it did not start the work.
+    /// The server responded that it did not start the request.
     ServerDidNotStart,
-    /// A frame of the answer.
+    /// A frame of the response was received.
     Frame(&'a Frame),
-    /// A plain service's whole answer has come.
+    /// The complete response of a plain service was received.
     ResponseComplete,
-    /// The connection ended, or what came was no frame.
+    /// The connection ended, or the received data is not a frame.
     AttemptLost,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerDisconnected,
-    /// Time passed.
+    /// Time passed; see [`Exchange::next_tick`](crate::exchange::Exchange::next_tick).
     Tick,
 }
 
-/// What to do.
+/// Output of the state machine, to be carried out by the driver.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    /// Reserve memory for a share.
+    /// Reserve memory for a share of the prompt.
     Reserve {
         /// The engine.
         server: ServerName,
-        /// The reservation's identifier, one per group.
+        /// Identifier of the reservation, one per group.
         group: AttemptId,
-        /// Tokens.
+        /// Memory to reserve, in tokens.
         tokens: u64,
     },
-    /// Give a reservation up, with whatever was prefilled into it.
+    /// Release a reservation and whatever was prefilled into it.
     Release {
         /// The engine.
         server: ServerName,
@@ -90,62 +90,62 @@
         server: ServerName,
         /// The reservation.
         group: AttemptId,
-        /// First token of the share within the prompt.
+        /// Offset of the share in the prompt.
         from: u64,
-        /// Tokens.
+        /// Length of the share in tokens.
         tokens: u64,
     },
-    /// Send the request, or resume it.
+    /// Send the request, or resume its response at another server.
     Send {
         /// The server.
         server: ServerName,
-        /// The attempt that its frames must name.
+        /// Identifier that the frames of the response must carry.
         attempt: AttemptId,
-        /// The group that holds the prompt, if one does.
+        /// The group that holds the prompt, if there is one.
         group: Option<AttemptId>,
-        /// Offset of the first token wanted.
+        /// Offset of the first token to generate.
         offset: u64,
     },
-    /// Tell the server to stop and free the attempt's memory.
+    /// Tell the server to stop the attempt and to free its memory.
     Cancel {
         /// The server.
         server: ServerName,
-        /// The attempt.
+        /// The attempt to stop.
         attempt: AttemptId,
     },
-    /// Pass text on to the caller.
+    /// Forward text to the caller.
     Forward(String),
-    /// Count a frame that was dropped.
+    /// Count a dropped frame.
     CountDropped(DropReason),
-    /// Tell the dispatcher that the first token came.
+    /// Tell the dispatcher that the first token was received.
     FirstToken,
-    /// Tell the dispatcher how the placement ended.
+    /// Tell the dispatcher that the placement ended, and how.
     PlacementEnded(PlacementEnd),
     /// Ask the dispatcher for another placement.
     Requeue {
-        /// A server to keep away from.
+        /// A server to avoid.
         avoid: Option<ServerName>,
-        /// Whether this counts as a repeat.
+        /// Whether the new placement is a retry and spends from the retry budget.
         is_retry: bool,
     },
-    /// The caller's final answer.
+    /// Report the outcome to the caller. Always the last action.
     Finish(Outcome),
 }
 
-/// How a placement ended, for routing to learn from.
+/// How a placement ended, as evidence for routing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementEnd {
-    /// The answer is whole.
+    /// The response is complete.
     Whole {
-        /// Tokens of the prompt as the engine counted them; zero if it did not.
+        /// Prompt tokens as counted by the engine; zero if it did not count them.
         prompt_tokens: u64,
-        /// Tokens of the answer.
+        /// Tokens of the response.
         tokens: u64,
     },
-    /// This server failed.
+    /// The named server failed.
     Failed(ServerName),
-    /// This server had no room for its share.
+    /// The named server had no memory left for its share.
     NoRoom(ServerName),
-    /// Nothing can be learned of the servers.
+    /// No evidence about the servers.
     Neutral,
 }
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -1,28 +1,27 @@
-//! How a request ends, and the proof that a refused one was not run.
+//! Outcomes of requests, and the proof that a refused request did not run.
 //!
-//! [`Outcome`] is a closed set and is what the product promises. The one that lets a
-//! caller resubmit without thought, [`Outcome::Refused`], can only be made from an
-//! [`Unsent`] token. A token exists once per request, is consumed by dispatch, and
-//! comes back only with evidence that the server never began: the connection was not
-//! made, or the server itself said so. No code path can claim "not run" after bytes
-//! may have reached a server.
+//! [`Outcome`] is a closed set that the product guarantees to callers. [`Outcome::Refused`], after
+//! which a caller may always resubmit, can only be constructed from an [`Unsent`] token. There is
+//! one token per request. Dispatching consumes it, and it is restored only on evidence that the
+//! server did not start: no connection was made, or the server said so itself. No code path can
+//! report "not run" after bytes may have reached a server.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Evidence that a request has reached no backend server. Neither `Clone` nor `Copy`.
+/// Proof that a request has reached no backend server. Neither `Clone` nor `Copy`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Unsent {
     _private: (),
 }
 
 impl Unsent {
-    /// The token of a request that has just been read from its caller.
+    /// The token of a request that was just received from its caller.
     pub(crate) const fn new() -> Self {
         Self { _private: () }
     }
 
-    /// Spends the token: from here on the request may have run.
+    /// Consumes the token: from now on the request may have run.
     pub const fn dispatch(self) -> InFlight {
         InFlight { _private: () }
     }
@@ -34,54 +33,55 @@
     _private: (),
 }
 
-/// Why an attempt certainly did not run.
+/// Evidence that an attempt did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotStarted {
     /// No connection was made, so no byte was sent.
     NoConnection,
-    /// The server answered that it did not start the work.
+    /// The server responded that it did not start the request.
     ServerDeclined,
 }
 
 impl InFlight {
-    /// Takes the claim back on evidence that nothing was started.
+    /// Restores the token on evidence that the server did not start the request.
     pub const fn not_started(self, _evidence: NotStarted) -> Unsent {
         Unsent { _private: () }
     }
 }
 
-/// Why a request was refused.
+/// Why a request was refused without running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalReason {
-    /// It could not have finished within its time limit.
+    /// The request could not have completed within its time limit.
     WouldMissDeadline,
-    /// Its time limit passed while it waited.
+    /// The time limit passed while the request was queued.
     DeadlineWhileWaiting,
-    /// The daemon's queue is full.
+    /// The workspace has the maximum number of requests queued at this box.
     QueueFull,
-    /// The workspace is over its limit.
+    /// The workspace exceeded its rate limit.
     WorkspaceLimit,
-    /// No live server has what it asks for.
+    /// No live server offers the requested model or service.
     NoServer,
-    /// The prompt is larger than the settings or the fleet allow.
+    /// The prompt exceeds the limit of the settings or the memory of the fleet.
     PromptTooLong,
-    /// The box is leaving and takes no new work.
+    /// The box is shutting down and accepts no new requests.
     Leaving,
-    /// The box has no settings yet.
+    /// The box has not received settings yet.
     NoSettings,
-    /// The same not-repeatable request key was already used.
+    /// The key of a non-repeatable request was already used.
     DuplicateKey,
-    /// The request key could not be claimed, because the platform gave no answer.
+    /// The request key could not be claimed, because the platform did not respond.
     KeyNotChecked,
-    /// Servers ended under each of the last runs of what it asks for.
+    /// Servers crashed during each of the last runs of the same request.
     CrashesServers,
-    /// Servers ended under what it asks for, and another run of it is under way for long.
+    /// Servers crashed during the same request, and another run of it has been in progress for
+    /// long.
     SuspectRunning,
-    /// All servers that could take it say how many calls they take, and have those.
+    /// All eligible servers limit their calls and have reached their limits.
     ServersLimited,
-    /// All servers that could take it turned calls away and asked for a pause.
+    /// All eligible servers shed load and asked for a pause.
     ServersShedding,
-    /// All servers that could take it leave.
+    /// All eligible servers are leaving.
     ServersLeaving,
 }
 
@@ -114,18 +114,18 @@
     }
 }
 
-/// Why a request failed after it may have run.
+/// Why a request failed that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureReason {
-    /// The time limit passed while a server worked on it.
+    /// The time limit passed while a server was processing the request.
     DeadlineWhileRunning,
-    /// The server went away and the request may not be tried again.
+    /// The server was lost and the request may not be retried.
     ServerLost,
-    /// Every allowed attempt was used.
+    /// All allowed attempts were used.
     AttemptsUsed,
-    /// No other server could take it over in time.
+    /// No other server could take over the request in time.
     NoOtherServer,
-    /// The server answered with an error of its own.
+    /// The server responded with an error of its own.
     ServerError,
 }
 
@@ -148,7 +148,7 @@
     }
 }
 
-/// A refusal that the caller may resubmit; made only from an [`Unsent`] token.
+/// A refusal after which the caller may resubmit; constructed only from an [`Unsent`] token.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Refused {
     reason: RefusalReason,
@@ -157,7 +157,7 @@
 }
 
 impl Refused {
-    /// Refuses a request that was not run.
+    /// Refuses a request that did not run.
     pub const fn new(proof: Unsent, reason: RefusalReason, retry_after: Option<Duration>) -> Self {
         Self {
             reason,
@@ -166,30 +166,30 @@
         }
     }
 
-    /// Why it was refused.
+    /// The reason of the refusal.
     pub const fn reason(&self) -> RefusalReason {
         self.reason
     }
 
-    /// When to come back, where that is known.
+    /// Time after which the caller may try again, if known.
     pub const fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
 }
 
-/// How a request ended.
+/// Final outcome of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer was forwarded: end marker seen, no gap.
+    /// The complete response was forwarded: end marker received, no gap.
     Completed {
-        /// Tokens forwarded.
+        /// Number of tokens forwarded to the caller.
         tokens: u64,
     },
-    /// Not run; the caller may resubmit.
+    /// The request did not run; the caller may resubmit.
     Refused(Refused),
-    /// May have run; resubmitting is the caller's decision.
+    /// The request may have run; whether to resubmit is the caller's decision.
     Failed(FailureReason),
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 }
 
--- a/lib/src/priority.rs
+++ b/lib/src/priority.rs
@@ -1,36 +1,36 @@
-//! Order among requests.
+//! Priorities and ranks of requests.
 //!
-//! Operators give a class one of three priorities. What a server sees is a [`Rank`]:
-//! the priority joined with whether the prompt is long, because a short call is worth
-//! serving before a long one of the same or the next higher priority.
+//! Operators give each class one of three priorities. Servers get a [`Rank`], which combines the
+//! priority with whether the prompt is long, because a short call is served before a long one of
+//! the same or the next higher priority.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// The priority that a class's settings give.
+/// Priority from the settings of a request's class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Someone waits for it right now.
+    /// A user is waiting for the response.
     Urgent,
-    /// The default.
+    /// The default priority.
     #[default]
     Normal,
-    /// Gives way to everything else.
+    /// Yields to all other requests.
     Batch,
 }
 
 impl Priority {
-    /// Reads the settings' word; anything else is normal.
-    pub fn from_setting(word: &str) -> Self {
-        match word {
+    /// Parses the value in the settings; any unknown value is normal.
+    pub fn from_setting(value: &str) -> Self {
+        match value {
             "urgent" => Self::Urgent,
             "batch" => Self::Batch,
             _ => Self::Normal,
         }
     }
 
-    /// The settings' word.
+    /// The value in the settings.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
@@ -39,18 +39,18 @@
         }
     }
 
-    /// The priority after waiting since `arrived`: one step up per `ageing`.
+    /// The priority after waiting since `arrived`: one level higher per `ageing`.
     #[must_use]
     pub fn aged(self, arrived: Time, now: Time, ageing: Duration) -> Self {
         let steps = now.since(arrived).as_micros() / ageing.as_micros().max(1);
         match (self, steps) {
             (Self::Batch, 1) => Self::Normal,
             (Self::Batch, 2..) | (Self::Normal, 1..) => Self::Urgent,
-            (own, _) => own,
+            (priority, _) => priority,
         }
     }
 
-    /// The rank of a prompt of this priority.
+    /// The rank of a request of this priority; `long` tells whether its prompt is long.
     pub const fn rank(self, long: bool) -> Rank {
         match (self, long) {
             (Self::Urgent, false) => Rank(0),
@@ -63,15 +63,15 @@
     }
 }
 
-/// Ranks that there are.
+/// Number of ranks.
 pub const RANK_COUNT: usize = 6;
 
-/// Order at a server; a lower number is served first.
+/// Scheduling rank at a server; lower ranks are served first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank(u8);
 
 impl Rank {
-    /// Reads a rank from the wire; numbers out of range are the last rank.
+    /// Decodes a rank from the wire; a number out of range becomes the last rank.
     pub const fn from_wire(number: u8) -> Self {
         if (number as usize) < RANK_COUNT {
             Self(number)
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The number for the wire and for indexing.
+    /// The rank as a number, for the wire and as an index.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -1,4 +1,4 @@
-//! What the decision modules know of a request.
+//! Requests as the decision modules see them, and their placements.
 
 use std::time::Duration;
 
@@ -9,61 +9,61 @@
 use crate::priority::Priority;
 use crate::time::Time;
 
-/// A request as it waits and is routed.
+/// A request that is queued and routed.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its identifier.
+    /// Unique identifier.
     pub id: RequestId,
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: WorkspaceName,
-    /// The workspace's weight.
+    /// Fair-queueing weight of the workspace.
     pub weight: u64,
-    /// Waiting requests that the workspace may have at this box.
+    /// Maximum number of requests that the workspace may have queued at this box.
     pub queue_limit: u64,
-    /// The model, or the plain service's pool.
+    /// The model, or the pool of a plain service.
     pub model: ModelName,
     /// Estimated tokens of the prompt; zero for a plain service.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the response.
     pub max_output: u64,
-    /// The class's priority.
+    /// Priority of the class, before ageing.
     pub priority: Priority,
-    /// Waiting time that lifts it by one priority.
+    /// Queueing time that raises the request by one priority.
     pub ageing: Duration,
-    /// When it arrived.
+    /// When the request arrived at the box.
     pub arrived: Time,
-    /// When its answer must be whole.
+    /// When the response must be complete.
     pub deadline: Time,
-    /// Hash of the prompt's beginning, for engines that cache it.
+    /// Hash of the prompt's prefix, to find engines that have it cached.
     pub prefix: Option<PrefixHash>,
 }
 
-/// Hash of a prompt's beginning.
+/// Hash of a prompt's prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PrefixHash(pub u64);
 
-/// One member's part of a prompt that a group of engines holds.
+/// One engine's share of a prompt that a group of engines holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
     /// The engine.
     pub server: ServerName,
-    /// Memory that it reserves, in tokens.
+    /// Memory to reserve at the engine, in tokens.
     pub tokens: u64,
-    /// Prompt tokens that it prefills.
+    /// Prompt tokens to prefill; zero if the engine only reserves memory for the response.
     pub prompt: u64,
 }
 
-/// Where a request goes.
+/// The server or group of servers that a request is sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Placement {
-    /// One server does all of it.
+    /// One server runs the whole request.
     One(ServerName),
-    /// A group holds the prompt, in this order; the last member generates.
+    /// A group holds the prompt, in this order; the last member generates the response.
     Group(Vec<Share>),
 }
 
 impl Placement {
-    /// The servers, in order.
+    /// The servers of the placement, in the order of the group.
     pub fn servers(&self) -> Vec<&ServerName> {
         match self {
             Self::One(server) => vec![server],
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -1,9 +1,10 @@
-//! Bounds repeats to a share of first attempts, so that a fault never multiplies load.
+//! Limits retries to a fraction of first attempts, so that a failure never multiplies the load.
 
-/// Repeats saved up at most; lets a quiet box repeat after one loss without letting many.
+/// Maximum number of saved retries; allows a box with little traffic to retry after a loss, but not
+/// many times.
 const MAX_BALANCE: f64 = 10.0;
 
-/// Earns a fraction of a repeat with each first attempt and spends whole ones.
+/// Budget of retries: each first attempt adds a fraction of a retry, and each retry spends one.
 #[derive(Debug)]
 pub struct RetryBudget {
     balance: f64,
@@ -18,12 +19,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt; `percent` is the setting.
+    /// Records a first attempt, which adds `percent` of a retry.
     pub fn deposit(&mut self, percent: u64) {
         self.balance = (self.balance + percent as f64 / 100.0).min(MAX_BALANCE);
     }
 
-    /// Takes one repeat, if there is one.
+    /// Spends one retry if the budget has one; returns whether it did.
     pub fn try_spend(&mut self) -> bool {
         let allowed = self.balance >= 1.0;
         if allowed {
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -1,7 +1,8 @@
-//! How long requests of a model take, and how fast a box's queue drains.
+//! Expected service time of a model's requests, and the drain rate of a box's queue.
 //!
-//! Learned from what was seen: tokens of whole answers, and tokens started while others
-//! waited. Before anything was seen, the engines' reported rates stand in.
+//! Both are measured: the first by the tokens of complete responses, the second by the prompt
+//! tokens that are started while other requests are queued. Until there are measurements, the rates
+//! that the engines report are used.
 
 use std::time::Duration;
 
@@ -9,29 +10,30 @@
 use crate::server_view::ServerView;
 use crate::time::Time;
 
-/// Weight of one answer's length against the running mean.
+/// Weight of one response's length in the moving average.
 const OUTPUT_WEIGHT: f64 = 0.02;
-/// Length assumed before the first answer, in tokens.
+/// Response length assumed before the first response, in tokens.
 const INITIAL_OUTPUT_TOKENS: f64 = 128.0;
-/// Time constant of the measured drain of short requests.
+/// Time constant of the measured drain rate of short requests.
 const SHORT_WINDOW_S: f64 = 5.0;
-/// Time constant of the drain of long ones, of which a box starts one in several seconds; a
-/// shorter window takes the pauses between them for a standstill and refuses in vain.
+/// Time constant of the measured drain rate of long requests. A box starts one of them every
+/// several seconds; a shorter window would take the time between them for a stalled queue and
+/// refuse requests needlessly.
 const LONG_WINDOW_S: f64 = 120.0;
 
-/// How fast the servers of a model work, as reported.
+/// Processing rates of a model's servers, as reported by them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace {
-    /// Prompt tokens a second at one server.
+    /// Prompt tokens per second of one server, on average.
     pub prefill_rate: f64,
-    /// Prompt tokens a second at all of them.
+    /// Prompt tokens per second of all servers.
     pub total_prefill_rate: f64,
-    /// Time between tokens of one answer.
+    /// Time between the tokens of one response.
     pub token_interval: Duration,
 }
 
 impl Pace {
-    /// The mean pace of servers.
+    /// The mean rates of `servers`.
     pub fn mean<'a>(servers: impl Iterator<Item = &'a ServerView>) -> Self {
         let mut rate = 0;
         let mut interval_us = 0;
@@ -53,55 +55,55 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Drain {
     backlog_since: Option<Time>,
-    started: f64,
+    started_tokens: f64,
     rate: Option<f64>,
     window_s: f64,
 }
 
-/// Expected times of one model's requests.
+/// Expected service time and drain rates of one model's requests.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceTime {
-    output: f64,
+    mean_output_tokens: f64,
     drains: [Drain; 2],
 }
 
 impl Default for ServiceTime {
     fn default() -> Self {
         Self {
-            output: INITIAL_OUTPUT_TOKENS,
+            mean_output_tokens: INITIAL_OUTPUT_TOKENS,
             drains: [Drain::default(); 2],
         }
     }
 }
 
 impl ServiceTime {
-    /// Learns an answer's length.
+    /// Records the length of a complete response.
     pub fn record_output(&mut self, tokens: u64) {
-        self.output += (tokens as f64 - self.output) * OUTPUT_WEIGHT;
+        self.mean_output_tokens += (tokens as f64 - self.mean_output_tokens) * OUTPUT_WEIGHT;
     }
 
-    /// Time from a start to the whole answer of a request at this pace.
+    /// Expected time from the start of a request to its complete response at this pace.
     pub fn expected_time(&self, request: &Request, pace: Pace) -> Duration {
         if request.prompt_tokens == 0 {
             return Duration::ZERO;
         }
         let prefill = Duration::from_secs_f64(request.prompt_tokens as f64 / pace.prefill_rate);
-        let tokens = self.output.min(request.max_output as f64);
+        let tokens = self.mean_output_tokens.min(request.max_output as f64);
         prefill + pace.token_interval.mul_f64(tokens)
     }
 
-    /// Counts tokens that started.
+    /// Records prompt tokens of a request that was started.
     pub fn record_started(&mut self, now: Time, long: bool, tokens: u64) {
         let drain = &mut self.drains[usize::from(long)];
         if drain.backlog_since.is_some() {
-            drain.started += tokens as f64;
+            drain.started_tokens += tokens as f64;
         }
         drain.update(now);
     }
 
-    /// Says whether requests wait; only then does what starts tell the drain.
+    /// Sets whether requests are queued. The drain rate is measured only while they are.
     ///
-    /// `expected` is the drain in tokens a second before any was seen.
+    /// `expected` is the drain rate in tokens per second until there are measurements.
     pub fn set_backlog(&mut self, now: Time, long: bool, backlog: bool, expected: f64) {
         let drain = &mut self.drains[usize::from(long)];
         drain.window_s = if long { LONG_WINDOW_S } else { SHORT_WINDOW_S };
@@ -109,21 +111,22 @@
         match (backlog, drain.backlog_since) {
             (true, None) => {
                 drain.backlog_since = Some(now);
-                drain.started = 0.0;
+                drain.started_tokens = 0.0;
             }
             (false, Some(_)) => drain.backlog_since = None,
             _ => drain.update(now),
         }
     }
 
-    /// Tokens a second that start while others wait; `expected` before any was seen.
+    /// Prompt tokens per second that are started while requests are queued; `expected` until there
+    /// are measurements.
     pub fn drain_rate(&self, long: bool, expected: f64) -> f64 {
         self.drains[usize::from(long)].rate.unwrap_or(expected)
     }
 }
 
 impl Drain {
-    /// Takes a measured second or more into the rate.
+    /// Updates the rate once the current measurement spans a second or more.
     fn update(&mut self, now: Time) {
         let Some(since) = self.backlog_since else {
             return;
@@ -132,11 +135,11 @@
         if span < 1.0 {
             return;
         }
-        let measured = self.started / span;
+        let measured = self.started_tokens / span;
         let weight = 1.0 - (-span / self.window_s).exp();
-        let before = self.rate.unwrap_or(measured);
-        self.rate = Some(before + (measured - before) * weight);
+        let previous = self.rate.unwrap_or(measured);
+        self.rate = Some(previous + (measured - previous) * weight);
         self.backlog_since = Some(now);
-        self.started = 0.0;
+        self.started_tokens = 0.0;
     }
 }
--- a/lib/src/stream_join.rs
+++ b/lib/src/stream_join.rs
@@ -1,30 +1,29 @@
-//! Checks a server's frames and joins attempts into one unbroken answer.
+//! Validates the frames of a server and joins several attempts into one contiguous response.
 //!
-//! A frame carries the attempt it belongs to and the offset of its token. A frame of
-//! another attempt is foreign and is dropped; one below the expected offset is a
-//! repeat and is dropped; one above it means a frame was lost, and nothing after it
-//! may be forwarded. The answer is whole only when the end marker names exactly the
-//! number of tokens that were forwarded.
+//! A frame carries its attempt and the offset of its token. A frame of another attempt is dropped.
+//! A frame below the expected offset is a duplicate and is dropped. A frame above the expected
+//! offset means that a frame was lost, and nothing after it may be forwarded. The response is
+//! complete only if the end marker gives exactly the number of tokens that were forwarded.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::ids::AttemptId;
 
-/// What a frame carries.
+/// Payload of a frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FrameBody {
-    /// One token of the answer.
+    /// One token of the response.
     Token {
-        /// Index of the token within the whole answer, from zero.
+        /// Index of the token within the complete response, from zero.
         offset: u64,
-        /// The token's text.
+        /// Text of the token.
         text: String,
     },
-    /// The end marker.
+    /// End marker of the response.
     End {
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete response.
         tokens: u64,
         /// Tokens in the prompt, as the engine counted them.
         prompt_tokens: u64,
@@ -36,35 +35,35 @@
 pub struct Frame {
     /// The attempt that the frame belongs to.
     pub attempt: AttemptId,
-    /// What it carries.
+    /// Payload.
     #[serde(flatten)]
     pub body: FrameBody,
 }
 
-/// What to do with a frame.
+/// How to handle a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrameDecision<'a> {
     /// Forward this text to the caller.
     Forward(&'a str),
-    /// The answer is whole.
+    /// The response is complete.
     Complete {
         /// Tokens in the prompt, as the engine counted them.
         prompt_tokens: u64,
     },
-    /// Drop the frame; the stream goes on.
+    /// Drop the frame and continue with the stream.
     Drop(DropReason),
-    /// The stream lost a frame; give the attempt up.
+    /// The stream lost a frame; abort the attempt.
     Abort,
 }
 
 /// Why a frame was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DropReason {
-    /// It belongs to another attempt.
+    /// The frame belongs to another attempt.
     OtherAttempt,
-    /// Its token was forwarded before.
+    /// The token was already forwarded.
     Duplicate,
-    /// The answer was already whole.
+    /// The response was already complete.
     AfterEnd,
 }
 
@@ -79,7 +78,7 @@
     }
 }
 
-/// The answer of one request as far as it was forwarded.
+/// The forwarded part of one request's response.
 #[derive(Debug, Clone, Default)]
 pub struct StreamJoin {
     text: String,
@@ -88,7 +87,7 @@
 }
 
 impl StreamJoin {
-    /// An answer of which nothing was forwarded yet.
+    /// A response of which nothing was forwarded yet.
     pub const fn new() -> Self {
         Self {
             text: String::new(),
@@ -97,17 +96,17 @@
         }
     }
 
-    /// Tokens forwarded so far; the offset from which another engine resumes.
+    /// Number of tokens forwarded so far, which is the offset at which another engine resumes.
     pub const fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// Text forwarded so far; what another engine replays before it goes on.
+    /// Text forwarded so far, which another engine gets as context before it resumes.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Judges a frame that came on `current`'s stream.
+    /// Decides on a frame that was received on the stream of the attempt `current`.
     pub fn accept<'a>(&mut self, current: AttemptId, frame: &'a Frame) -> FrameDecision<'a> {
         if frame.attempt != current {
             return FrameDecision::Drop(DropReason::OtherAttempt);
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -1,45 +1,45 @@
-//! Monotonic time as the decision modules see it.
+//! Monotonic time of the decision modules.
 //!
-//! Nothing in this library reads a clock. Every machine takes the present as an
-//! argument, so that the daemon, scripted scenarios and seeded runs drive the same
-//! code. A [`Time`] counts microseconds since an arbitrary start that is fixed for
-//! the life of one process; it never compares with another process's.
+//! This library reads no clock. Every state machine gets the current time as an argument, so that
+//! the daemon, scripted scenarios and seeded simulations run the same code. A [`Time`] counts
+//! microseconds from an arbitrary origin that is fixed for the lifetime of one process. Times of
+//! different processes can't be compared.
 
 use std::fmt;
 use std::ops::Add;
 use std::time::Duration;
 
-/// A point of monotonic time, in microseconds since the process's own start.
+/// A point of monotonic time, in microseconds since the origin of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(u64);
 
 impl Time {
-    /// The start of the process's own time line.
+    /// The origin of the process's monotonic time.
     pub const ZERO: Self = Self(0);
-    /// A time that no process reaches; for "no limit".
+    /// A time that no process reaches; stands for "no limit".
     pub const MAX: Self = Self(u64::MAX);
 
-    /// Makes a time from whole microseconds.
+    /// Creates a time from microseconds since the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Makes a time from whole milliseconds.
+    /// Creates a time from milliseconds since the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// How long ago `earlier` was; zero if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is in the future.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// How long until `later`; zero if it has passed.
+    /// Time remaining until `later`; zero if it has passed.
     pub const fn until(self, later: Self) -> Duration {
         later.since(self)
     }
@@ -48,8 +48,8 @@
 impl Add<Duration> for Time {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 }
--- a/lib/src/token_estimator.rs
+++ b/lib/src/token_estimator.rs
@@ -1,32 +1,34 @@
-//! Estimates prompt tokens before an engine counts them.
+//! Estimates the number of prompt tokens before an engine counts them.
 //!
-//! There is no tokenizer here. Each model has a ratio of bytes to tokens that starts
-//! from its setting and follows what engines report back, so that a model with an
-//! unusual vocabulary is right after a few answers.
+//! There is no tokenizer in the daemon. Each model has a ratio of bytes per token that starts at
+//! its setting and follows the counts that engines report, so that the estimate for a model with an
+//! unusual vocabulary is right after a few responses.
 
 use std::collections::BTreeMap;
 
 use crate::ids::ModelName;
 
-/// Weight of one report against the running ratio; small, so that one odd prompt moves little.
+/// Weight of one report in the moving average; small, so that one unusual prompt has little effect.
 const REPORT_WEIGHT: f64 = 0.05;
-/// Ratios outside these bounds are not believed.
+/// Bounds that a reported ratio of bytes per token is clamped to.
 const RATIO_BOUNDS: (f64, f64) = (0.5, 32.0);
 
-/// Bytes per token for each model, corrected by reports.
+/// Bytes per token of each model, corrected by the counts of engines.
 #[derive(Debug, Default)]
 pub struct TokenEstimator {
     ratios: BTreeMap<ModelName, f64>,
 }
 
 impl TokenEstimator {
-    /// Estimates the tokens of a prompt of `bytes`; at least one.
+    /// Estimates the tokens of a prompt of `bytes`; at least one. `default_ratio` applies to a
+    /// model without reports.
     pub fn estimate(&self, model: &ModelName, bytes: usize, default_ratio: f64) -> u64 {
         let ratio = self.ratios.get(model).copied().unwrap_or(default_ratio);
         ((bytes as f64 / ratio).ceil() as u64).max(1)
     }
 
-    /// Learns from an engine's own count.
+    /// Records the token count that an engine reported for a prompt of `bytes`. Zero means that the
+    /// engine did not count.
     pub fn record(&mut self, model: &ModelName, bytes: usize, tokens: u64, default_ratio: f64) {
         if tokens == 0 {
             return;
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -1,9 +1,9 @@
-//! Requests that wait at a box, and which of them goes next.
+//! Queue of the requests at a box, in the order in which they are sent to servers.
 //!
-//! Within a priority, workspaces share by weight: each has a virtual time that grows by
-//! the tokens it was given over its weight, and the one that is least far goes first
-//! (start-time fair queueing). Waiting lifts a request's priority step by step, so that
-//! batch work ends too. Ways weighed: `docs/design/fairness.md`.
+//! Workspaces share the servers within a priority by weight (start-time fair queueing): the virtual
+//! time of a workspace grows by its served tokens divided by its weight, and the workspace with the
+//! lowest virtual time goes first. The priority of a request rises while it is queued, so that
+//! batch requests are served too. See `docs/design/fairness.md` for the alternatives considered.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,8 +15,8 @@
 use crate::request::Request;
 use crate::time::Time;
 
-/// Tokens that a request counts at least; a service call has no prompt.
-const LEAST_COST: u64 = 100;
+/// Minimum cost of a request in tokens; a service call has no prompt.
+const MIN_COST: u64 = 100;
 const PRIORITIES: usize = 3;
 
 #[derive(Debug, Default)]
@@ -31,115 +31,115 @@
     }
 }
 
-/// Requests of one kind that wait for a server.
+/// Queued requests of one model and size class.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     flows: BTreeMap<WorkspaceName, Flow>,
-    /// Workspaces of which requests wait; the others keep only their virtual time.
-    waiting: BTreeSet<WorkspaceName>,
-    now_virtual: f64,
+    /// Workspaces with queued requests; the others keep only their virtual time.
+    backlogged: BTreeSet<WorkspaceName>,
+    virtual_now: f64,
     tokens: u64,
     len: usize,
 }
 
 impl WaitQueue {
-    /// Requests waiting.
+    /// Number of queued requests.
     pub const fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Prompt tokens waiting.
+    /// Prompt tokens of the queued requests.
     pub const fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Requests of one workspace that wait.
+    /// Number of queued requests of one workspace.
     pub fn workspace_len(&self, workspace: &WorkspaceName) -> usize {
         self.flows.get(workspace).map_or(0, Flow::len)
     }
 
-    /// Prompt tokens that a new request of this workspace finds ahead of it.
+    /// Prompt tokens that will be served before a new request of `workspace`.
     ///
-    /// Its own workspace's are all ahead; of another's, as much as that one's weight
-    /// takes while they are served.
+    /// These are all tokens of its own workspace, and of each other workspace as many as that
+    /// workspace's weight entitles it to in the meantime.
     pub fn tokens_ahead(&self, workspace: &WorkspaceName, weight: u64) -> u64 {
         let own: u64 = self.flows.get(workspace).map_or(0, tokens_of);
         let others = self.flows.iter().filter(|(name, _)| *name != workspace);
-        let taken: f64 = others
+        let others_ahead: f64 = others
             .map(|(_, flow)| {
                 let theirs = tokens_of(flow) as f64;
                 let share = weight_of(flow) as f64 / weight.max(1) as f64;
-                theirs.min((own + LEAST_COST) as f64 * share)
+                theirs.min((own + MIN_COST) as f64 * share)
             })
             .sum();
-        own + taken as u64
+        own + others_ahead as u64
     }
 
-    /// Adds a request.
+    /// Adds a request at the end of its workspace's queue for its priority.
     pub fn push(&mut self, request: Request) {
         let flow = self.flows.entry(request.workspace.clone()).or_default();
         if flow.len() == 0 {
-            flow.virtual_time = flow.virtual_time.max(self.now_virtual);
-            self.waiting.insert(request.workspace.clone());
+            flow.virtual_time = flow.virtual_time.max(self.virtual_now);
+            self.backlogged.insert(request.workspace.clone());
         }
         self.tokens += request.prompt_tokens;
         self.len += 1;
         flow.waiting[request.priority as usize].push_back(request);
     }
 
-    /// The request that goes next.
+    /// The next request to serve.
     pub fn peek(&self, now: Time) -> Option<&Request> {
-        let (_, flow, slot) = self.next(now)?;
-        flow.waiting[slot].front()
+        let (_, flow, level) = self.next(now)?;
+        flow.waiting[level].front()
     }
 
-    /// Takes the request that goes next and charges its workspace.
+    /// Removes the next request to serve and charges its cost to its workspace.
     pub fn pop(&mut self, now: Time) -> Option<Request> {
-        let (name, _, slot) = self.next(now)?;
+        let (name, _, level) = self.next(now)?;
         let name = name.clone();
         let flow = self.flows.get_mut(&name)?;
-        let request = flow.waiting[slot].pop_front()?;
-        self.now_virtual = self.now_virtual.max(flow.virtual_time);
-        let cost = request.prompt_tokens.max(LEAST_COST);
+        let request = flow.waiting[level].pop_front()?;
+        self.virtual_now = self.virtual_now.max(flow.virtual_time);
+        let cost = request.prompt_tokens.max(MIN_COST);
         flow.virtual_time += cost as f64 / request.weight.max(1) as f64;
-        self.count_out(&request);
+        self.subtract(&request);
         Some(request)
     }
 
-    /// Takes out every request for which `gone` holds.
-    pub fn remove_where(&mut self, gone: impl Fn(&Request) -> bool) -> Vec<Request> {
+    /// Removes and returns all requests that match `predicate`.
+    pub fn remove_where(&mut self, predicate: impl Fn(&Request) -> bool) -> Vec<Request> {
         if self.is_empty() {
             return Vec::new();
         }
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for list in self.flows.values_mut().flat_map(|flow| &mut flow.waiting) {
-            if list.iter().any(&gone) {
-                let (out, kept): (Vec<_>, Vec<_>) = list.drain(..).partition(&gone);
+            if list.iter().any(&predicate) {
+                let (out, kept): (Vec<_>, Vec<_>) = list.drain(..).partition(&predicate);
                 list.extend(kept);
-                taken.extend(out);
+                removed.extend(out);
             }
         }
-        for request in &taken {
-            self.count_out(request);
+        for request in &removed {
+            self.subtract(request);
         }
-        taken
+        removed
     }
 
-    /// Takes one request out, if it waits here.
+    /// Removes one request, if it is queued.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         self.remove_where(|request| request.id == id).pop()
     }
 
-    fn count_out(&mut self, request: &Request) {
+    fn subtract(&mut self, request: &Request) {
         self.tokens -= request.prompt_tokens;
         self.len -= 1;
         if self.workspace_len(&request.workspace) == 0 {
-            self.waiting.remove(&request.workspace);
+            self.backlogged.remove(&request.workspace);
         }
     }
 
@@ -148,12 +148,12 @@
             return None;
         }
         let mut best: Option<(Priority, f64, Time, &WorkspaceName, &Flow, usize)> = None;
-        let waiting = self
-            .waiting
+        let backlogged = self
+            .backlogged
             .iter()
             .filter_map(|name| self.flows.get_key_value(name));
-        for (name, flow) in waiting {
-            for (slot, list) in flow.waiting.iter().enumerate() {
+        for (name, flow) in backlogged {
+            for (level, list) in flow.waiting.iter().enumerate() {
                 let Some(head) = list.front() else { continue };
                 let priority = head.priority.aged(head.arrived, now, head.ageing);
                 let key = (priority, flow.virtual_time, head.arrived);
@@ -165,18 +165,18 @@
                         .is_lt()
                 });
                 if better {
-                    best = Some((key.0, key.1, key.2, name, flow, slot));
+                    best = Some((key.0, key.1, key.2, name, flow, level));
                 }
             }
         }
-        best.map(|(_, _, _, name, flow, slot)| (name, flow, slot))
+        best.map(|(_, _, _, name, flow, level)| (name, flow, level))
     }
 }
 
 fn tokens_of(flow: &Flow) -> u64 {
     let waiting = flow.waiting.iter().flatten();
     waiting
-        .map(|request| request.prompt_tokens.max(LEAST_COST))
+        .map(|request| request.prompt_tokens.max(MIN_COST))
         .sum()
 }
 
--- a/lib/src/workspace_limit.rs
+++ b/lib/src/workspace_limit.rs
@@ -1,9 +1,10 @@
-//! Workspace limits that hold over all boxes of a data hall without a call per request.
+//! Rate limits of workspaces that hold over all boxes of a data hall without a remote call per
+//! request.
 //!
-//! Each box admits its part of a workspace's limit. The part follows the demand that the
-//! boxes tell each other: own demand over the sum, with a floor, so that a box that sees
-//! its first request of a workspace can admit it at once. A box that is cut off goes on
-//! with the last demand it heard; how far off that can be is in `docs/design/fairness.md`.
+//! Each box admits its share of a workspace's limit. The share follows the demand that the boxes
+//! report to each other: the box's own demand divided by the total, with a minimum, so that a box
+//! can admit the first request of a workspace at once. A partitioned box continues with the last
+//! demand that it received; see `docs/design/fairness.md` for the resulting error.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,22 +12,22 @@
 use crate::ids::WorkspaceName;
 use crate::time::Time;
 
-/// Half-life of the demand that a box observes.
+/// Half-life of the demand that a box measures.
 const DEMAND_HALF_LIFE_S: f64 = 5.0;
-/// Part of an even split that a box has without demand of its own.
-const FLOOR_OF_EVEN_SPLIT: f64 = 0.1;
-/// Seconds of a limit that a bucket saves up.
+/// Fraction of an even share that a box has without demand of its own.
+const MIN_FRACTION_OF_EVEN_SHARE: f64 = 0.1;
+/// Capacity of a token bucket, in seconds of its rate.
 const BURST_S: f64 = 1.0;
 
-/// Decaying rate of tokens asked for.
+/// Exponentially decaying sum of requested tokens.
 #[derive(Debug, Default, Clone, Copy)]
-struct Rate {
+struct DecayingSum {
     tokens: f64,
     at: Time,
 }
 
-impl Rate {
-    fn count(&mut self, now: Time, tokens: f64) {
+impl DecayingSum {
+    fn add(&mut self, now: Time, tokens: f64) {
         self.tokens = self.decayed(now) + tokens;
         self.at = now;
     }
@@ -35,7 +36,7 @@
         self.tokens * 0.5_f64.powf(now.since(self.at).as_secs_f64() / DEMAND_HALF_LIFE_S)
     }
 
-    /// Tokens a second that would keep the decaying sum where it is.
+    /// Demand in tokens per second: the rate that would keep the decaying sum constant.
     fn per_second(&self, now: Time) -> f64 {
         self.decayed(now) * std::f64::consts::LN_2 / DEMAND_HALF_LIFE_S
     }
@@ -48,7 +49,8 @@
 }
 
 impl Bucket {
-    /// Takes `amount` if the bucket is not empty; it may go into debt once.
+    /// Takes `amount` if the bucket is not empty. The level may become negative, and then
+    /// nothing is taken until it is positive again.
     fn take(&mut self, now: Time, rate: f64, amount: f64) -> Result<(), Duration> {
         let filled = self.level + now.since(self.at).as_secs_f64() * rate;
         self.level = filled.min(rate * BURST_S);
@@ -66,41 +68,41 @@
 
 #[derive(Debug)]
 struct WorkspaceState {
-    demand: Rate,
-    others: f64,
+    demand: DecayingSum,
+    peer_demand: f64,
     requests: Bucket,
     tokens: Bucket,
 }
 
 impl WorkspaceState {
-    /// A workspace that asks for the first time: its buckets are full.
+    /// State at the first request of a workspace: the buckets are full.
     const fn new(now: Time) -> Self {
         let full = Bucket {
             level: f64::MAX,
             at: now,
         };
         Self {
-            demand: Rate {
+            demand: DecayingSum {
                 tokens: 0.0,
                 at: Time::ZERO,
             },
-            others: 0.0,
+            peer_demand: 0.0,
             requests: full,
             tokens: full,
         }
     }
 }
 
-/// A workspace's limits for the whole hall.
+/// Rate limits of one workspace over all boxes of a hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HallLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: u64,
-    /// Tokens a second.
+    /// Prompt tokens per second.
     pub tokens_per_s: u64,
 }
 
-/// Limits of all workspaces at one box.
+/// Rate limits of all workspaces, as enforced by one box.
 #[derive(Debug)]
 pub struct WorkspaceLimits {
     boxes: usize,
@@ -117,25 +119,25 @@
 }
 
 impl WorkspaceLimits {
-    /// Sets how many boxes of the hall share the limits; at least this one.
+    /// Sets the number of boxes of the hall that share the limits, including this one.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = boxes.max(1);
     }
 
-    /// Sets the demand that the other boxes of the hall told of, in tokens a second.
-    pub fn set_peer_demand(&mut self, now: Time, others: &BTreeMap<WorkspaceName, f64>) {
-        for (name, demand) in others {
-            self.state(now, name).others = *demand;
+    /// Sets the total demand that the other boxes of the hall reported, in tokens per second.
+    pub fn set_peer_demand(&mut self, now: Time, peer_demand: &BTreeMap<WorkspaceName, f64>) {
+        for (name, demand) in peer_demand {
+            self.state(now, name).peer_demand = *demand;
         }
         for (name, state) in &mut self.workspaces {
-            if !others.contains_key(name) {
-                state.others = 0.0;
+            if !peer_demand.contains_key(name) {
+                state.peer_demand = 0.0;
             }
         }
     }
 
-    /// Own demand, in tokens a second, of the workspaces that ask for most.
-    pub fn own_demand(&self, now: Time, most: usize) -> Vec<(WorkspaceName, f64)> {
+    /// This box's demand in tokens per second, of at most `max` workspaces with the highest demand.
+    pub fn own_demand(&self, now: Time, max: usize) -> Vec<(WorkspaceName, f64)> {
         let mut rows: Vec<_> = self
             .workspaces
             .iter()
@@ -143,30 +145,30 @@
             .filter(|(_, demand)| *demand >= 1.0)
             .collect();
         rows.sort_by(|a, b| b.1.total_cmp(&a.1));
-        rows.truncate(most);
+        rows.truncate(max);
         rows
     }
 
-    /// This box's part of a workspace's limit, between 0 and 1.
+    /// This box's share of a workspace's limit, between 0 and 1.
     pub fn share(&self, now: Time, name: &WorkspaceName) -> f64 {
-        let even = 1.0 / self.boxes as f64;
+        let even_share = 1.0 / self.boxes as f64;
         let Some(state) = self.workspaces.get(name) else {
-            return even;
+            return even_share;
         };
         let own = state.demand.per_second(now);
-        let total = own + state.others;
+        let total = own + state.peer_demand;
         if total <= 0.0 {
-            return even;
+            return even_share;
         }
-        let floor = even * FLOOR_OF_EVEN_SPLIT;
-        floor + (1.0 - FLOOR_OF_EVEN_SPLIT) * own / total
+        let floor = even_share * MIN_FRACTION_OF_EVEN_SHARE;
+        floor + (1.0 - MIN_FRACTION_OF_EVEN_SHARE) * own / total
     }
 
-    /// Admits a request of `tokens`, or says when to come back.
+    /// Admits a request of `tokens`, or returns when to try again.
     ///
     /// # Errors
     ///
-    /// The time after which the box's part of the limit has room again.
+    /// The time after which this box's share of the limit admits requests again.
     pub fn admit(
         &mut self,
         now: Time,
@@ -174,16 +176,16 @@
         limit: HallLimit,
         tokens: u64,
     ) -> Result<(), Duration> {
-        self.state(now, name).demand.count(now, tokens as f64);
+        self.state(now, name).demand.add(now, tokens as f64);
         let share = self.share(now, name);
         let request_rate = limit.requests_per_s as f64 * share;
         let token_rate = limit.tokens_per_s as f64 * share;
         let state = self.state(now, name);
-        let kept = state.tokens;
+        let tokens_before = state.tokens;
         state.tokens.take(now, token_rate, tokens as f64)?;
         let admitted = state.requests.take(now, request_rate, 1.0);
         if admitted.is_err() {
-            state.tokens = kept;
+            state.tokens = tokens_before;
         }
         admitted
     }
@@ -195,6 +197,6 @@
         }
         self.workspaces
             .get_mut(name)
-            .expect("it was just put there")
+            .expect("the entry was just inserted")
     }
 }
--- a/lib/tests/test_properties.rs
+++ b/lib/tests/test_properties.rs
@@ -1,4 +1,4 @@
-//! Properties over drawn inputs.
+//! Properties of the settings tree, backups and decoders over random inputs.
 
 use badgerferry_lib::ids::NodeName;
 use badgerferry_lib::ids::Revision;
@@ -16,7 +16,7 @@
 
 use crate::seeded::seeded;
 
-/// A sound tree, grown from a seed by changes of which the unsound are left out.
+/// Builds a valid tree from a seed by random changes; invalid changes are skipped.
 fn tree(seed: u64) -> SettingsTree {
     let mut rng = rng(seed);
     let mut tree = SettingsTree::default();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn trees_stay_sound_and_changes_lead_from_any_to_any() {
+fn trees_stay_valid_and_changes_transform_any_tree_into_any_other() {
     fn holds(one: u64, other: u64) -> bool {
         let (one, other) = (tree(one), tree(other));
         let changes = one.changes_to(&other);
@@ -59,55 +59,55 @@
 fn every_node_has_a_value_for_every_key() {
     fn holds(seed: u64) -> bool {
         let tree = tree(seed);
-        let fits = |name: &NodeName| {
+        let is_valid = |name: &NodeName| {
             let keys = SETTINGS.iter().map(|setting| setting.key);
             keys.into_iter()
                 .all(|key| key.check(&tree.effective(name, key)).is_ok())
         };
-        tree.nodes().keys().all(fits)
+        tree.nodes().keys().all(is_valid)
     }
     seeded().quickcheck(holds as fn(u64) -> bool);
 }
 
 #[test]
-fn backups_come_back_and_changed_ones_do_not() {
+fn backups_round_trip_and_corrupted_ones_are_rejected() {
     fn holds(seed: u64, at: usize, byte: u8) -> bool {
         let snapshot = SettingsSnapshot::new(Revision(seed % 1_000), tree(seed));
         let text = snapshot.to_text();
         let mut bytes = text.clone().into_bytes();
         let at = at % bytes.len();
         bytes[at] = byte;
-        let changed = String::from_utf8(bytes).unwrap_or_default();
-        let comes_back = SettingsSnapshot::from_text(&text).as_ref() == Ok(&snapshot);
-        // A change of white space leaves the same backup; any other is refused.
-        let other = SettingsSnapshot::from_text(&changed);
-        let passes_for_another = other.is_ok_and(|other| other != snapshot);
-        comes_back && !passes_for_another
+        let corrupted = String::from_utf8(bytes).unwrap_or_default();
+        let round_trips = SettingsSnapshot::from_text(&text).as_ref() == Ok(&snapshot);
+        // Changed white space decodes to the same backup; any other change must be rejected.
+        let other = SettingsSnapshot::from_text(&corrupted);
+        let decodes_to_another = other.is_ok_and(|other| other != snapshot);
+        round_trips && !decodes_to_another
     }
     seeded().quickcheck(holds as fn(u64, usize, u8) -> bool);
 }
 
 #[test]
-fn strangers_frames_are_refused_and_stop_nothing() {
+fn unauthenticated_peer_frames_are_rejected() {
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "the library hands values over"
+        reason = "quickcheck passes arguments by value"
     )]
     fn holds(bytes: Vec<u8>) -> bool {
-        let mut marked = b"bf\x00\x01".to_vec();
-        marked.extend_from_slice(&bytes);
-        marked.extend_from_slice(&[0; 32]);
+        let mut with_header = b"bf\x00\x01".to_vec();
+        with_header.extend_from_slice(&bytes);
+        with_header.extend_from_slice(&[0; 32]);
         let key = [1; peer_wire::KEY_BYTES];
-        peer_wire::open(&key, &bytes).is_err() && peer_wire::open(&key, &marked).is_err()
+        peer_wire::open(&key, &bytes).is_err() && peer_wire::open(&key, &with_header).is_err()
     }
     seeded().quickcheck(holds as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn stored_heads_of_any_bytes_are_read_or_refused() {
+fn arbitrary_bytes_are_rejected_as_settings_head() {
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "the library hands values over"
+        reason = "quickcheck passes arguments by value"
     )]
     fn holds(bytes: Vec<u8>) -> bool {
         Head::decode(&bytes).is_err()
--- a/lib/tests/test_request_seeds.rs
+++ b/lib/tests/test_request_seeds.rs
@@ -1,6 +1,6 @@
-//! Long seeded runs of the request path; the world asserts the invariants as it goes.
+//! Seeded simulations of the request path. The simulation asserts the invariants while it runs.
 //!
-//! Any number of seeds: `cargo run --release --bin emulate -- seeds requests --count N`.
+//! To run any number of seeds: `cargo run --release --bin emulate -- seeds requests --count N`.
 
 use badgerferry_testutils::seeded_requests;
 use badgerferry_testutils::seeded_requests::RunCounts;
@@ -12,16 +12,16 @@
 fn request_invariants_hold_over_seeds() {
     let mut counts = RunCounts::default();
 
-    let (results, broken) = run_seeds(0..SEEDS, seeded_requests::run);
+    let (results, failed) = run_seeds(0..SEEDS, seeded_requests::run);
     for result in results {
         counts.add(result);
     }
 
     assert!(
-        broken.is_empty(),
-        "seeds that broke an invariant: {broken:?}"
+        failed.is_empty(),
+        "seeds that violated an invariant: {failed:?}"
     );
-    // The runs must have provoked every kind of end, or they prove nothing.
+    // Guards against simulations that do not reach every kind of outcome.
     assert!(counts.completed > 10_000, "{counts:?}");
     assert!(counts.refused > 500, "{counts:?}");
     assert!(counts.failed > 500, "{counts:?}");
--- a/lib/tests/test_scenarios.rs
+++ b/lib/tests/test_scenarios.rs
@@ -1,7 +1,7 @@
-//! Scripted scenarios of the request's machine and of the lease, in a small language.
+//! Scripted scenarios of the request's state machine and of the lease, as data-driven tests.
 //!
-//! Each file under `scenarios/` is read and run; `REWRITE=1` writes what comes out, to be
-//! read before it is kept. `docs/contributing.md` describes the language.
+//! Each file under `scenarios/` is run. `REWRITE=1` writes the actual output to the files, to be
+//! reviewed before it is committed. `docs/contributing.md` describes the format.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -36,25 +36,25 @@
     text.parse().expect("milliseconds")
 }
 
-/// Writes identifiers as `A1`, `A2` in the order in which they are first seen.
+/// Formats attempt identifiers as `A1`, `A2`, in the order of their first use.
 #[derive(Default)]
-struct Names(HashMap<AttemptId, usize>);
+struct AttemptNames(HashMap<AttemptId, usize>);
 
-impl Names {
+impl AttemptNames {
     fn of(&mut self, id: AttemptId) -> String {
         let next = self.0.len() + 1;
         format!("A{}", self.0.entry(id).or_insert(next))
     }
 }
 
-struct ExchangeScene {
+struct ExchangeScenario {
     exchange: Exchange,
     attempt: AttemptId,
     rng: ChaCha8Rng,
-    names: Names,
+    names: AttemptNames,
 }
 
-impl ExchangeScene {
+impl ExchangeScenario {
     fn new(case: &TestCase) -> Self {
         let mut rng = rng(1);
         let limits = ExchangeLimits {
@@ -68,7 +68,7 @@
             exchange: Exchange::new(limits),
             attempt: AttemptId::draw(&mut rng),
             rng,
-            names: Names::default(),
+            names: AttemptNames::default(),
         }
     }
 
@@ -91,8 +91,8 @@
         }
     }
 
-    /// One line of input: what happens.
-    fn happen(&mut self, now: Time, line: &str) -> Vec<String> {
+    /// Runs one line of input, which is one event, and returns the resulting actions.
+    fn run_event(&mut self, now: Time, line: &str) -> Vec<String> {
         let words: Vec<&str> = line.split_whitespace().collect();
         let frame;
         let event = match words[0] {
@@ -121,16 +121,16 @@
                 frame = self.frame(&words, true);
                 Event::Frame(&frame)
             }
-            other => panic!("no such happening: {other}"),
+            other => panic!("unknown event: {other}"),
         };
         let actions = self.exchange.on_event(now, &event, &mut self.rng);
         actions
             .into_iter()
-            .map(|action| self.line(action))
+            .map(|action| self.format_action(action))
             .collect()
     }
 
-    fn line(&mut self, action: Action) -> String {
+    fn format_action(&mut self, action: Action) -> String {
         match action {
             Action::Reserve { server, tokens, .. } => format!("reserve {tokens} at {server}"),
             Action::Release { server, .. } => format!("release at {server}"),
@@ -207,16 +207,19 @@
 #[test]
 fn exchange_scenarios() {
     datadriven::walk("tests/scenarios/exchange", |file| {
-        let mut scene = None;
+        let mut scenario = None;
         file.run(|case| {
             if case.directive == "request" {
-                scene = Some(ExchangeScene::new(case));
+                scenario = Some(ExchangeScenario::new(case));
                 return String::new();
             }
             assert_eq!(case.directive, "at");
-            let scene = scene.as_mut().expect("a request comes first");
+            let scenario = scenario.as_mut().expect("`request` is the first directive");
             let now = Time::from_millis(millis(case, "ms"));
-            let lines = case.input.lines().flat_map(|line| scene.happen(now, line));
+            let lines = case
+                .input
+                .lines()
+                .flat_map(|line| scenario.run_event(now, line));
             lines.map(|line| line + "\n").collect::<String>()
         });
     });
@@ -246,7 +249,7 @@
                     lease.on_answer(asked_at, now, lease_answer(case));
                 }
                 "look" => {}
-                other => panic!("no such directive: {other}"),
+                other => panic!("unknown directive: {other}"),
             }
             let order = match lease.fence(now) {
                 Some(fence) => format!("may order under {fence}"),
