--- a/daemon/src/request_run.rs
+++ b/daemon/src/request_run.rs
@@ -205,7 +205,7 @@
             .iter()
             .map(ToString::to_string)
             .collect();
-        let weighed: Vec<_> = start.weighed.iter().map(ToString::to_string).collect();
+        let weighed: Vec<_> = start.candidates.iter().map(ToString::to_string).collect();
         tracing::info!(
             request = %self.id,
             workspace = %self.meta.workspace,
--- a/lib/src/decision.rs
+++ b/lib/src/decision.rs
@@ -64,7 +64,7 @@
     /// Time that the request was queued.
     pub waited: Duration,
     /// Candidates that were compared, with their costs.
-    pub weighed: Vec<Candidate>,
+    pub candidates: Vec<Candidate>,
 }
 
 /// Queue and request counts for `status` and metrics.
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -191,8 +191,8 @@
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
         let key = self.key(&request);
-        let fleet = self.fleet(now, &key.model);
-        if let Err((reason, retry_after)) = self.admit(now, &key, &fleet, &request, limit) {
+        let model_servers = self.model_servers(now, &key.model);
+        if let Err((reason, retry_after)) = self.admit(now, &key, &model_servers, &request, limit) {
             return vec![Decision::Refuse {
                 request: request.id,
                 reason,
@@ -204,7 +204,7 @@
         let now_s = now.as_micros() as f64 / 1e6;
         demand.count(now_s, request.prompt_tokens, key.long);
         self.queues.entry(key.clone()).or_default().push(request);
-        self.drain(now, &key, &fleet, rng)
+        self.drain(now, &key, &model_servers, rng)
     }
 
     /// Queues a request again whose placement ended; it keeps its arrival time.
@@ -232,8 +232,8 @@
             // Placing it at once would find the same engine occupied.
             return Vec::new();
         }
-        let fleet = self.fleet(now, &key.model);
-        self.drain(now, &key, &fleet, rng)
+        let model_servers = self.model_servers(now, &key.model);
+        self.drain(now, &key, &model_servers, rng)
     }
 
     /// Records that the first token of a request was received.
@@ -308,9 +308,9 @@
             if self.queues.get(&key).is_none_or(WaitQueue::is_empty) {
                 continue;
             }
-            let fleet = self.fleet(now, &key.model);
-            decisions.extend(self.refuse_late(now, &key, &fleet));
-            decisions.extend(self.drain(now, &key, &fleet, rng));
+            let model_servers = self.model_servers(now, &key.model);
+            decisions.extend(self.refuse_late(now, &key, &model_servers));
+            decisions.extend(self.drain(now, &key, &model_servers, rng));
         }
         decisions
     }
@@ -331,27 +331,29 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        fleet: &Fleet,
+        model_servers: &Fleet,
         request: &Request,
         limit: HallLimit,
     ) -> Result<(), (RefusalReason, Duration)> {
         if self.stopping {
             return Err((RefusalReason::Leaving, RETRY_LATER));
         }
-        if fleet.serving.is_empty() {
+        if model_servers.serving.is_empty() {
             return Err((RefusalReason::NoServer, RETRY_LATER));
         }
         let needed_tokens = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && needed_tokens > fleet.usable_memory {
+        if request.prompt_tokens > 0 && needed_tokens > model_servers.usable_memory {
             return Err((RefusalReason::PromptTooLong, RETRY_LATER));
         }
-        let wait = self.expected_wait(key, fleet, request);
+        let wait = self.expected_wait(key, model_servers, request);
         let waiting = self.workspace_len(&request.workspace);
         if waiting as u64 >= request.queue_limit {
             return Err((RefusalReason::QueueFull, wait.max(RETRY_LATER)));
         }
         if self.policy == Policy::Cost {
-            let needed = self.times(&key.model).expected_time(request, fleet.pace);
+            let needed = self
+                .times(&key.model)
+                .expected_time(request, model_servers.pace);
             let remaining = now.until(request.deadline);
             if wait + needed > remaining {
                 let excess = (wait + needed).saturating_sub(remaining);
@@ -372,7 +374,7 @@
     }
 
     /// The current state of a model's servers, computed once per decision.
-    fn fleet(&self, now: Time, model: &ModelName) -> Fleet {
+    fn model_servers(&self, now: Time, model: &ModelName) -> Fleet {
         Fleet::new(now, &self.servers, model, &self.hall, self.boxes)
     }
 
@@ -381,16 +383,18 @@
     }
 
     /// Expected queueing time of a new request, from the queue and its drain rate.
-    fn expected_wait(&self, key: &QueueKey, fleet: &Fleet, request: &Request) -> Duration {
+    fn expected_wait(&self, key: &QueueKey, model_servers: &Fleet, request: &Request) -> Duration {
         let Some(queue) = self.queues.get(key).filter(|queue| !queue.is_empty()) else {
             return Duration::ZERO;
         };
         let ahead = queue.tokens_ahead(&request.workspace, request.weight);
-        let rate = self.times(&key.model).drain_rate(key.long, fleet.own_rate);
+        let rate = self
+            .times(&key.model)
+            .drain_rate(key.long, model_servers.own_rate);
         Duration::from_secs_f64(ahead as f64 / rate.max(1.0))
     }
 
-    fn refuse_late(&mut self, now: Time, key: &QueueKey, fleet: &Fleet) -> Vec<Decision> {
+    fn refuse_late(&mut self, now: Time, key: &QueueKey, model_servers: &Fleet) -> Vec<Decision> {
         if self.policy != Policy::Cost {
             return Vec::new();
         }
@@ -399,9 +403,9 @@
             return Vec::new();
         };
         let late = queue.remove_where(|request| {
-            now + times.expected_time(request, fleet.pace) >= request.deadline
+            now + times.expected_time(request, model_servers.pace) >= request.deadline
         });
-        let rate = times.drain_rate(key.long, fleet.own_rate);
+        let rate = times.drain_rate(key.long, model_servers.own_rate);
         let retry_after = Duration::from_secs_f64(queue.tokens() as f64 / rate.max(1.0));
         late.into_iter()
             .map(|request| Decision::Refuse {
@@ -416,7 +420,7 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        fleet: &Fleet,
+        model_servers: &Fleet,
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
         let mut decisions = Vec::new();
@@ -424,7 +428,7 @@
             let Some(head) = queue.peek(now).cloned() else {
                 break;
             };
-            let Some(start) = self.place(now, &head, key.long, fleet, rng) else {
+            let Some(start) = self.place(now, &head, key.long, model_servers, rng) else {
                 break;
             };
             let Some(request) = self.queues.get_mut(key).and_then(|queue| queue.pop(now)) else {
@@ -437,7 +441,7 @@
         }
         let backlog = self.queues.get(key).is_some_and(|queue| !queue.is_empty());
         let times = self.service_times.entry(key.model.clone()).or_default();
-        times.set_backlog(now, key.long, backlog, fleet.own_rate);
+        times.set_backlog(now, key.long, backlog, model_servers.own_rate);
         decisions
     }
 
@@ -446,10 +450,10 @@
         now: Time,
         request: &Request,
         long: bool,
-        fleet: &Fleet,
+        model_servers: &Fleet,
         rng: &mut impl Rng,
     ) -> Option<Start> {
-        let mut usable = fleet.serving.clone();
+        let mut usable = model_servers.serving.clone();
         if let Some(avoid) = self.avoid.get(&request.id) {
             let others = |index: &usize| !avoid.contains(&self.servers[*index].info().name);
             let not_avoided: Vec<_> = usable.iter().copied().filter(others).collect();
@@ -458,15 +462,15 @@
             }
         }
         let needed_tokens = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && needed_tokens > fleet.most_memory {
+        if request.prompt_tokens > 0 && needed_tokens > model_servers.most_memory {
             return self.place_group(now, request, &usable);
         }
         match self.policy {
             Policy::Cost if long => self.place_long(now, request, &usable, rng),
             Policy::Cost => self.place_short(now, request, &mut usable, rng),
-            plain => {
+            baseline => {
                 let chosen = routing::choose_plain(
-                    plain,
+                    baseline,
                     &self.servers,
                     &usable,
                     &mut self.round_robin,
@@ -511,7 +515,7 @@
     ) -> Option<Start> {
         let needed_tokens = request.prompt_tokens + request.max_output;
         let mut free: Vec<_> = self
-            .lane(request, usable)
+            .long_engines(request, usable)
             .into_iter()
             .filter(|&index| self.is_free_for_long(now, index))
             .filter(|&index| long_lane::long_room(&self.servers[index]) >= needed_tokens)
@@ -522,19 +526,19 @@
         Some(self.start_at(now, request, choice.index, choice.weighed))
     }
 
-    /// The engines of the model that are used for long prompts, in lane order.
-    fn lane(&self, request: &Request, usable: &[usize]) -> Vec<usize> {
+    /// The engines that run long prompts of the model, in rendezvous-hash order.
+    fn long_engines(&self, request: &Request, usable: &[usize]) -> Vec<usize> {
         let model = &request.model;
-        let mut lane = usable.to_vec();
-        lane.sort_by_cached_key(|&index| {
+        let mut engines = usable.to_vec();
+        engines.sort_by_cached_key(|&index| {
             long_lane::lane_position(model, &self.servers[index].info().name)
         });
         let demand = self.demand.get(model).copied().unwrap_or_default();
-        let size = demand.lane_size(lane.len(), self.settings.long_share_percent);
+        let size = demand.lane_size(engines.len(), self.settings.long_share_percent);
         let needed_tokens = request.prompt_tokens + request.max_output;
-        let views = lane.iter().map(|&index| &self.servers[index]);
-        lane.truncate(size.max(long_lane::group_size(views, needed_tokens)));
-        lane
+        let views = engines.iter().map(|&index| &self.servers[index]);
+        engines.truncate(size.max(long_lane::group_size(views, needed_tokens)));
+        engines
     }
 
     fn is_free_for_long(&self, now: Time, index: usize) -> bool {
@@ -544,8 +548,8 @@
 
     fn place_group(&self, now: Time, request: &Request, usable: &[usize]) -> Option<Start> {
         let needed_tokens = request.prompt_tokens + request.max_output;
-        let lane = self.lane(request, usable);
-        let free: Vec<_> = lane
+        let engines = self.long_engines(request, usable);
+        let free: Vec<_> = engines
             .into_iter()
             .rev()
             .filter(|&index| self.is_free_for_long(now, index))
@@ -558,7 +562,7 @@
             placement: Placement::Group(shares),
             prefill,
             waited: now.since(request.arrived),
-            weighed: Vec::new(),
+            candidates: Vec::new(),
         })
     }
 
@@ -567,7 +571,7 @@
         now: Time,
         request: &Request,
         index: usize,
-        weighed: Vec<Candidate>,
+        candidates: Vec<Candidate>,
     ) -> Start {
         let server = &self.servers[index];
         Start {
@@ -575,7 +579,7 @@
             placement: Placement::One(server.info().name.clone()),
             prefill: server.prefill_time(request.prompt_tokens),
             waited: now.since(request.arrived),
-            weighed,
+            candidates,
         }
     }
 
@@ -592,7 +596,7 @@
             Placement::Group(shares) => shares.clone(),
         };
         for share in shares {
-            let work = OwnWork {
+            let sent_request = OwnWork {
                 rank,
                 prefill: share.prompt,
                 memory: share.tokens,
@@ -601,7 +605,7 @@
                 started_at: None,
             };
             if let Some(&index) = self.by_name.get(&share.server) {
-                self.servers[index].sent(request.id, work);
+                self.servers[index].sent(request.id, sent_request);
             }
         }
         let avoid = self.avoid.remove(&request.id).unwrap_or_default();
