--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -145,10 +145,10 @@
                 counter!("badgerferry_calls_held_total").increment(1);
                 let left_s = left.as_secs();
                 tracing::info!(call = call.id(), work = %fingerprint, lives = crashes, left_s, "call refused: request is quarantined");
-                return Err((RefusalReason::EndsServers, left));
+                return Err((RefusalReason::CrashesServers, left));
             }
             Admission::Wait if now >= until => {
-                return Err((RefusalReason::SuspectRuns, RUN_RETRY_DELAY));
+                return Err((RefusalReason::SuspectRunning, RUN_RETRY_DELAY));
             }
             Admission::Wait => {
                 // Checked again after either the notification or the timeout.
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -1,12 +1,13 @@
-//! Decides what happens to each request of a box: start, wait, or refuse.
+//! Decides for each request of a box whether to start, queue or refuse it.
 //!
-//! A box holds requests back rather than pile them on servers: an engine is given a
-//! fraction of a second of work, and the rest waits here, where order can still change
-//! and a refusal is still true. Each request is told at once if it can't make its time
-//! limit; one that has waited too long is given up the moment that becomes certain.
+//! A box queues requests rather than overload servers. An engine gets a fraction of a second of
+//! work in advance; the remaining requests stay in the box's queue, where their order can still
+//! change and where they have certainly not run when they are refused. A request that can't meet
+//! its time limit is refused on arrival; a queued request is refused as soon as it can no longer
+//! meet its limit.
 //!
-//! The dispatcher does no I/O. The driver feeds it arrivals, reports, the ends of
-//! placements and ticks, and carries out the [`Decision`]s.
+//! The dispatcher does no I/O. The driver passes arrivals, reports, ends of placements and ticks to
+//! it and carries out its [`Decision`]s.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -48,10 +49,10 @@
 use crate::workspace_limit::HallLimit;
 use crate::workspace_limit::WorkspaceLimits;
 
-/// When to come back after a refusal whose cause has no queue to compute from.
+/// Retry time after a refusal whose cause allows no estimate from the queue.
 const RETRY_LATER: Duration = Duration::from_secs(2);
 
-/// Requests that wait for the same servers.
+/// Identifies a queue: the requests in it compete for the same servers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     model: ModelName,
@@ -65,7 +66,7 @@
     avoid: Vec<ServerName>,
 }
 
-/// The decisions of one box.
+/// Scheduler of one box's requests.
 #[derive(Debug)]
 pub struct Dispatcher {
     hall: HallName,
@@ -78,16 +79,16 @@
     avoid: BTreeMap<RequestId, Vec<ServerName>>,
     demand: BTreeMap<ModelName, Demand>,
     service_times: BTreeMap<ModelName, ServiceTime>,
-    /// Limits of workspaces; the control side sets the boxes and their demand.
+    /// Rate limits of workspaces. The daemon sets the number of boxes and their demand.
     pub limits: WorkspaceLimits,
     retries: RetryBudget,
     boxes: usize,
-    turn: usize,
+    round_robin: usize,
     stopping: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no server yet.
+    /// Creates a dispatcher without servers.
     pub fn new(hall: HallName, policy: Policy, settings: RoutingSettings) -> Self {
         Self {
             hall,
@@ -103,23 +104,23 @@
             limits: WorkspaceLimits::default(),
             retries: RetryBudget::default(),
             boxes: 1,
-            turn: 0,
+            round_robin: 0,
             stopping: false,
         }
     }
 
-    /// Takes new settings.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: RoutingSettings) {
         self.settings = settings;
     }
 
-    /// Sets how many boxes of the hall serve beside this one, itself included.
+    /// Sets the number of boxes that serve in this hall, including this one.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = boxes.max(1);
         self.limits.set_boxes(self.boxes);
     }
 
-    /// While set, every arrival is refused; what is here finishes.
+    /// While set, new requests are refused; queued and active requests complete.
     pub const fn set_stopping(&mut self, stopping: bool) {
         self.stopping = stopping;
     }
@@ -129,7 +130,7 @@
         self.stopping
     }
 
-    /// Counts for `status` and metrics.
+    /// Queue and request counts for `status` and metrics.
     pub fn load(&self) -> Load {
         Load {
             waiting: self.queues.values().map(WaitQueue::len).sum(),
@@ -138,12 +139,13 @@
         }
     }
 
-    /// The servers as this box sees them.
+    /// The servers with this box's view of their load.
     pub fn servers(&self) -> &[ServerView] {
         &self.servers
     }
 
-    /// Takes the list of servers. One that is no longer listed takes no new work.
+    /// Replaces the list of servers. A server that is no longer listed gets no new requests and is
+    /// removed once its requests have ended.
     pub fn set_servers(&mut self, listed: &[ServerInfo]) {
         for info in listed {
             if let Some(&index) = self.by_name.get(&info.name) {
@@ -166,22 +168,22 @@
             .collect();
     }
 
-    /// Takes an engine's report, made at `taken_at` on this box's clock.
+    /// Records an engine's report; `taken_at` is its time on this box's clock.
     pub fn on_report(&mut self, name: &ServerName, report: EngineReport, taken_at: Time) {
         if let Some(&index) = self.by_name.get(name) {
             self.servers[index].set_report(report, taken_at);
         }
     }
 
-    /// Takes an engine's word that it cached a prefix; a hint that may be late.
+    /// Records that an engine has cached a prefix. This is a hint that may be outdated.
     pub fn on_cached(&mut self, name: &ServerName, prefix: PrefixHash, tokens: u64) {
         if let Some(&index) = self.by_name.get(name) {
             self.servers[index].cached(prefix, tokens);
         }
     }
 
-    /// Takes a request from its caller.
-    pub fn arrive(
+    /// Admits, queues or refuses a new request and starts what can be started.
+    pub fn submit(
         &mut self,
         now: Time,
         request: Request,
@@ -189,32 +191,32 @@
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
         let key = self.key(&request);
-        let fleet = self.fleet(now, &key.model);
-        if let Err((reason, retry_after)) = self.admit(now, &key, &fleet, &request, limit) {
+        let model_servers = self.model_servers(now, &key.model);
+        if let Err((reason, retry_after)) = self.admit(now, &key, &model_servers, &request, limit) {
             return vec![Decision::Refuse {
                 request: request.id,
                 reason,
                 retry_after,
             }];
         }
-        self.retries.earn(self.settings.retry_percent);
+        self.retries.deposit(self.settings.retry_percent);
         let demand = self.demand.entry(key.model.clone()).or_default();
         let now_s = now.as_micros() as f64 / 1e6;
         demand.count(now_s, request.prompt_tokens, key.long);
         self.queues.entry(key.clone()).or_default().push(request);
-        self.drain(now, &key, &fleet, rng)
+        self.drain(now, &key, &model_servers, rng)
     }
 
-    /// Puts a request back whose placement ended; it keeps its place by its arrival.
-    pub fn again(
+    /// Queues a request again whose placement ended; it keeps its arrival time.
+    pub fn requeue(
         &mut self,
         now: Time,
         request: Request,
         avoid: Option<ServerName>,
-        repeat: bool,
+        is_retry: bool,
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
-        if repeat && !self.retries.spend() {
+        if is_retry && !self.retries.try_spend() {
             return vec![Decision::Refuse {
                 request: request.id,
                 reason: RefusalReason::NoServer,
@@ -225,16 +227,17 @@
         self.avoid.entry(id).or_default().extend(avoid);
         let key = self.key(&request);
         self.queues.entry(key.clone()).or_default().push(request);
-        if !repeat {
-            // A group that found an engine taken waits for the next tick, not for itself.
+        if !is_retry {
+            // A group that found an engine without free memory is placed again at the next tick.
+            // Placing it at once would find the same engine occupied.
             return Vec::new();
         }
-        let fleet = self.fleet(now, &key.model);
-        self.drain(now, &key, &fleet, rng)
+        let model_servers = self.model_servers(now, &key.model);
+        self.drain(now, &key, &model_servers, rng)
     }
 
-    /// Records the first token of a request.
-    pub fn first_token(&mut self, now: Time, id: RequestId) {
+    /// Records that the first token of a request was received.
+    pub fn record_first_token(&mut self, now: Time, id: RequestId) {
         let Some(active) = self.active.get(&id) else {
             return;
         };
@@ -245,8 +248,13 @@
         }
     }
 
-    /// Records the end of a placement and gives back the request it was for.
-    pub fn ended(&mut self, now: Time, id: RequestId, end: &PlacementEnd) -> Option<Request> {
+    /// Records the end of a placement and returns its request.
+    pub fn placement_ended(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        end: &PlacementEnd,
+    ) -> Option<Request> {
         let active = self.active.remove(&id)?;
         for name in active.placement.servers() {
             let Some(&index) = self.by_name.get(name) else {
@@ -263,7 +271,7 @@
                 ),
                 PlacementEnd::NoRoom(full) if full == name => server.had_no_room(now),
                 PlacementEnd::Failed(_) | PlacementEnd::NoRoom(_) | PlacementEnd::Neutral => {
-                    server.breaker.on_nothing_learned(now);
+                    server.breaker.on_inconclusive(now);
                 }
             }
         }
@@ -272,7 +280,7 @@
                 .service_times
                 .entry(active.request.model.clone())
                 .or_default();
-            times.learn_output(*tokens);
+            times.record_output(*tokens);
             if let (Some(prefix), Placement::One(name)) = (active.request.prefix, &active.placement)
             {
                 self.on_cached(&name.clone(), prefix, active.request.prompt_tokens);
@@ -282,16 +290,17 @@
         Some(active.request)
     }
 
-    /// Forgets a request whose outcome is known.
+    /// Removes a request whose outcome is known.
     pub fn forget(&mut self, now: Time, id: RequestId) {
-        self.ended(now, id, &PlacementEnd::Neutral);
+        self.placement_ended(now, id, &PlacementEnd::Neutral);
         self.avoid.remove(&id);
         for queue in self.queues.values_mut() {
             queue.remove(id);
         }
     }
 
-    /// Gives up what can't make its limit any more, then starts what can start.
+    /// Refuses queued requests that can no longer meet their time limits, then starts what can be
+    /// started.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Decision> {
         let mut decisions = Vec::new();
         let keys: Vec<_> = self.queues.keys().cloned().collect();
@@ -299,14 +308,14 @@
             if self.queues.get(&key).is_none_or(WaitQueue::is_empty) {
                 continue;
             }
-            let fleet = self.fleet(now, &key.model);
-            decisions.extend(self.give_up_late(now, &key, &fleet));
-            decisions.extend(self.drain(now, &key, &fleet, rng));
+            let model_servers = self.model_servers(now, &key.model);
+            decisions.extend(self.refuse_late(now, &key, &model_servers));
+            decisions.extend(self.drain(now, &key, &model_servers, rng));
         }
         decisions
     }
 
-    /// Whether a request's prompt is long.
+    /// Whether the prompt is longer than the limit for short prompts in the settings.
     pub const fn is_long(&self, request: &Request) -> bool {
         request.prompt_tokens > self.settings.long_prompt
     }
@@ -322,31 +331,33 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        fleet: &Fleet,
+        model_servers: &Fleet,
         request: &Request,
         limit: HallLimit,
     ) -> Result<(), (RefusalReason, Duration)> {
         if self.stopping {
             return Err((RefusalReason::Leaving, RETRY_LATER));
         }
-        if fleet.serving.is_empty() {
+        if model_servers.serving.is_empty() {
             return Err((RefusalReason::NoServer, RETRY_LATER));
         }
-        let wanted = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && wanted > fleet.usable_memory {
+        let needed_tokens = request.prompt_tokens + request.max_output;
+        if request.prompt_tokens > 0 && needed_tokens > model_servers.usable_memory {
             return Err((RefusalReason::PromptTooLong, RETRY_LATER));
         }
-        let wait = self.expected_wait(key, fleet, request);
-        let waiting = self.waiting_of(&request.workspace);
+        let wait = self.expected_wait(key, model_servers, request);
+        let waiting = self.workspace_len(&request.workspace);
         if waiting as u64 >= request.queue_limit {
             return Err((RefusalReason::QueueFull, wait.max(RETRY_LATER)));
         }
         if self.policy == Policy::Cost {
-            let needed = self.times(&key.model).expect(request, fleet.pace);
-            let left = now.until(request.deadline);
-            if wait + needed > left {
-                let over = (wait + needed).saturating_sub(left);
-                let retry_after = over.max(Duration::from_secs(1));
+            let needed = self
+                .times(&key.model)
+                .expected_time(request, model_servers.pace);
+            let remaining = now.until(request.deadline);
+            if wait + needed > remaining {
+                let excess = (wait + needed).saturating_sub(remaining);
+                let retry_after = excess.max(Duration::from_secs(1));
                 return Err((RefusalReason::WouldMissDeadline, retry_after));
             }
         }
@@ -355,15 +366,15 @@
             .map_err(|retry_after| (RefusalReason::WorkspaceLimit, retry_after))
     }
 
-    fn waiting_of(&self, workspace: &WorkspaceName) -> usize {
+    fn workspace_len(&self, workspace: &WorkspaceName) -> usize {
         self.queues
             .values()
-            .map(|queue| queue.waiting_of(workspace))
+            .map(|queue| queue.workspace_len(workspace))
             .sum()
     }
 
-    /// The servers of a model as they stand, worked out once for a decision.
-    fn fleet(&self, now: Time, model: &ModelName) -> Fleet {
+    /// The current state of a model's servers, computed once per decision.
+    fn model_servers(&self, now: Time, model: &ModelName) -> Fleet {
         Fleet::new(now, &self.servers, model, &self.hall, self.boxes)
     }
 
@@ -371,17 +382,19 @@
         self.service_times.get(model).copied().unwrap_or_default()
     }
 
-    /// Time that a new request waits here, as expected from the queue and its drain.
-    fn expected_wait(&self, key: &QueueKey, fleet: &Fleet, request: &Request) -> Duration {
+    /// Expected queueing time of a new request, from the queue and its drain rate.
+    fn expected_wait(&self, key: &QueueKey, model_servers: &Fleet, request: &Request) -> Duration {
         let Some(queue) = self.queues.get(key).filter(|queue| !queue.is_empty()) else {
             return Duration::ZERO;
         };
         let ahead = queue.tokens_ahead(&request.workspace, request.weight);
-        let rate = self.times(&key.model).drain_rate(key.long, fleet.own_rate);
+        let rate = self
+            .times(&key.model)
+            .drain_rate(key.long, model_servers.own_rate);
         Duration::from_secs_f64(ahead as f64 / rate.max(1.0))
     }
 
-    fn give_up_late(&mut self, now: Time, key: &QueueKey, fleet: &Fleet) -> Vec<Decision> {
+    fn refuse_late(&mut self, now: Time, key: &QueueKey, model_servers: &Fleet) -> Vec<Decision> {
         if self.policy != Policy::Cost {
             return Vec::new();
         }
@@ -389,9 +402,10 @@
         let Some(queue) = self.queues.get_mut(key) else {
             return Vec::new();
         };
-        let late =
-            queue.take_where(|request| now + times.expect(request, fleet.pace) >= request.deadline);
-        let rate = times.drain_rate(key.long, fleet.own_rate);
+        let late = queue.remove_where(|request| {
+            now + times.expected_time(request, model_servers.pace) >= request.deadline
+        });
+        let rate = times.drain_rate(key.long, model_servers.own_rate);
         let retry_after = Duration::from_secs_f64(queue.tokens() as f64 / rate.max(1.0));
         late.into_iter()
             .map(|request| Decision::Refuse {
@@ -406,7 +420,7 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        fleet: &Fleet,
+        model_servers: &Fleet,
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
         let mut decisions = Vec::new();
@@ -414,20 +428,20 @@
             let Some(head) = queue.peek(now).cloned() else {
                 break;
             };
-            let Some(start) = self.place(now, &head, key.long, fleet, rng) else {
+            let Some(start) = self.place(now, &head, key.long, model_servers, rng) else {
                 break;
             };
             let Some(request) = self.queues.get_mut(key).and_then(|queue| queue.pop(now)) else {
                 break;
             };
             let times = self.service_times.entry(key.model.clone()).or_default();
-            times.count_started(now, key.long, request.prompt_tokens);
+            times.record_started(now, key.long, request.prompt_tokens);
             self.record(now, request, &start);
             decisions.push(Decision::Start(start));
         }
         let backlog = self.queues.get(key).is_some_and(|queue| !queue.is_empty());
         let times = self.service_times.entry(key.model.clone()).or_default();
-        times.set_backlog(now, key.long, backlog, fleet.own_rate);
+        times.set_backlog(now, key.long, backlog, model_servers.own_rate);
         decisions
     }
 
@@ -436,27 +450,32 @@
         now: Time,
         request: &Request,
         long: bool,
-        fleet: &Fleet,
+        model_servers: &Fleet,
         rng: &mut impl Rng,
     ) -> Option<Start> {
-        let mut usable = fleet.serving.clone();
+        let mut usable = model_servers.serving.clone();
         if let Some(avoid) = self.avoid.get(&request.id) {
             let others = |index: &usize| !avoid.contains(&self.servers[*index].info().name);
-            let kept: Vec<_> = usable.iter().copied().filter(others).collect();
-            if !kept.is_empty() {
-                usable = kept;
+            let not_avoided: Vec<_> = usable.iter().copied().filter(others).collect();
+            if !not_avoided.is_empty() {
+                usable = not_avoided;
             }
         }
-        let wanted = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && wanted > fleet.most_memory {
+        let needed_tokens = request.prompt_tokens + request.max_output;
+        if request.prompt_tokens > 0 && needed_tokens > model_servers.most_memory {
             return self.place_group(now, request, &usable);
         }
         match self.policy {
             Policy::Cost if long => self.place_long(now, request, &usable, rng),
             Policy::Cost => self.place_short(now, request, &mut usable, rng),
-            plain => {
-                let chosen =
-                    routing::choose_plain(plain, &self.servers, &usable, &mut self.turn, rng)?;
+            baseline => {
+                let chosen = routing::choose_plain(
+                    baseline,
+                    &self.servers,
+                    &usable,
+                    &mut self.round_robin,
+                    rng,
+                )?;
                 Some(self.start_at(now, request, chosen, Vec::new()))
             }
         }
@@ -494,12 +513,12 @@
         usable: &[usize],
         rng: &mut impl Rng,
     ) -> Option<Start> {
-        let wanted = request.prompt_tokens + request.max_output;
+        let needed_tokens = request.prompt_tokens + request.max_output;
         let mut free: Vec<_> = self
-            .lane(request, usable)
+            .long_engines(request, usable)
             .into_iter()
             .filter(|&index| self.is_free_for_long(now, index))
-            .filter(|&index| long_lane::long_room(&self.servers[index]) >= wanted)
+            .filter(|&index| long_lane::long_room(&self.servers[index]) >= needed_tokens)
             .collect();
         let rank = request.priority.rank(true);
         let cx = self.context(now, free.len());
@@ -507,19 +526,19 @@
         Some(self.start_at(now, request, choice.index, choice.weighed))
     }
 
-    /// The engines that long prompts of this model use, in lane order.
-    fn lane(&self, request: &Request, usable: &[usize]) -> Vec<usize> {
+    /// The engines that run long prompts of the model, in rendezvous-hash order.
+    fn long_engines(&self, request: &Request, usable: &[usize]) -> Vec<usize> {
         let model = &request.model;
-        let mut lane = usable.to_vec();
-        lane.sort_by_cached_key(|&index| {
+        let mut engines = usable.to_vec();
+        engines.sort_by_cached_key(|&index| {
             long_lane::lane_position(model, &self.servers[index].info().name)
         });
         let demand = self.demand.get(model).copied().unwrap_or_default();
-        let size = demand.lane_size(lane.len(), self.settings.long_share_percent);
-        let wanted = request.prompt_tokens + request.max_output;
-        let views = lane.iter().map(|&index| &self.servers[index]);
-        lane.truncate(size.max(long_lane::group_size(views, wanted)));
-        lane
+        let size = demand.lane_size(engines.len(), self.settings.long_share_percent);
+        let needed_tokens = request.prompt_tokens + request.max_output;
+        let views = engines.iter().map(|&index| &self.servers[index]);
+        engines.truncate(size.max(long_lane::group_size(views, needed_tokens)));
+        engines
     }
 
     fn is_free_for_long(&self, now: Time, index: usize) -> bool {
@@ -528,22 +547,22 @@
     }
 
     fn place_group(&self, now: Time, request: &Request, usable: &[usize]) -> Option<Start> {
-        let wanted = request.prompt_tokens + request.max_output;
-        let lane = self.lane(request, usable);
-        let free: Vec<_> = lane
+        let needed_tokens = request.prompt_tokens + request.max_output;
+        let engines = self.long_engines(request, usable);
+        let free: Vec<_> = engines
             .into_iter()
             .rev()
             .filter(|&index| self.is_free_for_long(now, index))
             .map(|index| &self.servers[index])
             .collect();
-        let shares = long_lane::plan_group(&free, request.prompt_tokens, wanted)?;
+        let shares = long_lane::plan_group(&free, request.prompt_tokens, needed_tokens)?;
         let prefill = free.first()?.prefill_time(request.prompt_tokens);
         Some(Start {
             request: request.id,
             placement: Placement::Group(shares),
             prefill,
             waited: now.since(request.arrived),
-            weighed: Vec::new(),
+            candidates: Vec::new(),
         })
     }
 
@@ -552,7 +571,7 @@
         now: Time,
         request: &Request,
         index: usize,
-        weighed: Vec<Candidate>,
+        candidates: Vec<Candidate>,
     ) -> Start {
         let server = &self.servers[index];
         Start {
@@ -560,24 +579,24 @@
             placement: Placement::One(server.info().name.clone()),
             prefill: server.prefill_time(request.prompt_tokens),
             waited: now.since(request.arrived),
-            weighed,
+            candidates,
         }
     }
 
     fn record(&mut self, now: Time, request: Request, start: &Start) {
         let long = self.is_long(&request);
         let rank = request.priority.rank(long);
-        let whole = request.prompt_tokens + request.max_output;
-        let parts: Vec<Share> = match &start.placement {
+        let total_tokens = request.prompt_tokens + request.max_output;
+        let shares: Vec<Share> = match &start.placement {
             Placement::One(name) => vec![Share {
                 server: name.clone(),
-                tokens: whole,
+                tokens: total_tokens,
                 prompt: request.prompt_tokens,
             }],
             Placement::Group(shares) => shares.clone(),
         };
-        for share in parts {
-            let work = OwnWork {
+        for share in shares {
+            let sent_request = OwnWork {
                 rank,
                 prefill: share.prompt,
                 memory: share.tokens,
@@ -586,7 +605,7 @@
                 started_at: None,
             };
             if let Some(&index) = self.by_name.get(&share.server) {
-                self.servers[index].sent(request.id, work);
+                self.servers[index].sent(request.id, sent_request);
             }
         }
         let avoid = self.avoid.remove(&request.id).unwrap_or_default();
