--- a/cli/src/commands/settings_check.rs
+++ b/cli/src/commands/settings_check.rs
@@ -53,7 +53,11 @@
         CommandError::new(Failure::Refused, format!("{}: {cause}", path.display()))
             .hint("`badgerferry settings show --json` prints a tree in this form")
     })?;
-    let faults: Vec<_> = tree.faults().iter().map(ToString::to_string).collect();
+    let faults: Vec<_> = tree
+        .validation_errors()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     if faults.is_empty() {
         return Ok(tree);
     }
--- a/cli/src/commands/settings_export.rs
+++ b/cli/src/commands/settings_export.rs
@@ -23,7 +23,7 @@
 pub async fn cmd_settings_export(session: &Session, args: SettingsExportArgs) -> CommandResult {
     let current = session.current().await?;
     let snapshot = SettingsSnapshot::new(current.head.revision, current.tree);
-    std::fs::write(&args.file, snapshot.to_text()).map_err(|cause| {
+    std::fs::write(&args.file, snapshot.to_json()).map_err(|cause| {
         let message = format!("failed to write {}: {cause}", args.file.display());
         CommandError::new(Failure::Refused, message)
     })?;
--- a/cli/src/commands/settings_import.rs
+++ b/cli/src/commands/settings_import.rs
@@ -30,7 +30,7 @@
 /// Commits what differs from the backup.
 pub async fn cmd_settings_import(session: &Session, args: SettingsImportArgs) -> CommandResult {
     let text = read_file(&args.file)?;
-    let snapshot = SettingsSnapshot::from_text(&text).map_err(|cause| {
+    let snapshot = SettingsSnapshot::from_json(&text).map_err(|cause| {
         CommandError::new(
             Failure::Refused,
             format!("{}: {cause}", args.file.display()),
--- a/cli/src/commands/settings_log.rs
+++ b/cli/src/commands/settings_log.rs
@@ -1,7 +1,7 @@
 //! `badgerferry settings log`
 
 use argh::FromArgs;
-use badgerferry_lib::settings_head::Committed;
+use badgerferry_lib::settings_head::CommittedEdit;
 
 use crate::commands::settings_diff::change_line;
 use crate::exit::CommandResult;
@@ -23,7 +23,7 @@
 /// Prints the edits.
 pub async fn cmd_settings_log(session: &Session, args: SettingsLogArgs) -> CommandResult {
     let current = session.current().await?;
-    let mut edits: Vec<Committed> = current.head.edits;
+    let mut edits: Vec<CommittedEdit> = current.head.edits;
     edits.reverse();
     let mut before = current.checkpoint;
     while let Some(checkpoint) = before.take().filter(|_| edits.len() < args.limit) {
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-fn entry(committed: &Committed) -> String {
+fn entry(committed: &CommittedEdit) -> String {
     let edit = &committed.edit;
     let mut text = format!(
         "revision {}  edit {}  by {}\n",
--- a/cli/src/session.rs
+++ b/cli/src/session.rs
@@ -11,8 +11,8 @@
 use badgerferry_lib::ids::Revision;
 use badgerferry_lib::platform_wire::BoxInfo;
 use badgerferry_lib::settings_commit::CommitAction;
-use badgerferry_lib::settings_commit::CommitEnd;
 use badgerferry_lib::settings_commit::CommitEvent;
+use badgerferry_lib::settings_commit::CommitOutcome;
 use badgerferry_lib::settings_commit::NoAnswer;
 use badgerferry_lib::settings_commit::Rejection;
 use badgerferry_lib::settings_commit::SettingsCommit;
@@ -23,7 +23,7 @@
 use badgerferry_lib::settings_head::HEAD_KEY;
 use badgerferry_lib::settings_head::Head;
 use badgerferry_lib::settings_head::decode;
-use badgerferry_lib::settings_head::old_checkpoints;
+use badgerferry_lib::settings_head::prunable_checkpoints;
 use badgerferry_lib::settings_tree::Change;
 use badgerferry_lib::settings_tree::SettingsTree;
 use badgerferry_lib::status_wire::DaemonStatus;
@@ -183,11 +183,11 @@
             CommitAction::SwapHead { expect, value } => {
                 CommitEvent::Swapped(self.platform.swap(HEAD_KEY, expect, value, None).await)
             }
-            CommitAction::Pause(span) => {
+            CommitAction::Backoff(span) => {
                 tokio::time::sleep(span).await;
-                CommitEvent::Resumed
+                CommitEvent::BackoffElapsed
             }
-            CommitAction::Done(_) => CommitEvent::Resumed,
+            CommitAction::Done(_) => CommitEvent::BackoffElapsed,
         }
     }
 
@@ -195,22 +195,22 @@
         &self,
         id: EditId,
         base: Revision,
-        end: CommitEnd,
+        end: CommitOutcome,
     ) -> Result<Revision, CommandError> {
         match end {
-            CommitEnd::Accepted(accepted) => Ok(accepted.revision),
-            CommitEnd::Rejected(why @ Rejection::Conflict(_)) => {
+            CommitOutcome::Accepted(accepted) => Ok(accepted.revision),
+            CommitOutcome::Rejected(why @ Rejection::Conflict(_)) => {
                 let message = format!("failed to commit edit {id} on revision {base}: {why}");
                 Err(CommandError::new(Failure::Conflict, message)
                     .hint("see `badgerferry settings log`, then edit again"))
             }
-            CommitEnd::Rejected(why) => {
+            CommitOutcome::Rejected(why) => {
                 let message = format!("failed to commit edit {id} on revision {base}: {why}");
                 Err(CommandError::new(Failure::Refused, message)
                     .hint("nothing was changed; `badgerferry settings keys` lists the settings"))
             }
-            CommitEnd::NotSent => Err(self.no_answer("commit the edit")),
-            CommitEnd::Unsure => {
+            CommitOutcome::NotSent => Err(self.no_answer("commit the edit")),
+            CommitOutcome::Unknown => {
                 let message = format!(
                     "edit {id} was sent and the platform does not say whether it took effect"
                 );
@@ -225,7 +225,7 @@
     /// Removes checkpoints that are older than the history that is kept.
     async fn remove_old_checkpoints(&self) -> Result<(), NoAnswer> {
         let keys = self.platform.list(CHECKPOINT_PREFIX).await?;
-        for key in old_checkpoints(keys, KEPT_CHECKPOINTS) {
+        for key in prunable_checkpoints(keys, KEPT_CHECKPOINTS) {
             let found = self.platform.read(&key).await?;
             self.platform.delete(&key, found.version).await?;
         }
--- a/daemon/src/caller.rs
+++ b/daemon/src/caller.rs
@@ -72,7 +72,7 @@
         ));
     };
     let key = text.strip_prefix("Bearer ").unwrap_or_default();
-    let found = view.workspace_of_key(key);
+    let found = view.workspace_for_key(key);
     found
         .cloned()
         .ok_or_else(|| wrong("the key opens no workspace"))
--- a/daemon/src/once_claim.rs
+++ b/daemon/src/once_claim.rs
@@ -11,7 +11,7 @@
 use badgerferry_lib::ids::RequestId;
 use badgerferry_lib::ids::WorkspaceName;
 use badgerferry_lib::outcome::RefusalReason;
-use badgerferry_lib::settings_commit::SwapAnswer;
+use badgerferry_lib::settings_commit::SwapResponse;
 use sha2::Digest;
 use sha2::Sha256;
 
@@ -59,7 +59,7 @@
         .platform
         .swap(&key, 0, mine.clone(), Some(CLAIM_TTL))
         .await;
-    if written == Ok(SwapAnswer::Swapped) {
+    if written == Ok(SwapResponse::Swapped) {
         return Ok(claim);
     }
     // A conflict may be with this very write, if its answer was lost below us.
@@ -94,7 +94,7 @@
     match traffic.platform.read(&claim.key).await {
         Ok(found) if found.value.as_ref() == Some(&claim.mine) => {
             let deleted = traffic.platform.delete(&claim.key, found.version).await;
-            deleted == Ok(SwapAnswer::Swapped)
+            deleted == Ok(SwapResponse::Swapped)
         }
         // Nothing there: a write whose answer was lost may still come, so look again.
         Ok(found) => found.value.is_some(),
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -16,7 +16,7 @@
 use badgerferry_lib::peer_wire;
 use badgerferry_lib::peer_wire::MAX_FRAME_BYTES;
 use badgerferry_lib::peer_wire::PeerMessage;
-use badgerferry_lib::settings_follow::Followed;
+use badgerferry_lib::settings_follower::FollowOutcome;
 use badgerferry_lib::settings_head::Head;
 use badgerferry_lib::settings_head::decode;
 use badgerferry_lib::settings_head::encode;
@@ -222,8 +222,8 @@
         return false;
     };
     let checkpoint = checkpoint.and_then(|bytes| decode(&bytes).ok());
-    let followed = lock(&traffic.follow).on_peer(head, checkpoint);
-    let needs_checkpoint = matches!(followed, Followed::NeedsCheckpoint(_));
+    let followed = lock(&traffic.follow).on_peer_head(head, checkpoint);
+    let needs_checkpoint = matches!(followed, FollowOutcome::NeedsCheckpoint(_));
     settings_watch::settle(traffic, followed);
     needs_checkpoint
 }
--- a/daemon/src/settings_watch.rs
+++ b/daemon/src/settings_watch.rs
@@ -8,8 +8,8 @@
 use badgerferry_lib::settings_commit::Version;
 use badgerferry_lib::settings_commit::Versioned;
 use badgerferry_lib::settings_commit::read_head;
-use badgerferry_lib::settings_follow::Followed;
-use badgerferry_lib::settings_follow::InForce;
+use badgerferry_lib::settings_follower::ActiveSettings;
+use badgerferry_lib::settings_follower::FollowOutcome;
 use badgerferry_lib::settings_head::Checkpoint;
 use badgerferry_lib::settings_head::HEAD_KEY;
 use badgerferry_lib::settings_head::decode;
@@ -63,16 +63,16 @@
         Ok(head) => head,
         Err(fault) => {
             // Noted before it is told, or `status` would show it a whole watch later.
-            lock(&traffic.follow).note_fault(fault.clone());
-            settle(traffic, Followed::Refused(fault));
+            lock(&traffic.follow).record_error(fault.clone());
+            settle(traffic, FollowOutcome::Rejected(fault));
             return Some(found.version);
         }
     };
-    let offered = lock(&traffic.follow).on_platform(asked_at, head.clone(), None);
+    let offered = lock(&traffic.follow).on_platform_head(asked_at, head.clone(), None);
     let followed = match offered {
-        Followed::NeedsCheckpoint(key) => {
+        FollowOutcome::NeedsCheckpoint(key) => {
             let checkpoint = read_checkpoint(traffic, &key).await?;
-            lock(&traffic.follow).on_platform(asked_at, head, Some(checkpoint))
+            lock(&traffic.follow).on_platform_head(asked_at, head, Some(checkpoint))
         }
         other => other,
     };
@@ -86,18 +86,18 @@
 }
 
 /// Puts a newer revision in force, and tells of one that can't be used.
-pub fn settle(traffic: &Traffic, followed: Followed) {
+pub fn settle(traffic: &Traffic, followed: FollowOutcome) {
     match followed {
-        Followed::Advanced(in_force) => publish(traffic, &in_force),
-        Followed::Refused(fault) => {
+        FollowOutcome::Advanced(in_force) => publish(traffic, &in_force),
+        FollowOutcome::Rejected(fault) => {
             tracing::error!(fault = %fault, "the newest settings can't be used; the last good stay");
         }
-        Followed::Unchanged | Followed::NeedsCheckpoint(_) => {}
+        FollowOutcome::Unchanged | FollowOutcome::NeedsCheckpoint(_) => {}
     }
     publish_status(traffic);
 }
 
-fn publish(traffic: &Traffic, in_force: &InForce) {
+fn publish(traffic: &Traffic, in_force: &ActiveSettings) {
     let view = SettingsView::new(in_force, traffic.config.hall.as_str());
     traffic.dispatcher().set_settings(view.routing.clone());
     // Another thread may have published a newer one in between: only forward.
@@ -112,6 +112,6 @@
     let follow = lock(&traffic.follow);
     let mut status = lock(&traffic.status);
     status.settings.revision = follow.revision();
-    status.settings.fault = follow.fault().map(ToString::to_string);
+    status.settings.fault = follow.last_error().map(ToString::to_string);
     status.confirmed_at = follow.confirmed_at();
 }
--- a/daemon/src/traffic.rs
+++ b/daemon/src/traffic.rs
@@ -27,8 +27,8 @@
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::membership::Membership;
 use badgerferry_lib::routing::Policy;
-use badgerferry_lib::settings_follow::InForce;
-use badgerferry_lib::settings_follow::SettingsFollow;
+use badgerferry_lib::settings_follower::ActiveSettings;
+use badgerferry_lib::settings_follower::SettingsFollower;
 use badgerferry_lib::settings_tree::SettingsTree;
 use badgerferry_lib::settings_view::SettingsView;
 use badgerferry_lib::token_estimate::TokenEstimate;
@@ -94,7 +94,7 @@
     /// Whether a signal has begun a planned stop, which nothing takes back.
     pub stop_signalled: AtomicBool,
     /// The settings' follower; control and the peers' listener feed it.
-    pub follow: Mutex<SettingsFollow>,
+    pub follow: Mutex<SettingsFollower>,
     /// What control last told of the box's state, for `status`.
     pub status: Mutex<control::ControlStatus>,
     /// Metrics.
@@ -110,7 +110,7 @@
 
 impl Traffic {
     fn new(config: BoxConfig, metrics: PrometheusHandle) -> Self {
-        let defaults = InForce {
+        let defaults = ActiveSettings {
             revision: badgerferry_lib::ids::Revision::default(),
             tree: SettingsTree::default(),
         };
--- a/edges/src/platform.rs
+++ b/edges/src/platform.rs
@@ -7,7 +7,7 @@
 use badgerferry_lib::platform_wire::LeaseRequest;
 use badgerferry_lib::platform_wire::VERSION_HEADER;
 use badgerferry_lib::settings_commit::NoAnswer;
-use badgerferry_lib::settings_commit::SwapAnswer;
+use badgerferry_lib::settings_commit::SwapResponse;
 use badgerferry_lib::settings_commit::Version;
 use badgerferry_lib::settings_commit::Versioned;
 use hyper::Method;
@@ -42,14 +42,14 @@
         expect: Version,
         value: Vec<u8>,
         ttl: Option<Duration>,
-    ) -> impl Future<Output = Result<SwapAnswer, NoAnswer>> + Send;
+    ) -> impl Future<Output = Result<SwapResponse, NoAnswer>> + Send;
 
     /// Deletes a key if it stands at `expect`.
     fn delete(
         &self,
         key: &str,
         expect: Version,
-    ) -> impl Future<Output = Result<SwapAnswer, NoAnswer>> + Send;
+    ) -> impl Future<Output = Result<SwapResponse, NoAnswer>> + Send;
 
     /// Keys with a prefix.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Vec<String>, NoAnswer>> + Send;
@@ -110,10 +110,10 @@
     }
 }
 
-const fn swap_answer(answer: &Answer) -> Result<SwapAnswer, NoAnswer> {
+const fn swap_answer(answer: &Answer) -> Result<SwapResponse, NoAnswer> {
     match answer.status {
-        StatusCode::OK => Ok(SwapAnswer::Swapped),
-        StatusCode::CONFLICT => Ok(SwapAnswer::Conflict),
+        StatusCode::OK => Ok(SwapResponse::Swapped),
+        StatusCode::CONFLICT => Ok(SwapResponse::Conflict),
         _ => Err(NoAnswer),
     }
 }
@@ -155,7 +155,7 @@
         expect: Version,
         value: Vec<u8>,
         ttl: Option<Duration>,
-    ) -> Result<SwapAnswer, NoAnswer> {
+    ) -> Result<SwapResponse, NoAnswer> {
         let path = match ttl {
             Some(ttl) => format!(
                 "/v1/kv?key={key}&expect={expect}&ttl_ms={}",
@@ -166,7 +166,7 @@
         swap_answer(&self.call(Method::PUT, &path, value).await?)
     }
 
-    async fn delete(&self, key: &str, expect: Version) -> Result<SwapAnswer, NoAnswer> {
+    async fn delete(&self, key: &str, expect: Version) -> Result<SwapResponse, NoAnswer> {
         let path = format!("/v1/kv?key={key}&expect={expect}");
         swap_answer(&self.call(Method::DELETE, &path, Bytes::new()).await?)
     }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod server_view;
 pub mod service_time;
 pub mod settings_commit;
-pub mod settings_follow;
+pub mod settings_follower;
 pub mod settings_head;
 pub mod settings_schema;
 pub mod settings_snapshot;
--- a/lib/src/settings_commit.rs
+++ b/lib/src/settings_commit.rs
@@ -17,7 +17,7 @@
 use crate::ids::Revision;
 use crate::settings_head::Checkpoint;
 use crate::settings_head::CheckpointRef;
-use crate::settings_head::Committed;
+use crate::settings_head::CommittedEdit;
 use crate::settings_head::Edit;
 use crate::settings_head::Head;
 use crate::settings_head::HeadError;
@@ -53,7 +53,7 @@
 
 /// What the platform said to a swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SwapAnswer {
+pub enum SwapResponse {
     /// It took effect.
     Swapped,
     /// The key stood at another version.
@@ -70,9 +70,9 @@
     /// A checkpoint was written, or certainly was there already.
     Written(Result<(), NoAnswer>),
     /// The head was swapped, or not.
-    Swapped(Result<SwapAnswer, NoAnswer>),
+    Swapped(Result<SwapResponse, NoAnswer>),
     /// A pause ended.
-    Resumed,
+    BackoffElapsed,
 }
 
 /// What to do next; exactly one at a time.
@@ -97,20 +97,20 @@
         value: Vec<u8>,
     },
     /// Wait, then resume.
-    Pause(Duration),
+    Backoff(Duration),
     /// The edit has ended.
-    Done(CommitEnd),
+    Done(CommitOutcome),
 }
 
 /// How the edit ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CommitEnd {
+pub enum CommitOutcome {
     /// It is in, and in every later revision.
     Accepted(Accepted),
     /// It is not in and never will be.
     Rejected(Rejection),
     /// The platform gave no answer until the operator's limit; submit the same id again.
-    Unsure,
+    Unknown,
     /// The platform gave no answer, and this submission never sent a swap.
     NotSent,
 }
@@ -127,7 +127,7 @@
 pub enum Rejection {
     /// Another operator changed the same part first.
     #[error("revision {} by {} changed the same part", .0.revision, .0.edit.author)]
-    Conflict(Box<Committed>),
+    Conflict(Box<CommittedEdit>),
     /// The edit does not fit the tree.
     #[error(transparent)]
     Tree(#[from] TreeError),
@@ -142,10 +142,10 @@
     EditTooLarge,
     /// Too many other edits came first.
     #[error("{MAX_LOST_RACES} other edits came first; try again")]
-    TooManyRaces,
+    TooManyConflicts,
     /// What is stored cannot be read.
     #[error("the stored settings can't be used: {0}")]
-    Stored(#[from] HeadError),
+    InvalidStored(#[from] HeadError),
     /// The base is older than the history that is kept.
     #[error("revision {0} is too old to edit from; read the tree again")]
     BaseTooOld(Revision),
@@ -179,7 +179,7 @@
 pub struct SettingsCommit {
     edit: Edit,
     base: Revision,
-    give_up_at: Time,
+    deadline: Time,
     step: Step,
     attempted: Option<Attempt>,
     checkpoint: Option<(CheckpointRef, Checkpoint)>,
@@ -189,12 +189,12 @@
 }
 
 impl SettingsCommit {
-    /// An edit made on what the operator saw at `base`, to be settled by `give_up_at`.
-    pub const fn new(edit: Edit, base: Revision, give_up_at: Time) -> Self {
+    /// An edit made on what the operator saw at `base`, to be settled by `deadline`.
+    pub const fn new(edit: Edit, base: Revision, deadline: Time) -> Self {
         Self {
             edit,
             base,
-            give_up_at,
+            deadline,
             step: Step::Reading,
             attempted: None,
             checkpoint: None,
@@ -219,10 +219,10 @@
         match (step, event) {
             (Step::Ended, _) => {
                 self.step = Step::Ended;
-                CommitAction::Done(CommitEnd::Unsure)
+                CommitAction::Done(CommitOutcome::Unknown)
             }
-            (Step::Reading | Step::Pausing, CommitEvent::Start | CommitEvent::Resumed)
-            | (Step::Swapping, CommitEvent::Swapped(Ok(SwapAnswer::Conflict))) => {
+            (Step::Reading | Step::Pausing, CommitEvent::Start | CommitEvent::BackoffElapsed)
+            | (Step::Swapping, CommitEvent::Swapped(Ok(SwapResponse::Conflict))) => {
                 CommitAction::ReadHead
             }
             (Step::Reading, CommitEvent::Read(Ok(found))) => self.on_head(now, found),
@@ -230,35 +230,35 @@
                 self.on_checkpoint(now, then, head, &found)
             }
             (Step::Writing(attempt), CommitEvent::Written(Ok(()))) => self.swap(attempt),
-            (Step::Swapping, CommitEvent::Swapped(Ok(SwapAnswer::Swapped))) => {
+            (Step::Swapping, CommitEvent::Swapped(Ok(SwapResponse::Swapped))) => {
                 let revision = self.attempted.as_ref().map(|attempt| attempt.revision);
                 let revision = revision.expect("a swap was attempted");
-                self.end(CommitEnd::Accepted(Accepted { revision }))
+                self.end(CommitOutcome::Accepted(Accepted { revision }))
             }
             _ => self.on_silence(now),
         }
     }
 
-    fn end(&mut self, end: CommitEnd) -> CommitAction {
+    fn end(&mut self, end: CommitOutcome) -> CommitAction {
         self.step = Step::Ended;
         CommitAction::Done(end)
     }
 
     fn reject(&mut self, why: impl Into<Rejection>) -> CommitAction {
-        self.end(CommitEnd::Rejected(why.into()))
+        self.end(CommitOutcome::Rejected(why.into()))
     }
 
     fn on_silence(&mut self, now: Time) -> CommitAction {
-        if now >= self.give_up_at {
+        if now >= self.deadline {
             return match self.attempted {
-                Some(_) => self.end(CommitEnd::Unsure),
-                None => self.end(CommitEnd::NotSent),
+                Some(_) => self.end(CommitOutcome::Unknown),
+                None => self.end(CommitOutcome::NotSent),
             };
         }
         self.step = Step::Pausing;
         let pause = self.pause;
         self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-        CommitAction::Pause(pause)
+        CommitAction::Backoff(pause)
     }
 
     fn on_head(&mut self, now: Time, found: Versioned) -> CommitAction {
@@ -276,7 +276,7 @@
         };
         if let Some(committed) = head.find(self.edit.id) {
             let revision = committed.revision;
-            return self.end(CommitEnd::Accepted(Accepted { revision }));
+            return self.end(CommitOutcome::Accepted(Accepted { revision }));
         }
         match &self.attempted {
             Some(attempt) if attempt.base == found.version => {
@@ -341,7 +341,7 @@
             .find(|row| row.edit.id == self.edit.id);
         if let Some(committed) = mine {
             let revision = committed.revision;
-            return self.end(CommitEnd::Accepted(Accepted { revision }));
+            return self.end(CommitOutcome::Accepted(Accepted { revision }));
         }
         let previous = checkpoint.previous.clone();
         let reaches = previous
@@ -370,7 +370,7 @@
             self.lost_races += 1;
         }
         if self.lost_races >= MAX_LOST_RACES {
-            return self.reject(Rejection::TooManyRaces);
+            return self.reject(Rejection::TooManyConflicts);
         }
         let checkpoint = match (&head.checkpoint, &self.checkpoint) {
             (None, _) => None,
@@ -384,7 +384,7 @@
         self.propose(found.version, head, &tree)
     }
 
-    fn conflicting(&self, head: &Head) -> Option<Committed> {
+    fn conflicting(&self, head: &Head) -> Option<CommittedEdit> {
         self.walked
             .iter()
             .flat_map(|checkpoint| &checkpoint.edits)
@@ -402,15 +402,15 @@
         if bytes + crate::settings_head::MAX_HEAD_EDIT_BYTES * 2 > MAX_VALUE_BYTES {
             return self.reject(Rejection::TooLarge { bytes });
         }
-        if !Head::default().has_room_for(&self.edit) {
+        if !Head::default().fits(&self.edit) {
             return self.reject(Rejection::EditTooLarge);
         }
         let revision = head.revision.next();
-        let committed = Committed {
+        let committed = CommittedEdit {
             revision,
             edit: self.edit.clone(),
         };
-        if head.has_room_for(&self.edit) {
+        if head.fits(&self.edit) {
             let mut next = head;
             next.revision = revision;
             next.edits.push(committed);
@@ -429,7 +429,7 @@
         version: Version,
         head: Head,
         tree: &SettingsTree,
-        committed: Committed,
+        committed: CommittedEdit,
     ) -> CommitAction {
         let checkpoint = Checkpoint {
             revision: head.revision,
--- a/lib/src/settings_follow.rs
+++ b/lib/src/settings_follower.rs
@@ -17,7 +17,7 @@
 
 /// A revision in force: an immutable snapshot.
 #[derive(Debug, Clone, PartialEq)]
-pub struct InForce {
+pub struct ActiveSettings {
     /// Its number.
     pub revision: Revision,
     /// The tree.
@@ -26,36 +26,36 @@
 
 /// What came of an offered head.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Followed {
+pub enum FollowOutcome {
     /// A newer revision is in force now.
-    Advanced(Arc<InForce>),
+    Advanced(Arc<ActiveSettings>),
     /// Nothing newer.
     Unchanged,
     /// The head starts from this checkpoint; offer the head again with it.
     NeedsCheckpoint(String),
     /// It cannot be used; the last good revision stays.
-    Refused(HeadError),
+    Rejected(HeadError),
 }
 
 /// The follower's state.
 #[derive(Debug, Default)]
-pub struct SettingsFollow {
-    in_force: Option<Arc<InForce>>,
+pub struct SettingsFollower {
+    active: Option<Arc<ActiveSettings>>,
     head: Option<Head>,
     checkpoint: Option<Checkpoint>,
     confirmed_at: Option<Time>,
-    fault: Option<HeadError>,
+    last_error: Option<HeadError>,
 }
 
-impl SettingsFollow {
+impl SettingsFollower {
     /// The snapshot in force; none before the first.
-    pub const fn in_force(&self) -> Option<&Arc<InForce>> {
-        self.in_force.as_ref()
+    pub const fn active(&self) -> Option<&Arc<ActiveSettings>> {
+        self.active.as_ref()
     }
 
     /// The revision in force; zero before the first.
     pub fn revision(&self) -> Revision {
-        self.in_force
+        self.active
             .as_ref()
             .map_or(Revision::default(), |found| found.revision)
     }
@@ -71,8 +71,8 @@
     }
 
     /// The last value that could not be used, until a newer one could.
-    pub const fn fault(&self) -> Option<&HeadError> {
-        self.fault.as_ref()
+    pub const fn last_error(&self) -> Option<&HeadError> {
+        self.last_error.as_ref()
     }
 
     /// When the platform last confirmed that this is the newest revision.
@@ -81,15 +81,15 @@
     }
 
     /// Takes the platform's own answer.
-    pub fn on_platform(
+    pub fn on_platform_head(
         &mut self,
         asked_at: Time,
         head: Head,
         checkpoint: Option<Checkpoint>,
-    ) -> Followed {
+    ) -> FollowOutcome {
         let offered = head.revision;
         let followed = self.offer(head, checkpoint);
-        if self.in_force.is_some() && self.revision() == offered {
+        if self.active.is_some() && self.revision() == offered {
             self.confirmed_at = Some(asked_at);
         }
         followed
@@ -97,43 +97,43 @@
 
     /// Records that the platform, asked then, still had the head that it told of last.
     pub const fn confirm(&mut self, asked_at: Time) {
-        if self.fault.is_none() && self.in_force.is_some() {
+        if self.last_error.is_none() && self.active.is_some() {
             self.confirmed_at = Some(asked_at);
         }
     }
 
     /// Records a value that is no head; the last good revision stays.
-    pub fn note_fault(&mut self, fault: HeadError) {
-        self.fault = Some(fault);
+    pub fn record_error(&mut self, error: HeadError) {
+        self.last_error = Some(error);
     }
 
     /// Takes a head from a peer.
-    pub fn on_peer(&mut self, head: Head, checkpoint: Option<Checkpoint>) -> Followed {
+    pub fn on_peer_head(&mut self, head: Head, checkpoint: Option<Checkpoint>) -> FollowOutcome {
         self.offer(head, checkpoint)
     }
 
-    fn offer(&mut self, head: Head, checkpoint: Option<Checkpoint>) -> Followed {
-        let have = self.in_force.as_ref().map(|found| found.revision);
+    fn offer(&mut self, head: Head, checkpoint: Option<Checkpoint>) -> FollowOutcome {
+        let have = self.active.as_ref().map(|found| found.revision);
         if have.is_some_and(|revision| head.revision <= revision) {
-            return Followed::Unchanged;
+            return FollowOutcome::Unchanged;
         }
         let checkpoint = checkpoint.or_else(|| self.checkpoint.clone());
         let usable = checkpoint.filter(|found| {
             let wanted = head.checkpoint.as_ref();
             wanted.is_some_and(|wanted| wanted.revision == found.revision)
         });
-        let tree = match (&self.in_force, &head.checkpoint, &usable) {
+        let tree = match (&self.active, &head.checkpoint, &usable) {
             (Some(current), _, _) if current.revision >= head.base_revision() => {
                 head.advance(current.revision, &current.tree)
             }
-            (_, Some(wanted), None) => return Followed::NeedsCheckpoint(wanted.key.clone()),
+            (_, Some(wanted), None) => return FollowOutcome::NeedsCheckpoint(wanted.key.clone()),
             _ => head.tree(usable.as_ref()),
         };
         match tree {
-            Ok(tree) => Followed::Advanced(self.advance(head, usable, tree)),
-            Err(fault) => {
-                self.fault = Some(fault.clone());
-                Followed::Refused(fault)
+            Ok(tree) => FollowOutcome::Advanced(self.advance(head, usable, tree)),
+            Err(error) => {
+                self.last_error = Some(error.clone());
+                FollowOutcome::Rejected(error)
             }
         }
     }
@@ -143,21 +143,21 @@
         head: Head,
         checkpoint: Option<Checkpoint>,
         tree: SettingsTree,
-    ) -> Arc<InForce> {
+    ) -> Arc<ActiveSettings> {
         assert!(
-            self.in_force.is_none() || head.revision > self.revision(),
+            self.active.is_none() || head.revision > self.revision(),
             "settings never go back: {} after {}",
             head.revision,
             self.revision()
         );
-        let in_force = Arc::new(InForce {
+        let active = Arc::new(ActiveSettings {
             revision: head.revision,
             tree,
         });
-        self.in_force = Some(Arc::clone(&in_force));
+        self.active = Some(Arc::clone(&active));
         self.checkpoint = checkpoint;
         self.head = Some(head);
-        self.fault = None;
-        in_force
+        self.last_error = None;
+        active
     }
 }
--- a/lib/src/settings_head.rs
+++ b/lib/src/settings_head.rs
@@ -15,7 +15,7 @@
 use crate::ids::EditId;
 use crate::ids::Revision;
 use crate::settings_tree::Change;
-use crate::settings_tree::Part;
+use crate::settings_tree::ChangeTarget;
 use crate::settings_tree::SettingsTree;
 use crate::settings_tree::TreeError;
 
@@ -45,20 +45,20 @@
 
 impl Edit {
     /// The parts of the tree that it touches.
-    pub fn parts(&self) -> impl Iterator<Item = Part> + '_ {
-        self.changes.iter().map(Change::part)
+    pub fn targets(&self) -> impl Iterator<Item = ChangeTarget> + '_ {
+        self.changes.iter().map(Change::target)
     }
 
     /// Whether it touches a part that `other` touches too.
     pub fn overlaps(&self, other: &Self) -> bool {
-        self.parts()
-            .any(|mine| other.parts().any(|theirs| mine.overlaps(&theirs)))
+        self.targets()
+            .any(|mine| other.targets().any(|theirs| mine.overlaps(&theirs)))
     }
 }
 
 /// An edit that was committed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Committed {
+pub struct CommittedEdit {
     /// The revision that it made.
     pub revision: Revision,
     /// The edit.
@@ -82,7 +82,7 @@
     /// The tree.
     pub tree: SettingsTree,
     /// Edits since the checkpoint before, oldest first.
-    pub edits: Vec<Committed>,
+    pub edits: Vec<CommittedEdit>,
     /// The checkpoint before; none for the first.
     pub previous: Option<CheckpointRef>,
 }
@@ -115,7 +115,7 @@
     /// The checkpoint to start from; none means the default tree at revision 0.
     pub checkpoint: Option<CheckpointRef>,
     /// Edits since the checkpoint, oldest first, without a gap.
-    pub edits: Vec<Committed>,
+    pub edits: Vec<CommittedEdit>,
 }
 
 /// Why a stored value cannot be used.
@@ -126,7 +126,7 @@
     Unreadable(String),
     /// The edits do not follow each other from the checkpoint on.
     #[error("the head's edits have a gap at revision {0}")]
-    Gap(Revision),
+    RevisionGap(Revision),
     /// The checkpoint is not the one that the head names.
     #[error("checkpoint {found} in place of {wanted}")]
     WrongCheckpoint {
@@ -137,7 +137,7 @@
     },
     /// An edit does not apply, or the tree it makes is unsound.
     #[error("revision {revision} can't be applied: {source}")]
-    Unsound {
+    InvalidEdit {
         /// The revision.
         revision: Revision,
         /// Why.
@@ -157,11 +157,11 @@
         for committed in &head.edits {
             expected = expected.next();
             if committed.revision != expected {
-                return Err(HeadError::Gap(expected));
+                return Err(HeadError::RevisionGap(expected));
             }
         }
         if expected != head.revision {
-            return Err(HeadError::Gap(head.revision));
+            return Err(HeadError::RevisionGap(head.revision));
         }
         Ok(head)
     }
@@ -204,27 +204,27 @@
     /// The head does not reach back to `from`, or an edit does not apply.
     pub fn advance(&self, from: Revision, tree: &SettingsTree) -> Result<SettingsTree, HeadError> {
         if from < self.base_revision() {
-            return Err(HeadError::Gap(from.next()));
+            return Err(HeadError::RevisionGap(from.next()));
         }
         let mut tree = tree.clone();
         for committed in self.edits.iter().filter(|edit| edit.revision > from) {
-            tree = tree
-                .apply(&committed.edit.changes)
-                .map_err(|source| HeadError::Unsound {
-                    revision: committed.revision,
-                    source,
-                })?;
+            tree =
+                tree.apply(&committed.edit.changes)
+                    .map_err(|source| HeadError::InvalidEdit {
+                        revision: committed.revision,
+                        source,
+                    })?;
         }
         Ok(tree)
     }
 
     /// The committed form of an edit, if this head carries it.
-    pub fn find(&self, id: EditId) -> Option<&Committed> {
+    pub fn find(&self, id: EditId) -> Option<&CommittedEdit> {
         self.edits.iter().find(|committed| committed.edit.id == id)
     }
 
     /// Whether another edit of this size still fits.
-    pub fn has_room_for(&self, edit: &Edit) -> bool {
+    pub fn fits(&self, edit: &Edit) -> bool {
         let bytes = encode(&self.edits).len() + encode(edit).len();
         self.edits.len() < MAX_HEAD_EDITS && bytes <= MAX_HEAD_EDIT_BYTES
     }
@@ -241,7 +241,7 @@
 ///
 /// One that a slow editor is about to name is newer than the head's own, so it is never
 /// among them while its swap can still succeed; see `docs/design/settings.md`.
-pub fn old_checkpoints(mut keys: Vec<String>, kept: usize) -> Vec<String> {
+pub fn prunable_checkpoints(mut keys: Vec<String>, kept: usize) -> Vec<String> {
     keys.sort_by_key(|key| std::cmp::Reverse(key_revision(key)));
     keys.split_off(kept.min(keys.len()))
 }
--- a/lib/src/settings_snapshot.rs
+++ b/lib/src/settings_snapshot.rs
@@ -66,7 +66,7 @@
     /// # Panics
     ///
     /// Never: the content is plain data with string keys.
-    pub fn to_text(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).expect("plain data always encodes")
     }
 
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// It is no backup, was changed, or holds an unsound tree.
-    pub fn from_text(text: &str) -> Result<Self, SnapshotError> {
+    pub fn from_json(text: &str) -> Result<Self, SnapshotError> {
         let snapshot: Self = serde_json::from_str(text)
             .map_err(|cause| SnapshotError::Unreadable(cause.to_string()))?;
         if snapshot.form != FORM {
@@ -84,7 +84,7 @@
         if snapshot.digest != digest(snapshot.revision, &snapshot.tree) {
             return Err(SnapshotError::Digest);
         }
-        match snapshot.tree.faults().into_iter().next() {
+        match snapshot.tree.validation_errors().into_iter().next() {
             Some(fault) => Err(fault.into()),
             None => Ok(snapshot),
         }
--- a/lib/src/settings_tree.rs
+++ b/lib/src/settings_tree.rs
@@ -96,14 +96,14 @@
 
 /// A part of the tree that a change touches; two edits conflict if they share one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Part {
+pub struct ChangeTarget {
     /// The node touched.
     pub node: NodeName,
     /// The key touched; none for the node's own being and descent.
     pub key: Option<String>,
 }
 
-impl Part {
+impl ChangeTarget {
     /// Whether two edits that touch these parts conflict.
     pub fn overlaps(&self, other: &Self) -> bool {
         self.node == other.node
@@ -111,7 +111,7 @@
     }
 }
 
-impl std::fmt::Display for Part {
+impl std::fmt::Display for ChangeTarget {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match &self.key {
             Some(key) => write!(f, "{}: {key}", self.node),
@@ -122,14 +122,14 @@
 
 impl Change {
     /// The part of the tree that the change touches.
-    pub fn part(&self) -> Part {
+    pub fn target(&self) -> ChangeTarget {
         let (node, key) = match self {
             Self::Add { node, .. } | Self::Remove { node } | Self::Move { node, .. } => {
                 (node, None)
             }
             Self::Set { node, key, .. } | Self::Unset { node, key } => (node, Some(key.clone())),
         };
-        Part {
+        ChangeTarget {
             node: node.clone(),
             key,
         }
@@ -144,10 +144,10 @@
     Root,
     /// A node that was named does not exist.
     #[error("{0}: no such node")]
-    NoNode(NodeName),
+    NodeNotFound(NodeName),
     /// A node that was to be added exists.
     #[error("{0}: the node exists already")]
-    Exists(NodeName),
+    NodeExists(NodeName),
     /// A node to be removed has children.
     #[error("{0}: other nodes inherit from it; remove or move them first")]
     HasChildren(NodeName),
@@ -159,10 +159,10 @@
     TooDeep(NodeName),
     /// A name is empty, too long or has characters that names do not have.
     #[error("{0}: names have 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_', '.', '/'")]
-    BadName(NodeName),
+    InvalidName(NodeName),
     /// The kind does not go with the parent's or the name.
     #[error("{0}: a node of this kind can't stand here")]
-    BadKind(NodeName),
+    InvalidKind(NodeName),
     /// There is no such key.
     #[error("{node}: {key}: no such setting")]
     UnknownKey {
@@ -173,7 +173,7 @@
     },
     /// The value does not fit.
     #[error("{node}: {source}")]
-    BadValue {
+    InvalidValue {
         /// The node.
         node: NodeName,
         /// What was expected and found.
@@ -233,7 +233,7 @@
         for change in changes {
             next.apply_one(change)?;
         }
-        match next.faults().into_iter().next() {
+        match next.validation_errors().into_iter().next() {
             Some(fault) => Err(fault),
             None => Ok(next),
         }
@@ -242,7 +242,7 @@
     fn apply_one(&mut self, change: &Change) -> Result<(), TreeError> {
         match change {
             Change::Add { node, .. } if self.nodes.contains_key(node) => {
-                Err(TreeError::Exists(node.clone()))
+                Err(TreeError::NodeExists(node.clone()))
             }
             Change::Add { node, kind, parent } => {
                 let added = Node {
@@ -258,7 +258,7 @@
             }
             Change::Remove { node } => match self.nodes.remove(node) {
                 Some(_) => Ok(()),
-                None => Err(TreeError::NoNode(node.clone())),
+                None => Err(TreeError::NodeNotFound(node.clone())),
             },
             Change::Move { node, parent } => {
                 self.node_mut(node)?.parent = Some(parent.clone());
@@ -282,7 +282,7 @@
     fn node_mut(&mut self, name: &NodeName) -> Result<&mut Node, TreeError> {
         self.nodes
             .get_mut(name)
-            .ok_or_else(|| TreeError::NoNode(name.clone()))
+            .ok_or_else(|| TreeError::NodeNotFound(name.clone()))
     }
 
     fn has_children(&self, name: &NodeName) -> bool {
@@ -292,8 +292,8 @@
     }
 
     /// Every fault of the tree; none for a sound one.
-    pub fn faults(&self) -> Vec<TreeError> {
-        let mut faults = Vec::new();
+    pub fn validation_errors(&self) -> Vec<TreeError> {
+        let mut errors = Vec::new();
         let roots: Vec<_> = self
             .nodes
             .iter()
@@ -301,31 +301,31 @@
             .collect();
         match roots.as_slice() {
             [(name, root)] if name.as_str() == ROOT && root.parent.is_none() => {}
-            _ => faults.push(TreeError::Root),
+            _ => errors.push(TreeError::Root),
         }
         for (name, node) in &self.nodes {
-            faults.extend(self.descent_fault(name, node));
-            faults.extend(
+            errors.extend(self.descent_fault(name, node));
+            errors.extend(
                 node.set
                     .iter()
                     .filter_map(|(key, value)| value_fault(name, key, value)),
             );
         }
-        faults
+        errors
     }
 
     fn descent_fault(&self, name: &NodeName, node: &Node) -> Option<TreeError> {
         if !is_good_name(name) {
-            return Some(TreeError::BadName(name.clone()));
+            return Some(TreeError::InvalidName(name.clone()));
         }
         let Some(parent_name) = &node.parent else {
-            return (node.kind != NodeKind::Root).then(|| TreeError::BadKind(name.clone()));
+            return (node.kind != NodeKind::Root).then(|| TreeError::InvalidKind(name.clone()));
         };
         let Some(parent) = self.nodes.get(parent_name) else {
-            return Some(TreeError::NoNode(parent_name.clone()));
+            return Some(TreeError::NodeNotFound(parent_name.clone()));
         };
         if !kind_fits(name, node.kind, parent_name, parent.kind) {
-            return Some(TreeError::BadKind(name.clone()));
+            return Some(TreeError::InvalidKind(name.clone()));
         }
         self.walk_fault(name)
     }
@@ -370,7 +370,7 @@
     }
 
     /// A whole number in force at a node; zero for a key that takes none.
-    pub fn whole(&self, name: &NodeName, key: Key) -> u64 {
+    pub fn integer(&self, name: &NodeName, key: Key) -> u64 {
         self.effective(name, key).as_u64().unwrap_or_default()
     }
 
@@ -469,8 +469,11 @@
             key: key.to_owned(),
         });
     };
-    known.check(value).err().map(|source| TreeError::BadValue {
-        node: node.clone(),
-        source,
-    })
+    known
+        .check(value)
+        .err()
+        .map(|source| TreeError::InvalidValue {
+            node: node.clone(),
+            source,
+        })
 }
--- a/lib/src/settings_view.rs
+++ b/lib/src/settings_view.rs
@@ -13,7 +13,7 @@
 use crate::ids::Revision;
 use crate::ids::WorkspaceName;
 use crate::priority::Priority;
-use crate::settings_follow::InForce;
+use crate::settings_follower::ActiveSettings;
 use crate::settings_schema::Key;
 use crate::settings_tree::NodeKind;
 use crate::settings_tree::ROOT;
@@ -113,8 +113,8 @@
 
 impl SettingsView {
     /// Works the view out for a hall; a hall without a node of its own reads the root.
-    pub fn new(in_force: &InForce, hall: &str) -> Self {
-        let tree = &in_force.tree;
+    pub fn new(active: &ActiveSettings, hall: &str) -> Self {
+        let tree = &active.tree;
         let hall = NodeName::new(hall);
         let at = match tree.node(&hall) {
             Some(_) => hall,
@@ -135,11 +135,11 @@
         let max_body = tree
             .nodes()
             .keys()
-            .map(|name| tree.whole(name, Key::RequestMaxBody))
+            .map(|name| tree.integer(name, Key::RequestMaxBody))
             .max()
             .unwrap_or_default();
         Self {
-            revision: in_force.revision,
+            revision: active.revision,
             routing: routing(tree, &at),
             placement: placement(tree, &at),
             max_body: max_body as usize,
@@ -168,7 +168,7 @@
     }
 
     /// The workspace that a key opens. Every digest is compared, in constant time.
-    pub fn workspace_of_key(&self, key: &str) -> Option<&WorkspaceName> {
+    pub fn workspace_for_key(&self, key: &str) -> Option<&WorkspaceName> {
         let digest: [u8; DIGEST_BYTES] = Sha256::digest(key.as_bytes()).into();
         let mut found = None;
         for (name, workspace) in &self.workspaces {
@@ -183,7 +183,7 @@
 }
 
 fn millis(tree: &SettingsTree, node: &NodeName, key: Key) -> Duration {
-    Duration::from_millis(tree.whole(node, key))
+    Duration::from_millis(tree.integer(node, key))
 }
 
 fn class(tree: &SettingsTree, node: &NodeName) -> ClassSettings {
@@ -193,12 +193,12 @@
         connect: millis(tree, node, Key::RequestConnect),
         first_token: millis(tree, node, Key::RequestFirstToken),
         between_tokens: millis(tree, node, Key::RequestBetweenTokens),
-        max_attempts: tree.whole(node, Key::RequestMaxAttempts) as u32,
+        max_attempts: tree.integer(node, Key::RequestMaxAttempts) as u32,
         priority: Priority::from_word(priority.as_str().unwrap_or_default()),
         ageing: millis(tree, node, Key::RequestAgeing),
-        max_prompt: tree.whole(node, Key::RequestMaxPrompt),
-        max_output: tree.whole(node, Key::RequestMaxOutput),
-        bytes_per_token: tree.whole(node, Key::ModelBytesPerToken) as f64 / 100.0,
+        max_prompt: tree.integer(node, Key::RequestMaxPrompt),
+        max_output: tree.integer(node, Key::RequestMaxOutput),
+        bytes_per_token: tree.integer(node, Key::ModelBytesPerToken) as f64 / 100.0,
     }
 }
 
@@ -208,10 +208,10 @@
         _ => Vec::new(),
     };
     WorkspaceSettings {
-        weight: tree.whole(node, Key::WorkspaceWeight),
-        requests_per_s: tree.whole(node, Key::WorkspaceRequests),
-        tokens_per_s: tree.whole(node, Key::WorkspaceTokens),
-        queue_requests: tree.whole(node, Key::WorkspaceQueue),
+        weight: tree.integer(node, Key::WorkspaceWeight),
+        requests_per_s: tree.integer(node, Key::WorkspaceRequests),
+        tokens_per_s: tree.integer(node, Key::WorkspaceTokens),
+        queue_requests: tree.integer(node, Key::WorkspaceQueue),
         digests,
     }
 }
@@ -223,13 +223,13 @@
 
 fn routing(tree: &SettingsTree, node: &NodeName) -> RoutingSettings {
     RoutingSettings {
-        samples: tree.whole(node, Key::RoutingSamples) as usize,
+        samples: tree.integer(node, Key::RoutingSamples) as usize,
         queue: millis(tree, node, Key::RoutingQueue),
-        long_prompt: tree.whole(node, Key::RoutingLongPrompt),
-        long_share_percent: tree.whole(node, Key::RoutingLongShare),
+        long_prompt: tree.integer(node, Key::RoutingLongPrompt),
+        long_share_percent: tree.integer(node, Key::RoutingLongShare),
         hall_trip: millis(tree, node, Key::RoutingHallTrip),
-        retry_percent: tree.whole(node, Key::RetryBudget),
-        breaker_failures: tree.whole(node, Key::BreakerFailures) as u32,
+        retry_percent: tree.integer(node, Key::RetryBudget),
+        breaker_failures: tree.integer(node, Key::BreakerFailures) as u32,
         breaker_open: millis(tree, node, Key::BreakerOpen),
         holding_ttl: millis(tree, node, Key::HoldingTtl),
     }
@@ -247,6 +247,6 @@
         lease_ttl: millis(tree, node, Key::LeaseTtl),
         copies,
         hysteresis: millis(tree, node, Key::PlacementHysteresis),
-        loads_per_min: tree.whole(node, Key::PlacementLoads),
+        loads_per_min: tree.integer(node, Key::PlacementLoads),
     }
 }
--- a/lib/tests/test_properties.rs
+++ b/lib/tests/test_properties.rs
@@ -50,7 +50,7 @@
     fn holds(one: u64, other: u64) -> bool {
         let (one, other) = (tree(one), tree(other));
         let changes = one.changes_to(&other);
-        one.faults().is_empty() && one.apply(&changes) == Ok(other)
+        one.validation_errors().is_empty() && one.apply(&changes) == Ok(other)
     }
     seeded().quickcheck(holds as fn(u64, u64) -> bool);
 }
@@ -73,14 +73,14 @@
 fn backups_come_back_and_changed_ones_do_not() {
     fn holds(seed: u64, at: usize, byte: u8) -> bool {
         let snapshot = SettingsSnapshot::new(Revision(seed % 1_000), tree(seed));
-        let text = snapshot.to_text();
+        let text = snapshot.to_json();
         let mut bytes = text.clone().into_bytes();
         let at = at % bytes.len();
         bytes[at] = byte;
         let changed = String::from_utf8(bytes).unwrap_or_default();
-        let comes_back = SettingsSnapshot::from_text(&text).as_ref() == Ok(&snapshot);
+        let comes_back = SettingsSnapshot::from_json(&text).as_ref() == Ok(&snapshot);
         // A change of white space leaves the same backup; any other is refused.
-        let other = SettingsSnapshot::from_text(&changed);
+        let other = SettingsSnapshot::from_json(&changed);
         let passes_for_another = other.is_ok_and(|other| other != snapshot);
         comes_back && !passes_for_another
     }
--- a/testutils/src/seeded_settings.rs
+++ b/testutils/src/seeded_settings.rs
@@ -14,23 +14,23 @@
 use badgerferry_lib::ids::EditId;
 use badgerferry_lib::ids::Revision;
 use badgerferry_lib::settings_commit::CommitAction;
-use badgerferry_lib::settings_commit::CommitEnd;
 use badgerferry_lib::settings_commit::CommitEvent;
+use badgerferry_lib::settings_commit::CommitOutcome;
 use badgerferry_lib::settings_commit::NoAnswer;
 use badgerferry_lib::settings_commit::SettingsCommit;
-use badgerferry_lib::settings_commit::SwapAnswer;
+use badgerferry_lib::settings_commit::SwapResponse;
 use badgerferry_lib::settings_commit::Version;
 use badgerferry_lib::settings_commit::read_head;
-use badgerferry_lib::settings_follow::Followed;
-use badgerferry_lib::settings_follow::SettingsFollow;
+use badgerferry_lib::settings_follower::FollowOutcome;
+use badgerferry_lib::settings_follower::SettingsFollower;
 use badgerferry_lib::settings_head::CHECKPOINT_PREFIX;
 use badgerferry_lib::settings_head::Checkpoint;
-use badgerferry_lib::settings_head::Committed;
+use badgerferry_lib::settings_head::CommittedEdit;
 use badgerferry_lib::settings_head::Edit;
 use badgerferry_lib::settings_head::HEAD_KEY;
 use badgerferry_lib::settings_head::Head;
 use badgerferry_lib::settings_head::decode;
-use badgerferry_lib::settings_head::old_checkpoints;
+use badgerferry_lib::settings_head::prunable_checkpoints;
 use badgerferry_lib::settings_tree::Change;
 use badgerferry_lib::settings_tree::NodeKind;
 use badgerferry_lib::settings_tree::SettingsTree;
@@ -115,7 +115,7 @@
     rng: ChaCha8Rng,
     platform: FakePlatform,
     operators: Vec<Operator>,
-    boxes: Vec<SettingsFollow>,
+    boxes: Vec<SettingsFollower>,
     trees: BTreeMap<Revision, SettingsTree>,
     accepted: BTreeMap<EditId, (Revision, Revision)>,
     old_heads: Vec<Head>,
@@ -156,7 +156,7 @@
             agenda: Agenda::default(),
             platform: FakePlatform::new(),
             operators: Vec::new(),
-            boxes: (0..boxes).map(|_| SettingsFollow::default()).collect(),
+            boxes: (0..boxes).map(|_| SettingsFollower::default()).collect(),
             trees: BTreeMap::new(),
             accepted: BTreeMap::new(),
             old_heads: Vec::new(),
@@ -262,8 +262,8 @@
         let operator = &mut self.operators[index];
         match operator.commit.on(self.now, event) {
             CommitAction::Done(end) => self.settled(index, &end),
-            CommitAction::Pause(span) => {
-                self.after(span, What::Operator(index, CommitEvent::Resumed));
+            CommitAction::Backoff(span) => {
+                self.after(span, What::Operator(index, CommitEvent::BackoffElapsed));
             }
             action => self.call(index, action),
         }
@@ -329,11 +329,11 @@
                     .write(now, HEAD_KEY, Some(expect), value, None);
                 self.note_head();
                 CommitEvent::Swapped(Ok(match done {
-                    Ok(_) => SwapAnswer::Swapped,
-                    Err(_) => SwapAnswer::Conflict,
+                    Ok(_) => SwapResponse::Swapped,
+                    Err(_) => SwapResponse::Conflict,
                 }))
             }
-            CommitAction::Pause(_) | CommitAction::Done(_) => CommitEvent::Resumed,
+            CommitAction::Backoff(_) | CommitAction::Done(_) => CommitEvent::BackoffElapsed,
         }
     }
 
@@ -351,7 +351,7 @@
             .map(|found| self.checkpoint(&found.key));
         let tree = head.tree(checkpoint.as_ref()).expect("a sound tree");
         assert!(
-            tree.faults().is_empty(),
+            tree.validation_errors().is_empty(),
             "revision {} is unsound",
             head.revision
         );
@@ -371,20 +371,20 @@
         decode(&bytes).expect("a sound checkpoint")
     }
 
-    fn settled(&mut self, index: usize, end: &CommitEnd) {
+    fn settled(&mut self, index: usize, end: &CommitOutcome) {
         let operator = &mut self.operators[index];
         let id = operator.edit.id;
         match end {
-            CommitEnd::Accepted(accepted) => {
+            CommitOutcome::Accepted(accepted) => {
                 self.counts.accepted += 1;
                 self.accepted.insert(id, (operator.base, accepted.revision));
                 self.remove_old_checkpoints();
             }
-            CommitEnd::Rejected(_) => {
+            CommitOutcome::Rejected(_) => {
                 self.counts.rejected += 1;
                 self.rejected.push(id);
             }
-            CommitEnd::Unsure | CommitEnd::NotSent => {
+            CommitOutcome::Unknown | CommitOutcome::NotSent => {
                 // The operator submits the very same edit again.
                 self.counts.unsure += 1;
                 let give_up_at = self.now + PATIENCE;
@@ -398,7 +398,7 @@
 
     fn remove_old_checkpoints(&mut self) {
         let keys = self.platform.list(self.now, CHECKPOINT_PREFIX);
-        for key in old_checkpoints(keys, KEPT_CHECKPOINTS) {
+        for key in prunable_checkpoints(keys, KEPT_CHECKPOINTS) {
             let _ = self.platform.delete(self.now, &key, None);
         }
     }
@@ -416,10 +416,10 @@
         }
         self.versions[index] = found.version;
         let head = read_head(&found).expect("a sound head");
-        let followed = self.boxes[index].on_platform(self.now, head.clone(), None);
-        if let Followed::NeedsCheckpoint(key) = followed {
+        let followed = self.boxes[index].on_platform_head(self.now, head.clone(), None);
+        if let FollowOutcome::NeedsCheckpoint(key) = followed {
             let checkpoint = self.checkpoint(&key);
-            self.boxes[index].on_platform(self.now, head, Some(checkpoint));
+            self.boxes[index].on_platform_head(self.now, head, Some(checkpoint));
         }
         self.check_box(index);
     }
@@ -430,7 +430,7 @@
             // An answer that comes late, or from a peer that is behind.
             let old = self.rng.random_range(0..self.old_heads.len());
             let head = self.old_heads[old].clone();
-            self.boxes[index].on_peer(head, None);
+            self.boxes[index].on_peer_head(head, None);
             self.check_box(index);
         }
         let other = self.rng.random_range(0..self.boxes.len());
@@ -441,12 +441,12 @@
             return;
         };
         let checkpoint = self.boxes[other].checkpoint().cloned();
-        self.boxes[index].on_peer(head, checkpoint);
+        self.boxes[index].on_peer_head(head, checkpoint);
         self.check_box(index);
     }
 
     fn check_box(&self, index: usize) {
-        if let Some(in_force) = self.boxes[index].in_force() {
+        if let Some(in_force) = self.boxes[index].active() {
             let committed = self.trees.get(&in_force.revision);
             let same = committed.is_none_or(|tree| *tree == in_force.tree);
             assert!(
@@ -493,7 +493,7 @@
     }
 
     /// An edit went in only if nothing that it touches was changed since its operator looked.
-    fn check_races(&self, history: &[Committed]) {
+    fn check_races(&self, history: &[CommittedEdit]) {
         for row in history {
             let Some((base, _)) = self.accepted.get(&row.edit.id) else {
                 continue;
@@ -513,7 +513,7 @@
     }
 
     /// Every edit that history still has, oldest first.
-    fn history(&self) -> Vec<Committed> {
+    fn history(&self) -> Vec<CommittedEdit> {
         let head = read_head(&self.platform.peek(self.now, HEAD_KEY)).expect("a sound head");
         let mut parts = vec![head.edits];
         let mut next = head.checkpoint;
--- a/testutils/src/world.rs
+++ b/testutils/src/world.rs
@@ -33,7 +33,7 @@
 use badgerferry_lib::routing::Policy;
 use badgerferry_lib::server_view::ServerInfo;
 use badgerferry_lib::server_view::ServerKind;
-use badgerferry_lib::settings_follow::InForce;
+use badgerferry_lib::settings_follower::ActiveSettings;
 use badgerferry_lib::settings_tree::SettingsTree;
 use badgerferry_lib::settings_view::RoutingSettings;
 use badgerferry_lib::settings_view::SettingsView;
@@ -90,7 +90,7 @@
 
 /// Routing settings as they are by default.
 pub fn default_routing() -> RoutingSettings {
-    let defaults = InForce {
+    let defaults = ActiveSettings {
         revision: Revision::default(),
         tree: SettingsTree::default(),
     };
