--- a/lib/src/settings_commit.rs
+++ b/lib/src/settings_commit.rs
@@ -1,15 +1,15 @@
-//! Commits one edit by compare-and-swap and learns for sure whether it is in.
+//! Commits one edit by compare-and-swap and determines whether it took effect.
 //!
-//! The machine reads the head, builds the next one and swaps it at the version it read.
-//! An answer may be lost after the swap took effect, or the swap may still be on its
-//! way. Two facts settle it. A swap at a version can only take effect while the head
-//! stands at that version, so once the head has moved the swap either is the next
-//! revision or never will be. And while the head has not moved, sending the very same
-//! swap again does no harm, because at most one of them can find that version.
+//! The state machine reads the head, builds the next one and swaps it at the version it
+//! read. A response may be lost after the swap took effect, or the swap may still be in
+//! flight. Two properties resolve this. A swap at a version takes effect only while the
+//! head is at that version, so once the head has moved, the swap either produced the next
+//! revision or never takes effect. While the head has not moved, sending an identical swap
+//! again is safe, because at most one of the two can match that version.
 //!
-//! Racing operators: a swap that finds another version is built anew. If an edit that
-//! came in since the operator's base touched the same part of the tree, this one is
-//! refused and names it; otherwise both go in.
+//! Concurrent operators: a swap that finds another version is rebuilt on the new head. If
+//! an edit committed after the operator's base touched the same part of the tree, this one
+//! is rejected and the error names the other; otherwise both are committed.
 
 use std::time::Duration;
 
@@ -28,247 +28,259 @@
 use crate::settings_tree::TreeError;
 use crate::time::Time;
 
-/// First pause after an answer that did not come; doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause, short against an operator's patience and long against an outage.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Swaps lost to other operators before the edit gives up; eight racing need fewer.
-const MAX_LOST_RACES: u32 = 64;
+/// First delay after a missing response; doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Short compared with the time an operator waits, and long enough to keep load low in an outage.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Conflicting swaps before the edit is rejected; eight concurrent operators need fewer.
+const MAX_SWAP_CONFLICTS: u32 = 64;
 
-/// A key's version at the platform; zero means that the key does not exist.
+/// Version of a key at the platform; zero if the key does not exist.
 pub type Version = u64;
 
-/// A value and its version.
+/// A value read from the platform, with its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned {
     /// Version of the key.
     pub version: Version,
-    /// The bytes; none if the key does not exist.
+    /// `None` if the key does not exist.
     pub value: Option<Vec<u8>>,
 }
 
-/// The platform did not answer; a write may have taken effect all the same.
+/// The platform did not respond; a write may have taken effect nevertheless.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoAnswer;
 
-/// What the platform said to a swap.
+/// The platform's response to a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SwapResponse {
-    /// It took effect.
+    /// The swap took effect.
     Swapped,
-    /// The key stood at another version.
+    /// The key was at another version.
     Conflict,
 }
 
-/// What happened.
+/// Input of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitEvent {
     /// The operator submitted the edit.
     Start,
     /// A key was read.
     Read(Result<Versioned, NoAnswer>),
-    /// A checkpoint was written, or certainly was there already.
+    /// A checkpoint was written, or is known to exist already.
     Written(Result<(), NoAnswer>),
-    /// The head was swapped, or not.
+    /// Result of the swap of the head.
     Swapped(Result<SwapResponse, NoAnswer>),
-    /// A pause ended.
+    /// The backoff delay is over.
     BackoffElapsed,
 }
 
-/// What to do next; exactly one at a time.
+/// Next action of the caller; exactly one is outstanding at a time.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitAction {
     /// Read the head.
     ReadHead,
-    /// Read a checkpoint.
+    /// Read the checkpoint under this key.
     ReadCheckpoint(String),
-    /// Write a checkpoint under a key that is fresh or holds the same bytes.
+    /// Write a checkpoint under a key that is unused or holds the same bytes.
     WriteCheckpoint {
-        /// The key.
+        /// Key of the checkpoint.
         key: String,
-        /// The bytes.
+        /// Encoded checkpoint.
         value: Vec<u8>,
     },
-    /// Swap the head.
+    /// Swap the head by compare-and-swap.
     SwapHead {
-        /// The version that it must stand at.
+        /// Version that the key must be at.
         expect: Version,
-        /// The new bytes.
+        /// Encoded new head.
         value: Vec<u8>,
     },
-    /// Wait, then resume.
+    /// Wait, then send [`CommitEvent::BackoffElapsed`].
     Backoff(Duration),
-    /// The edit has ended.
+    /// The commit has ended.
     Done(CommitOutcome),
 }
 
-/// How the edit ended.
+/// Result of a commit.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
-    /// It is in, and in every later revision.
+    /// The edit is committed and part of every later revision.
     Accepted(Accepted),
-    /// It is not in and never will be.
+    /// The edit is not committed and never will be.
     Rejected(Rejection),
-    /// The platform gave no answer until the operator's limit; submit the same id again.
+    /// The platform did not respond before the deadline; submitting the same id again is safe.
     Unknown,
-    /// The platform gave no answer, and this submission never sent a swap.
+    /// The platform did not respond before the deadline, and no swap was sent.
     NotSent,
 }
 
-/// An edit that is in.
+/// A committed edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Accepted {
-    /// The revision that it made.
+    /// The revision that the edit produced.
     pub revision: Revision,
 }
 
-/// Why an edit is not in.
+/// Why an edit was rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Rejection {
-    /// Another operator changed the same part first.
-    #[error("revision {} by {} changed the same part", .0.revision, .0.edit.author)]
+    /// Another operator changed the same part of the tree after the base of this edit.
+    #[error(
+        "conflict with revision {} by {}: it changed the same node or key",
+        .0.revision, .0.edit.author
+    )]
     Conflict(Box<CommittedEdit>),
-    /// The edit does not fit the tree.
+    /// The edit is not valid for the tree.
     #[error(transparent)]
     Tree(#[from] TreeError),
-    /// The tree would not fit a value of the platform.
-    #[error("the tree would take {bytes} bytes; the platform holds {MAX_VALUE_BYTES}")]
+    /// The tree would exceed the platform's limit of one value.
+    #[error(
+        "settings tree too large: {bytes} bytes, the limit of the platform is {MAX_VALUE_BYTES}"
+    )]
     TooLarge {
-        /// Bytes that it would take.
+        /// Size of the encoded tree.
         bytes: usize,
     },
-    /// The edit alone is larger than a head may carry.
-    #[error("the edit is too large for one revision; split it")]
+    /// The edit alone exceeds the limits of a head.
+    #[error("the edit is too large for one revision; split it into smaller edits")]
     EditTooLarge,
-    /// Too many other edits came first.
-    #[error("{MAX_LOST_RACES} other edits came first; try again")]
+    /// Other operators committed first too many times.
+    #[error("other edits were committed first {MAX_SWAP_CONFLICTS} times; try again")]
     TooManyConflicts,
-    /// What is stored cannot be read.
-    #[error("the stored settings can't be used: {0}")]
+    /// The stored head or checkpoint is invalid.
+    #[error("stored settings are invalid: {0}")]
     InvalidStored(#[from] HeadError),
-    /// The base is older than the history that is kept.
-    #[error("revision {0} is too old to edit from; read the tree again")]
+    /// The base is older than the retained history.
+    #[error("base revision {0} is older than the retained history; read the tree again")]
     BaseTooOld(Revision),
 }
 
 #[derive(Debug)]
-struct Attempt {
-    base: Version,
+struct SwapAttempt {
+    expected: Version,
     revision: Revision,
     value: Vec<u8>,
 }
 
 #[derive(Debug)]
 enum Step {
-    Reading,
-    Walking { then: Walk, head: Versioned },
-    Writing(Attempt),
-    Swapping,
-    Pausing,
+    ReadingHead,
+    ReadingCheckpoint {
+        purpose: CheckpointUse,
+        head: Versioned,
+    },
+    WritingCheckpoint(SwapAttempt),
+    SwappingHead,
+    BackingOff,
     Ended,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Walk {
-    Settle,
-    Build,
+enum CheckpointUse {
+    FindEdit,
+    RebuildTree,
 }
 
-/// The machine for one edit.
+/// State machine that commits one edit.
 #[derive(Debug)]
 pub struct SettingsCommit {
     edit: Edit,
     base: Revision,
     deadline: Time,
     step: Step,
-    attempted: Option<Attempt>,
+    last_swap: Option<SwapAttempt>,
     checkpoint: Option<(CheckpointRef, Checkpoint)>,
-    walked: Vec<Checkpoint>,
-    pause: Duration,
-    lost_races: u32,
+    searched: Vec<Checkpoint>,
+    backoff: Duration,
+    swap_conflicts: u32,
 }
 
 impl SettingsCommit {
-    /// An edit made on what the operator saw at `base`, to be settled by `deadline`.
+    /// Commits an edit of the tree that the operator read at `base`; gives up at the first
+    /// missing response after `deadline`.
     pub const fn new(edit: Edit, base: Revision, deadline: Time) -> Self {
         Self {
             edit,
             base,
             deadline,
-            step: Step::Reading,
-            attempted: None,
+            step: Step::ReadingHead,
+            last_swap: None,
             checkpoint: None,
-            walked: Vec::new(),
-            pause: FIRST_PAUSE,
-            lost_races: 0,
+            searched: Vec::new(),
+            backoff: INITIAL_BACKOFF,
+            swap_conflicts: 0,
         }
     }
 
-    /// The edit's identifier.
+    /// Identifier of the edit, stable over repeated submissions.
     pub const fn id(&self) -> EditId {
         self.edit.id
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns the next action.
     ///
     /// # Panics
     ///
-    /// Only if this machine's own invariant is broken: an answer to a swap it never sent.
+    /// If a swap succeeded that was never sent, which is a bug of this state machine.
     pub fn on(&mut self, now: Time, event: CommitEvent) -> CommitAction {
-        let step = std::mem::replace(&mut self.step, Step::Reading);
+        let step = std::mem::replace(&mut self.step, Step::ReadingHead);
         match (step, event) {
             (Step::Ended, _) => {
                 self.step = Step::Ended;
                 CommitAction::Done(CommitOutcome::Unknown)
             }
-            (Step::Reading | Step::Pausing, CommitEvent::Start | CommitEvent::BackoffElapsed)
-            | (Step::Swapping, CommitEvent::Swapped(Ok(SwapResponse::Conflict))) => {
+            (
+                Step::ReadingHead | Step::BackingOff,
+                CommitEvent::Start | CommitEvent::BackoffElapsed,
+            )
+            | (Step::SwappingHead, CommitEvent::Swapped(Ok(SwapResponse::Conflict))) => {
                 CommitAction::ReadHead
             }
-            (Step::Reading, CommitEvent::Read(Ok(found))) => self.on_head(now, found),
-            (Step::Walking { then, head }, CommitEvent::Read(Ok(found))) => {
-                self.on_checkpoint(now, then, head, &found)
+            (Step::ReadingHead, CommitEvent::Read(Ok(found))) => self.on_head(now, found),
+            (Step::ReadingCheckpoint { purpose, head }, CommitEvent::Read(Ok(found))) => {
+                self.on_checkpoint(now, purpose, head, &found)
             }
-            (Step::Writing(attempt), CommitEvent::Written(Ok(()))) => self.swap(attempt),
-            (Step::Swapping, CommitEvent::Swapped(Ok(SwapResponse::Swapped))) => {
-                let revision = self.attempted.as_ref().map(|attempt| attempt.revision);
-                let revision = revision.expect("a swap was attempted");
-                self.end(CommitOutcome::Accepted(Accepted { revision }))
+            (Step::WritingCheckpoint(attempt), CommitEvent::Written(Ok(()))) => self.swap(attempt),
+            (Step::SwappingHead, CommitEvent::Swapped(Ok(SwapResponse::Swapped))) => {
+                let revision = self.last_swap.as_ref().map(|attempt| attempt.revision);
+                let revision = revision.expect("a swap was sent");
+                self.finish(CommitOutcome::Accepted(Accepted { revision }))
             }
-            _ => self.on_silence(now),
+            _ => self.back_off_or_end(now),
         }
     }
 
-    fn end(&mut self, end: CommitOutcome) -> CommitAction {
+    fn finish(&mut self, outcome: CommitOutcome) -> CommitAction {
         self.step = Step::Ended;
-        CommitAction::Done(end)
+        CommitAction::Done(outcome)
     }
 
-    fn reject(&mut self, why: impl Into<Rejection>) -> CommitAction {
-        self.end(CommitOutcome::Rejected(why.into()))
+    fn reject(&mut self, reason: impl Into<Rejection>) -> CommitAction {
+        self.finish(CommitOutcome::Rejected(reason.into()))
     }
 
-    fn on_silence(&mut self, now: Time) -> CommitAction {
+    fn back_off_or_end(&mut self, now: Time) -> CommitAction {
         if now >= self.deadline {
-            return match self.attempted {
-                Some(_) => self.end(CommitOutcome::Unknown),
-                None => self.end(CommitOutcome::NotSent),
+            return match self.last_swap {
+                Some(_) => self.finish(CommitOutcome::Unknown),
+                None => self.finish(CommitOutcome::NotSent),
             };
         }
-        self.step = Step::Pausing;
-        let pause = self.pause;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-        CommitAction::Backoff(pause)
+        self.step = Step::BackingOff;
+        let backoff = self.backoff;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        CommitAction::Backoff(backoff)
     }
 
     fn on_head(&mut self, now: Time, found: Versioned) -> CommitAction {
         if self
-            .attempted
+            .last_swap
             .as_ref()
-            .is_some_and(|attempt| found.version < attempt.base)
+            .is_some_and(|attempt| found.version < attempt.expected)
         {
-            // An answer older than what was read before says nothing about the swap.
-            return self.on_silence(now);
+            // A stale read, older than the one the swap was built on, says nothing about the swap.
+            return self.back_off_or_end(now);
         }
         let head = match read_head(&found) {
             Ok(head) => head,
@@ -276,48 +288,55 @@
         };
         if let Some(committed) = head.find(self.edit.id) {
             let revision = committed.revision;
-            return self.end(CommitOutcome::Accepted(Accepted { revision }));
+            return self.finish(CommitOutcome::Accepted(Accepted { revision }));
         }
-        match &self.attempted {
-            Some(attempt) if attempt.base == found.version => {
-                // The head has not moved: the lost swap may still come. Its double is safe.
+        match &self.last_swap {
+            Some(attempt) if attempt.expected == found.version => {
+                // The head has not moved, so the lost swap may still arrive. Repeating it is safe.
                 let action = CommitAction::SwapHead {
-                    expect: attempt.base,
+                    expect: attempt.expected,
                     value: attempt.value.clone(),
                 };
-                self.step = Step::Swapping;
+                self.step = Step::SwappingHead;
                 return action;
             }
             _ => {}
         }
-        // An edit that is submitted again may be in since long ago: look as far back as its base.
-        let settled_from = match &self.attempted {
+        // An edit that is submitted again may have been committed long ago: search back to its base.
+        let search_from = match &self.last_swap {
             Some(attempt) => Revision(attempt.revision.0 - 1),
             None => self.base,
         };
-        let covered = head.base_revision() <= settled_from;
-        match (&head.checkpoint, covered) {
-            (Some(reference), false) => self.walk(Walk::Settle, found, reference.key.clone()),
-            _ => self.build(found),
+        let head_covers = head.base_revision() <= search_from;
+        match (&head.checkpoint, head_covers) {
+            (Some(reference), false) => {
+                self.read_checkpoint(CheckpointUse::FindEdit, found, reference.key.clone())
+            }
+            _ => self.build_head(found),
         }
     }
 
-    fn walk(&mut self, then: Walk, head: Versioned, key: String) -> CommitAction {
-        self.step = Step::Walking { then, head };
+    fn read_checkpoint(
+        &mut self,
+        purpose: CheckpointUse,
+        head: Versioned,
+        key: String,
+    ) -> CommitAction {
+        self.step = Step::ReadingCheckpoint { purpose, head };
         CommitAction::ReadCheckpoint(key)
     }
 
     fn on_checkpoint(
         &mut self,
         now: Time,
-        then: Walk,
+        purpose: CheckpointUse,
         head: Versioned,
         found: &Versioned,
     ) -> CommitAction {
         let Some(bytes) = &found.value else {
-            // Removed since the head was read: the head has moved on.
-            if self.walked.is_empty() {
-                return self.on_silence(now);
+            // Pruned since the head was read, so the head has moved on.
+            if self.searched.is_empty() {
+                return self.back_off_or_end(now);
             }
             return self.reject(Rejection::BaseTooOld(self.base));
         };
@@ -325,67 +344,71 @@
             Ok(checkpoint) => checkpoint,
             Err(cause) => return self.reject(cause),
         };
-        match then {
-            Walk::Build => {
+        match purpose {
+            CheckpointUse::RebuildTree => {
                 self.checkpoint = Some((checkpoint.reference(), checkpoint));
-                self.build(head)
+                self.build_head(head)
             }
-            Walk::Settle => self.settle(head, checkpoint),
+            CheckpointUse::FindEdit => self.search_checkpoint(head, checkpoint),
         }
     }
 
-    fn settle(&mut self, head: Versioned, checkpoint: Checkpoint) -> CommitAction {
-        let mine = checkpoint
+    fn search_checkpoint(&mut self, head: Versioned, checkpoint: Checkpoint) -> CommitAction {
+        let own_edit = checkpoint
             .edits
             .iter()
             .find(|row| row.edit.id == self.edit.id);
-        if let Some(committed) = mine {
+        if let Some(committed) = own_edit {
             let revision = committed.revision;
-            return self.end(CommitOutcome::Accepted(Accepted { revision }));
+            return self.finish(CommitOutcome::Accepted(Accepted { revision }));
         }
         let previous = checkpoint.previous.clone();
-        let reaches = previous
+        let previous_revision = previous
             .as_ref()
             .map_or(Revision(0), |before| before.revision);
-        let wanted = match &self.attempted {
+        let oldest_needed = match &self.last_swap {
             Some(attempt) => Revision(attempt.revision.0 - 1).min(self.base),
             None => self.base,
         };
-        self.walked.push(checkpoint);
+        self.searched.push(checkpoint);
         match previous {
-            Some(before) if reaches > wanted => self.walk(Walk::Settle, head, before.key),
-            _ => self.build(head),
+            Some(before) if previous_revision > oldest_needed => {
+                self.read_checkpoint(CheckpointUse::FindEdit, head, before.key)
+            }
+            _ => self.build_head(head),
         }
     }
 
-    fn build(&mut self, found: Versioned) -> CommitAction {
+    fn build_head(&mut self, found: Versioned) -> CommitAction {
         let head = match read_head(&found) {
             Ok(head) => head,
             Err(cause) => return self.reject(cause),
         };
-        if let Some(committed) = self.conflicting(&head) {
+        if let Some(committed) = self.find_conflict(&head) {
             return self.reject(Rejection::Conflict(Box::new(committed)));
         }
-        if self.attempted.take().is_some() {
-            self.lost_races += 1;
+        if self.last_swap.take().is_some() {
+            self.swap_conflicts += 1;
         }
-        if self.lost_races >= MAX_LOST_RACES {
+        if self.swap_conflicts >= MAX_SWAP_CONFLICTS {
             return self.reject(Rejection::TooManyConflicts);
         }
         let checkpoint = match (&head.checkpoint, &self.checkpoint) {
             (None, _) => None,
-            (Some(wanted), Some((have, checkpoint))) if have == wanted => Some(checkpoint),
-            (Some(wanted), _) => return self.walk(Walk::Build, found, wanted.key.clone()),
+            (Some(wanted), Some((cached, checkpoint))) if cached == wanted => Some(checkpoint),
+            (Some(wanted), _) => {
+                return self.read_checkpoint(CheckpointUse::RebuildTree, found, wanted.key.clone());
+            }
         };
         let tree = match head.tree(checkpoint) {
             Ok(tree) => tree,
             Err(cause) => return self.reject(cause),
         };
-        self.propose(found.version, head, &tree)
+        self.propose_head(found.version, head, &tree)
     }
 
-    fn conflicting(&self, head: &Head) -> Option<CommittedEdit> {
-        self.walked
+    fn find_conflict(&self, head: &Head) -> Option<CommittedEdit> {
+        self.searched
             .iter()
             .flat_map(|checkpoint| &checkpoint.edits)
             .chain(&head.edits)
@@ -393,7 +416,7 @@
             .cloned()
     }
 
-    fn propose(&mut self, version: Version, head: Head, tree: &SettingsTree) -> CommitAction {
+    fn propose_head(&mut self, version: Version, head: Head, tree: &SettingsTree) -> CommitAction {
         let next_tree = match tree.apply(&self.edit.changes) {
             Ok(next_tree) => next_tree,
             Err(cause) => return self.reject(cause),
@@ -414,8 +437,8 @@
             let mut next = head;
             next.revision = revision;
             next.edits.push(committed);
-            let attempt = Attempt {
-                base: version,
+            let attempt = SwapAttempt {
+                expected: version,
                 revision,
                 value: next.encode(),
             };
@@ -443,8 +466,8 @@
             checkpoint: Some(reference.clone()),
             edits: vec![committed],
         };
-        self.step = Step::Writing(Attempt {
-            base: version,
+        self.step = Step::WritingCheckpoint(SwapAttempt {
+            expected: version,
             revision: next.revision,
             value: next.encode(),
         });
@@ -454,22 +477,22 @@
         }
     }
 
-    fn swap(&mut self, attempt: Attempt) -> CommitAction {
+    fn swap(&mut self, attempt: SwapAttempt) -> CommitAction {
         let action = CommitAction::SwapHead {
-            expect: attempt.base,
+            expect: attempt.expected,
             value: attempt.value.clone(),
         };
-        self.attempted = Some(attempt);
-        self.step = Step::Swapping;
+        self.last_swap = Some(attempt);
+        self.step = Step::SwappingHead;
         action
     }
 }
 
-/// Reads the head from a key's state; a key that does not exist is the first head.
+/// Decodes the head that was read; a missing key is the initial head.
 ///
 /// # Errors
 ///
-/// The bytes are no head.
+/// The value is not a valid head.
 pub fn read_head(found: &Versioned) -> Result<Head, HeadError> {
     match &found.value {
         Some(bytes) => Head::decode(bytes),
--- a/lib/src/settings_follower.rs
+++ b/lib/src/settings_follower.rs
@@ -1,10 +1,10 @@
-//! Follows the committed settings: forward only, from the platform or from peers.
+//! Follows the committed settings, from the platform or from peers, and only forward.
 //!
-//! Whoever offers a head, the follower takes it only if its revision is newer than the
-//! one in force. Revisions are committed one after another by compare-and-swap, so a
-//! revision number names one tree everywhere, and a peer's copy is as good as the
-//! platform's. A value that cannot be read changes nothing: the last good revision
-//! stays in force and the fault is kept for `status`.
+//! The follower accepts a head from any source only if its revision is newer than the
+//! active one. Revisions are committed one after another by compare-and-swap, so a
+//! revision number identifies the same tree on every box, and a peer's copy is as valid as
+//! the platform's. An invalid value changes nothing: the last valid revision stays active,
+//! and the error is kept for `status`.
 
 use std::sync::Arc;
 
@@ -15,29 +15,29 @@
 use crate::settings_tree::SettingsTree;
 use crate::time::Time;
 
-/// A revision in force: an immutable snapshot.
+/// Immutable snapshot of the revision that is active on this box.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ActiveSettings {
-    /// Its number.
+    /// Revision of the tree.
     pub revision: Revision,
-    /// The tree.
+    /// Tree at that revision.
     pub tree: SettingsTree,
 }
 
-/// What came of an offered head.
+/// Result of offering a head to the follower.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowOutcome {
-    /// A newer revision is in force now.
+    /// The head was newer; its revision is active now.
     Advanced(Arc<ActiveSettings>),
-    /// Nothing newer.
+    /// The head was not newer than the active revision.
     Unchanged,
-    /// The head starts from this checkpoint; offer the head again with it.
+    /// Key of the checkpoint that the head is based on; offer the head again with it.
     NeedsCheckpoint(String),
-    /// It cannot be used; the last good revision stays.
+    /// The head or its tree is invalid; the last valid revision stays active.
     Rejected(HeadError),
 }
 
-/// The follower's state.
+/// State of the settings that one box follows.
 #[derive(Debug, Default)]
 pub struct SettingsFollower {
     active: Option<Arc<ActiveSettings>>,
@@ -48,39 +48,39 @@
 }
 
 impl SettingsFollower {
-    /// The snapshot in force; none before the first.
+    /// Active snapshot; `None` before the first.
     pub const fn active(&self) -> Option<&Arc<ActiveSettings>> {
         self.active.as_ref()
     }
 
-    /// The revision in force; zero before the first.
+    /// Active revision; zero before the first.
     pub fn revision(&self) -> Revision {
         self.active
             .as_ref()
             .map_or(Revision::default(), |found| found.revision)
     }
 
-    /// The head in force, for peers that are behind.
+    /// Head of the active revision, served to peers that are behind.
     pub const fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// The checkpoint behind the head, if this follower has it.
+    /// Checkpoint that the head is based on, if this follower has it.
     pub const fn checkpoint(&self) -> Option<&Checkpoint> {
         self.checkpoint.as_ref()
     }
 
-    /// The last value that could not be used, until a newer one could.
+    /// Error of the last invalid value; cleared when a newer revision becomes active.
     pub const fn last_error(&self) -> Option<&HeadError> {
         self.last_error.as_ref()
     }
 
-    /// When the platform last confirmed that this is the newest revision.
+    /// When the platform last confirmed that the active revision is the newest.
     pub const fn confirmed_at(&self) -> Option<Time> {
         self.confirmed_at
     }
 
-    /// Takes the platform's own answer.
+    /// Handles a head read from the platform; `asked_at` is when the read was sent.
     pub fn on_platform_head(
         &mut self,
         asked_at: Time,
@@ -88,49 +88,49 @@
         checkpoint: Option<Checkpoint>,
     ) -> FollowOutcome {
         let offered = head.revision;
-        let followed = self.offer(head, checkpoint);
+        let outcome = self.offer(head, checkpoint);
         if self.active.is_some() && self.revision() == offered {
             self.confirmed_at = Some(asked_at);
         }
-        followed
+        outcome
     }
 
-    /// Records that the platform, asked then, still had the head that it told of last.
+    /// Records that the platform, queried at `asked_at`, still had the same head.
     pub const fn confirm(&mut self, asked_at: Time) {
         if self.last_error.is_none() && self.active.is_some() {
             self.confirmed_at = Some(asked_at);
         }
     }
 
-    /// Records a value that is no head; the last good revision stays.
+    /// Records that a value is not a valid head; the last valid revision stays active.
     pub fn record_error(&mut self, error: HeadError) {
         self.last_error = Some(error);
     }
 
-    /// Takes a head from a peer.
+    /// Handles a head received from a peer.
     pub fn on_peer_head(&mut self, head: Head, checkpoint: Option<Checkpoint>) -> FollowOutcome {
         self.offer(head, checkpoint)
     }
 
     fn offer(&mut self, head: Head, checkpoint: Option<Checkpoint>) -> FollowOutcome {
-        let have = self.active.as_ref().map(|found| found.revision);
-        if have.is_some_and(|revision| head.revision <= revision) {
+        let active_revision = self.active.as_ref().map(|found| found.revision);
+        if active_revision.is_some_and(|revision| head.revision <= revision) {
             return FollowOutcome::Unchanged;
         }
         let checkpoint = checkpoint.or_else(|| self.checkpoint.clone());
-        let usable = checkpoint.filter(|found| {
+        let matching = checkpoint.filter(|found| {
             let wanted = head.checkpoint.as_ref();
             wanted.is_some_and(|wanted| wanted.revision == found.revision)
         });
-        let tree = match (&self.active, &head.checkpoint, &usable) {
+        let tree = match (&self.active, &head.checkpoint, &matching) {
             (Some(current), _, _) if current.revision >= head.base_revision() => {
                 head.advance(current.revision, &current.tree)
             }
             (_, Some(wanted), None) => return FollowOutcome::NeedsCheckpoint(wanted.key.clone()),
-            _ => head.tree(usable.as_ref()),
+            _ => head.tree(matching.as_ref()),
         };
         match tree {
-            Ok(tree) => FollowOutcome::Advanced(self.advance(head, usable, tree)),
+            Ok(tree) => FollowOutcome::Advanced(self.advance(head, matching, tree)),
             Err(error) => {
                 self.last_error = Some(error.clone());
                 FollowOutcome::Rejected(error)
@@ -146,7 +146,7 @@
     ) -> Arc<ActiveSettings> {
         assert!(
             self.active.is_none() || head.revision > self.revision(),
-            "settings never go back: {} after {}",
+            "settings revision must not decrease: got {} after {}",
             head.revision,
             self.revision()
         );
--- a/lib/src/settings_head.rs
+++ b/lib/src/settings_head.rs
@@ -1,11 +1,11 @@
-//! How the tree is stored at the platform: one small head and immutable checkpoints.
+//! Storage of the settings tree at the platform: one small head and immutable checkpoints.
 //!
-//! The head is the only value that is ever swapped. It names a checkpoint and carries
-//! the edits made since, so a daemon that follows reads a few kilobytes per edit and
-//! never the whole tree. When the edits outgrow the head, the next editor first writes
-//! a new checkpoint under a key that no one has used, then swaps a head that points to
-//! it. A checkpoint that no head came to name is rubbish and harmless; one that is
-//! named is never written again. No key is ever taken to mean "an edit happened".
+//! The head is the only value that is replaced, by compare-and-swap. It names a checkpoint
+//! and carries the edits made since, so a following daemon reads a few kilobytes per edit
+//! and never the whole tree. When the edits outgrow the head, the next editor first writes
+//! a new checkpoint under an unused key, then swaps in a head that refers to it. A
+//! checkpoint that no head refers to is garbage and harmless; one that a head refers to is
+//! never overwritten. The existence of a key alone never means that an edit was committed.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -21,74 +21,74 @@
 
 /// Key of the head.
 pub const HEAD_KEY: &str = "settings/head";
-/// Prefix of every checkpoint's key.
+/// Prefix of the keys of checkpoints.
 pub const CHECKPOINT_PREFIX: &str = "settings/checkpoint/";
-/// Largest value that the platform holds, in bytes.
+/// Largest value that the platform stores, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
-/// Most bytes of edits in a head; a follower reads this much at worst for one edit.
+/// Maximum size of the edits in a head, in bytes: the most that a follower reads for one edit.
 pub const MAX_HEAD_EDIT_BYTES: usize = 16_384;
-/// Most edits in a head.
+/// Maximum number of edits in a head.
 pub const MAX_HEAD_EDITS: usize = 64;
 
-/// An edit as an operator submits it.
+/// An edit as submitted by an operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Identifies the edit through lost answers and repeats.
+    /// Identifies the edit across lost responses and repeated submissions.
     pub id: EditId,
-    /// Who made it, as the command line was told.
+    /// Author as given on the command line.
     pub author: String,
-    /// Seconds since the epoch when it was made; shown, never decided on.
+    /// Creation time in seconds since the epoch; only displayed, no decision depends on it.
     pub made_at: u64,
-    /// What it changes.
+    /// Changes, applied in this order.
     pub changes: Vec<Change>,
 }
 
 impl Edit {
-    /// The parts of the tree that it touches.
+    /// Nodes and keys that the edit touches.
     pub fn targets(&self) -> impl Iterator<Item = ChangeTarget> + '_ {
         self.changes.iter().map(Change::target)
     }
 
-    /// Whether it touches a part that `other` touches too.
+    /// Whether the edits touch a common node or key.
     pub fn overlaps(&self, other: &Self) -> bool {
         self.targets()
-            .any(|mine| other.targets().any(|theirs| mine.overlaps(&theirs)))
+            .any(|own| other.targets().any(|theirs| own.overlaps(&theirs)))
     }
 }
 
-/// An edit that was committed.
+/// An edit with the revision that it produced.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommittedEdit {
-    /// The revision that it made.
+    /// Revision that the edit produced.
     pub revision: Revision,
-    /// The edit.
+    /// Edit as submitted.
     pub edit: Edit,
 }
 
-/// Where a checkpoint is kept.
+/// Reference to a stored checkpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CheckpointRef {
-    /// Its key at the platform.
+    /// Key at the platform.
     pub key: String,
-    /// The revision of its tree.
+    /// Revision of the tree in the checkpoint.
     pub revision: Revision,
 }
 
-/// The whole tree at one revision, with the edits that led from the checkpoint before.
+/// The whole tree at one revision, with the edits since the previous checkpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Checkpoint {
     /// Revision of the tree.
     pub revision: Revision,
-    /// The tree.
+    /// Tree at that revision.
     pub tree: SettingsTree,
-    /// Edits since the checkpoint before, oldest first.
+    /// Edits since the previous checkpoint, oldest first.
     pub edits: Vec<CommittedEdit>,
-    /// The checkpoint before; none for the first.
+    /// Previous checkpoint; `None` for the first.
     pub previous: Option<CheckpointRef>,
 }
 
 impl Checkpoint {
-    /// The key that its content gives it.
+    /// Key derived from the revision and a digest of the content.
     pub fn key(&self) -> String {
         let digest = Sha256::digest(encode(self));
         format!(
@@ -98,7 +98,7 @@
         )
     }
 
-    /// A pointer to it.
+    /// Reference by key and revision.
     pub fn reference(&self) -> CheckpointRef {
         CheckpointRef {
             key: self.key(),
@@ -107,50 +107,50 @@
     }
 }
 
-/// The swapped value: a checkpoint's name and the edits since.
+/// The value that is swapped: a reference to a checkpoint and the edits since.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// Revision of the tree that this head describes.
     pub revision: Revision,
-    /// The checkpoint to start from; none means the default tree at revision 0.
+    /// Checkpoint to start from; `None` means the default tree at revision 0.
     pub checkpoint: Option<CheckpointRef>,
-    /// Edits since the checkpoint, oldest first, without a gap.
+    /// Edits since the checkpoint, oldest first, with consecutive revisions.
     pub edits: Vec<CommittedEdit>,
 }
 
-/// Why a stored value cannot be used.
+/// Why a stored value is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It is not what this version writes.
-    #[error("the stored value can't be read: {0}")]
+    /// The value does not have the format of this version.
+    #[error("invalid stored value: {0}")]
     Unreadable(String),
-    /// The edits do not follow each other from the checkpoint on.
-    #[error("the head's edits have a gap at revision {0}")]
+    /// The revisions of the edits are not consecutive from the checkpoint on.
+    #[error("the head has no edit for revision {0}")]
     RevisionGap(Revision),
-    /// The checkpoint is not the one that the head names.
-    #[error("checkpoint {found} in place of {wanted}")]
+    /// The checkpoint is not the one that the head refers to.
+    #[error("checkpoint mismatch: expected revision {wanted}, found {found}")]
     WrongCheckpoint {
-        /// What the head names.
+        /// Revision that the head refers to.
         wanted: Revision,
-        /// What was given.
+        /// Revision of the given checkpoint.
         found: Revision,
     },
-    /// An edit does not apply, or the tree it makes is unsound.
-    #[error("revision {revision} can't be applied: {source}")]
+    /// An edit does not apply, or the resulting tree is invalid.
+    #[error("failed to apply revision {revision}: {source}")]
     InvalidEdit {
-        /// The revision.
+        /// Revision of the edit.
         revision: Revision,
-        /// Why.
+        /// Error of the tree.
         source: TreeError,
     },
 }
 
 impl Head {
-    /// Reads a head from the platform's bytes.
+    /// Decodes a head and checks that its revisions are consecutive.
     ///
     /// # Errors
     ///
-    /// The bytes are no head, or its edits have a gap.
+    /// The bytes are not a valid head, or a revision is missing.
     pub fn decode(bytes: &[u8]) -> Result<Self, HeadError> {
         let head: Self = decode(bytes)?;
         let mut expected = head.base_revision();
@@ -166,23 +166,23 @@
         Ok(head)
     }
 
-    /// The bytes to store.
+    /// Encodes the head as it is stored.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Revision of the checkpoint that the edits start from.
+    /// Revision of the checkpoint that the head is based on; zero without a checkpoint.
     pub fn base_revision(&self) -> Revision {
         self.checkpoint
             .as_ref()
             .map_or(Revision::default(), |found| found.revision)
     }
 
-    /// The tree that the head describes, from its checkpoint.
+    /// Builds the tree of the head from its checkpoint.
     ///
     /// # Errors
     ///
-    /// The checkpoint is another one, or an edit does not apply.
+    /// The checkpoint is not the one of the head, or an edit does not apply.
     pub fn tree(&self, checkpoint: Option<&Checkpoint>) -> Result<SettingsTree, HeadError> {
         let (base, tree) = match checkpoint {
             Some(found) => (found.revision, found.tree.clone()),
@@ -197,11 +197,11 @@
         self.advance(base, &tree)
     }
 
-    /// Brings a tree at `from` up to the head's revision.
+    /// Applies the edits after revision `from` to the tree at `from`.
     ///
     /// # Errors
     ///
-    /// The head does not reach back to `from`, or an edit does not apply.
+    /// The edits of the head start after `from`, or an edit does not apply.
     pub fn advance(&self, from: Revision, tree: &SettingsTree) -> Result<SettingsTree, HeadError> {
         if from < self.base_revision() {
             return Err(HeadError::RevisionGap(from.next()));
@@ -218,48 +218,48 @@
         Ok(tree)
     }
 
-    /// The committed form of an edit, if this head carries it.
+    /// Finds an edit of this head by its identifier.
     pub fn find(&self, id: EditId) -> Option<&CommittedEdit> {
         self.edits.iter().find(|committed| committed.edit.id == id)
     }
 
-    /// Whether another edit of this size still fits.
+    /// Whether the edit fits within the limits of this head.
     pub fn fits(&self, edit: &Edit) -> bool {
         let bytes = encode(&self.edits).len() + encode(edit).len();
         self.edits.len() < MAX_HEAD_EDITS && bytes <= MAX_HEAD_EDIT_BYTES
     }
 }
 
-/// The revision in a checkpoint's key; zero for a key that is none.
+/// Revision in the key of a checkpoint; zero for any other key.
 fn key_revision(key: &str) -> Revision {
     let rest = key.strip_prefix(CHECKPOINT_PREFIX).unwrap_or_default();
     let digits = rest.split('-').next().unwrap_or_default();
     Revision(digits.parse().unwrap_or_default())
 }
 
-/// The checkpoints that may be removed if the `kept` newest stay.
+/// Keys of the checkpoints that may be removed, all but the `keep` newest.
 ///
-/// One that a slow editor is about to name is newer than the head's own, so it is never
-/// among them while its swap can still succeed; see `docs/design/settings.md`.
-pub fn prunable_checkpoints(mut keys: Vec<String>, kept: usize) -> Vec<String> {
+/// A checkpoint that a slow editor is about to refer to is newer than the one of the head,
+/// so it is never returned while its swap can still succeed; see `docs/design/settings.md`.
+pub fn prunable_checkpoints(mut keys: Vec<String>, keep: usize) -> Vec<String> {
     keys.sort_by_key(|key| std::cmp::Reverse(key_revision(key)));
-    keys.split_off(kept.min(keys.len()))
+    keys.split_off(keep.min(keys.len()))
 }
 
 /// Encodes a value as it is stored.
 ///
 /// # Panics
 ///
-/// Never for the types of this library: they are plain data with string keys.
+/// Never for the types of this library: they are plain data and all map keys are strings.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).expect("plain data always encodes")
 }
 
-/// Decodes a stored value.
+/// Decodes a value from its stored form.
 ///
 /// # Errors
 ///
-/// The bytes are not such a value.
+/// The bytes are not a valid JSON encoding of the type.
 pub fn decode<T: for<'de> Deserialize<'de>>(bytes: &[u8]) -> Result<T, HeadError> {
     serde_json::from_slice(bytes).map_err(|cause| HeadError::Unreadable(cause.to_string()))
 }
--- a/lib/src/settings_snapshot.rs
+++ b/lib/src/settings_snapshot.rs
@@ -1,4 +1,4 @@
-//! A backup of the tree in a file: the tree, its revision, and a digest over both.
+//! Backup file of the settings tree: the tree, its revision, and a digest of both.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,10 +10,10 @@
 use crate::settings_tree::SettingsTree;
 use crate::settings_tree::TreeError;
 
-/// Form of the file; another number is another form.
-const FORM: u32 = 1;
+/// Version of the file format; the field is named `form` in the file.
+const FORMAT_VERSION: u32 = 1;
 
-/// The file's content.
+/// Content of a backup file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsSnapshot {
@@ -23,69 +23,69 @@
     tree: SettingsTree,
 }
 
-/// Why a file is no usable backup.
+/// Why a file is not a valid backup.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is not JSON of the form.
-    #[error("not a backup of settings: {0}")]
+    /// The text is not JSON of this format.
+    #[error("not a settings backup: {0}")]
     Unreadable(String),
-    /// It is of a form that this version does not know.
-    #[error("form {0}; this version reads form {FORM}")]
-    Form(u32),
-    /// It was changed after it was written.
+    /// The format version is not supported.
+    #[error("unsupported format version {0}; this build reads version {FORMAT_VERSION}")]
+    UnsupportedFormat(u32),
+    /// The file was changed after it was written.
     #[error("the digest does not match: the file was changed")]
-    Digest,
-    /// The tree is not sound.
+    DigestMismatch,
+    /// The tree in the file is invalid.
     #[error(transparent)]
     Tree(#[from] TreeError),
 }
 
 impl SettingsSnapshot {
-    /// A backup of a tree.
+    /// Creates a backup and computes its digest.
     pub fn new(revision: Revision, tree: SettingsTree) -> Self {
         Self {
-            form: FORM,
+            form: FORMAT_VERSION,
             revision,
             digest: digest(revision, &tree),
             tree,
         }
     }
 
-    /// The revision that was written.
+    /// Revision of the tree when the backup was made.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The tree.
+    /// Tree in the backup.
     pub const fn tree(&self) -> &SettingsTree {
         &self.tree
     }
 
-    /// The file's text.
+    /// Content of the file as formatted JSON.
     ///
     /// # Panics
     ///
-    /// Never: the content is plain data with string keys.
+    /// Never: the content is plain data and all map keys are strings.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).expect("plain data always encodes")
     }
 
-    /// Reads and checks a file's text.
+    /// Parses and validates the content of a file.
     ///
     /// # Errors
     ///
-    /// It is no backup, was changed, or holds an unsound tree.
+    /// The text is not a backup, was changed after it was written, or has an invalid tree.
     pub fn from_json(text: &str) -> Result<Self, SnapshotError> {
         let snapshot: Self = serde_json::from_str(text)
             .map_err(|cause| SnapshotError::Unreadable(cause.to_string()))?;
-        if snapshot.form != FORM {
-            return Err(SnapshotError::Form(snapshot.form));
+        if snapshot.form != FORMAT_VERSION {
+            return Err(SnapshotError::UnsupportedFormat(snapshot.form));
         }
         if snapshot.digest != digest(snapshot.revision, &snapshot.tree) {
-            return Err(SnapshotError::Digest);
+            return Err(SnapshotError::DigestMismatch);
         }
         match snapshot.tree.validation_errors().into_iter().next() {
-            Some(fault) => Err(fault.into()),
+            Some(error) => Err(error.into()),
             None => Ok(snapshot),
         }
     }
