--- a/daemon/src/request_run.rs
+++ b/daemon/src/request_run.rs
@@ -288,7 +288,7 @@
             text: self.slice(from, tokens).to_owned(),
         };
         let engine = self.traffic.engine.clone();
-        let connect = self.class.connect;
+        let connect = self.class.connect_timeout;
         let call =
             async move { StepDone::Prefilled(engine.prefill(&address, connect, &asked).await) };
         self.step = Some(call.boxed());
@@ -335,7 +335,7 @@
             group,
         };
         let engine = self.traffic.engine.clone();
-        let connect = self.class.connect;
+        let connect = self.class.connect_timeout;
         let call =
             async move { StepDone::Streaming(engine.generate(&address, connect, &asked).await) };
         self.step = Some(call.boxed());
--- a/daemon/src/service_run.rs
+++ b/daemon/src/service_run.rs
@@ -154,7 +154,7 @@
     server: &ServerName,
 ) -> Result<Answer, SendError> {
     let address = traffic.address_of(server).unwrap_or_default();
-    let connect = prepared.class.connect;
+    let connect = prepared.class.connect_timeout;
     traffic
         .service
         .call(&address, connect, &prepared.call)
--- a/lib/src/settings_commit.rs
+++ b/lib/src/settings_commit.rs
@@ -30,7 +30,7 @@
 
 /// First delay after a missing response; doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Short compared with the time an operator waits, and long enough to keep load low in an outage.
+/// Short for a waiting operator, and long enough to keep the load low in an outage.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Conflicting swaps before the edit is rejected; eight concurrent operators need fewer.
 const MAX_SWAP_CONFLICTS: u32 = 64;
@@ -302,7 +302,7 @@
             }
             _ => {}
         }
-        // An edit that is submitted again may have been committed long ago: search back to its base.
+        // A resubmitted edit may have been committed long ago: search back to its base.
         let search_from = match &self.last_swap {
             Some(attempt) => Revision(attempt.revision.0 - 1),
             None => self.base,
--- a/lib/src/settings_schema.rs
+++ b/lib/src/settings_schema.rs
@@ -1,56 +1,56 @@
-//! The table of settings that operators may write.
+//! Schema of the settings that operators may write.
 //!
-//! Each setting has a key, a unit, bounds and a default, so that the command line and
-//! the daemon refuse the same values with the same words. A setting that is not in
-//! this table does not exist: unknown keys are refused, never kept.
+//! Each setting has a key, a unit, bounds and a default, so that the command line and the
+//! daemon reject the same values with the same message. A key that is not in the schema is
+//! rejected, never stored.
 
 use std::fmt;
 
 use serde_json::Value;
 
-/// What values a setting takes.
+/// Valid values of a setting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Domain {
-    /// A whole number within inclusive bounds.
+    /// An integer within inclusive bounds.
     Integer {
-        /// Least value.
+        /// Smallest valid value.
         min: u64,
-        /// Greatest value.
+        /// Largest valid value.
         max: u64,
-        /// Value when no node sets it.
+        /// Value if no node sets the key.
         default: u64,
     },
-    /// One of a closed set of words; the first is the default.
+    /// One of a fixed set of words; the first is the default.
     Choice(&'static [&'static str]),
-    /// SHA-256 digests of workspace keys, as hexadecimal text; empty by default.
+    /// SHA-256 digests of workspace keys, hexadecimal; empty by default.
     KeyDigests,
-    /// Copies wanted of each model, as an object of whole numbers; empty by default.
+    /// Desired number of engines of each model, as an object of integers; empty by default.
     ModelCounts,
 }
 
-/// One row of the table.
+/// Schema of one setting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
     /// Dotted key.
     pub key: Key,
     /// Unit of the value, as shown to operators.
     pub unit: &'static str,
-    /// Values it takes.
+    /// Valid values.
     pub domain: Domain,
-    /// One line for operators: what it does and why the default is what it is.
+    /// One line for operators: the effect and the reason for the default.
     pub help: &'static str,
 }
 
 macro_rules! keys {
     ($($variant:ident = $text:literal, $unit:literal, $domain:expr, $help:literal;)*) => {
-        /// Every settings key.
+        /// Keys of all settings.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Key {
             $(#[doc = $help] $variant,)*
         }
 
         impl Key {
-            /// The key as operators write it.
+            /// Dotted text of the key.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$variant => $text,)*
@@ -58,7 +58,7 @@
             }
         }
 
-        /// The whole table, in the order of the keys.
+        /// All settings, in the order of [`Key`]; a key indexes its own entry.
         pub const SETTINGS: &[Setting] = &[
             $(Setting { key: Key::$variant, unit: $unit, domain: $domain, help: $help },)*
         ];
@@ -69,7 +69,8 @@
     Domain::Integer { min, max, default }
 }
 
-/// Longest time limit of one request: one hour, the longest prompt's prefill several times over.
+/// Upper bound of the time limit of a request: one hour, several times the prefill of the
+/// longest prompt.
 const MAX_TIME_LIMIT_MS: u64 = 3_600_000;
 
 keys! {
@@ -134,7 +135,7 @@
 }
 
 impl Key {
-    /// Finds a key by its text.
+    /// Parses the dotted text; `None` for an unknown key.
     pub fn parse(text: &str) -> Option<Self> {
         SETTINGS
             .iter()
@@ -142,19 +143,19 @@
             .find(|key| key.as_str() == text)
     }
 
-    /// The key's row of the table.
+    /// Schema of this key.
     pub fn setting(self) -> &'static Setting {
         &SETTINGS[self as usize]
     }
 
-    /// Checks a value for this key.
+    /// Validates a value for this key.
     ///
     /// # Errors
     ///
-    /// Says what was expected and what was found.
+    /// The value is not valid; the error has the expected and the actual value.
     pub fn check(self, value: &Value) -> Result<(), ValueError> {
         let setting = self.setting();
-        let fits = match setting.domain {
+        let is_valid = match setting.domain {
             Domain::Integer { min, max, .. } => {
                 value.as_u64().is_some_and(|n| n >= min && n <= max)
             }
@@ -167,7 +168,7 @@
                     .all(|n| n.as_u64().is_some_and(|n| n <= 1_000))
             }),
         };
-        if fits {
+        if is_valid {
             return Ok(());
         }
         Err(ValueError {
@@ -191,7 +192,7 @@
 }
 
 impl Domain {
-    /// The value when no node sets it.
+    /// Value of a setting that no node sets.
     pub fn default_value(&self) -> Value {
         match self {
             Self::Integer { default, .. } => Value::from(*default),
@@ -213,7 +214,7 @@
     }
 }
 
-/// A value does not fit its key.
+/// A value that is not valid for its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValueError {
     key: Key,
--- a/lib/src/settings_tree.rs
+++ b/lib/src/settings_tree.rs
@@ -1,9 +1,10 @@
-//! The operators' tree of settings: nodes that inherit from their parent.
+//! Tree of the settings that operators edit; each node inherits from its parent.
 //!
-//! A tree is an immutable state; [`SettingsTree::apply`] makes the next one from a list
-//! of changes and checks it whole. The one without a parent is the root, and a node that
-//! sets nothing is its parent's equal. Names say nothing about descent; the parent
-//! does, so a node can be moved, and a cycle is refused where it would arise.
+//! A tree is immutable: [`SettingsTree::apply`] builds the next one from a list of changes
+//! and validates all of it. The node without a parent is the root, and a node that sets
+//! nothing has the same effective values as its parent. Inheritance follows the parent
+//! field and not the name, so a node can be moved; a move that would make a cycle is
+//! rejected.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,95 +17,95 @@
 use crate::settings_schema::Key;
 use crate::settings_schema::ValueError;
 
-/// Longest name of a node, in bytes; 300 workspaces with classes must fit one value.
+/// Longest name of a node, in bytes; 300 workspaces with classes must fit into one stored value.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most ancestors a node may have; bounds the walk for one effective value.
+/// Maximum number of ancestors of a node; bounds the lookup of an effective value.
 pub const MAX_DEPTH: usize = 16;
 
-/// What a node stands for.
+/// Kind of entity that a node configures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeKind {
-    /// The one node without a parent.
+    /// The single node without a parent.
     Root,
-    /// A region or any other group of workspaces.
+    /// A region or another group of workspaces.
     Region,
-    /// A data hall: placement and routing of its own.
+    /// A data hall with its own placement and routing.
     Hall,
-    /// A workspace.
+    /// A workspace: one customer.
     Workspace,
-    /// A request class under a workspace; its name is the workspace's, a slash and the class.
+    /// A request class of a workspace, named `<workspace>/<class>`.
     Class,
 }
 
-/// One node of the tree.
+/// A node of the tree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// What it stands for.
+    /// Kind of entity that the node configures.
     pub kind: NodeKind,
-    /// Where it inherits from; none at the root.
+    /// Node to inherit from; `None` at the root.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<NodeName>,
-    /// The values that it overrides.
+    /// Overridden values by key.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub set: BTreeMap<String, Value>,
 }
 
-/// One change of an edit.
+/// A change within an edit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
 pub enum Change {
-    /// Adds a node that sets nothing.
+    /// Adds a node without overrides.
     Add {
-        /// The new node.
+        /// Name of the new node.
         node: NodeName,
-        /// What it stands for.
+        /// Kind of the new node.
         kind: NodeKind,
-        /// Where it inherits from.
+        /// Node to inherit from.
         parent: NodeName,
     },
     /// Removes a node that has no children.
     Remove {
-        /// The node to go.
+        /// Node to remove.
         node: NodeName,
     },
-    /// Lets a node inherit from another.
+    /// Changes the parent of a node.
     Move {
-        /// The node to move.
+        /// Node to move.
         node: NodeName,
-        /// Its new parent.
+        /// New parent.
         parent: NodeName,
     },
     /// Overrides a value.
     Set {
-        /// The node.
+        /// Node to change.
         node: NodeName,
-        /// The key.
+        /// Key to override.
         key: String,
-        /// The value.
+        /// New value.
         value: Value,
     },
-    /// Takes an override back.
+    /// Removes an override.
     Unset {
-        /// The node.
+        /// Node to change.
         node: NodeName,
-        /// The key.
+        /// Overridden key.
         key: String,
     },
 }
 
-/// A part of the tree that a change touches; two edits conflict if they share one.
+/// What a change touches; two edits conflict if they have overlapping targets.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangeTarget {
-    /// The node touched.
+    /// Node that is changed.
     pub node: NodeName,
-    /// The key touched; none for the node's own being and descent.
+    /// Key that is changed; `None` if the node itself is added, removed or moved.
     pub key: Option<String>,
 }
 
 impl ChangeTarget {
-    /// Whether two edits that touch these parts conflict.
+    /// Whether edits with these targets conflict.
     pub fn overlaps(&self, other: &Self) -> bool {
         self.node == other.node
             && (self.key.is_none() || other.key.is_none() || self.key == other.key)
@@ -121,7 +122,7 @@
 }
 
 impl Change {
-    /// The part of the tree that the change touches.
+    /// Node or key that the change touches.
     pub fn target(&self) -> ChangeTarget {
         let (node, key) = match self {
             Self::Add { node, .. } | Self::Remove { node } | Self::Move { node, .. } => {
@@ -136,63 +137,63 @@
     }
 }
 
-/// Why a tree or an edit of it is refused.
+/// Why a tree or a change to it is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TreeError {
-    /// The tree has no root, or more than one.
-    #[error("a tree has exactly one root, and it is named `fleet`")]
-    Root,
-    /// A node that was named does not exist.
+    /// There is not exactly one root, or it has another name or a parent.
+    #[error("the tree must have exactly one root, named `fleet`")]
+    InvalidRoot,
+    /// The named node does not exist.
     #[error("{0}: no such node")]
     NodeNotFound(NodeName),
-    /// A node that was to be added exists.
-    #[error("{0}: the node exists already")]
+    /// The node to add already exists.
+    #[error("{0}: node already exists")]
     NodeExists(NodeName),
-    /// A node to be removed has children.
+    /// The node to remove has children.
     #[error("{0}: other nodes inherit from it; remove or move them first")]
     HasChildren(NodeName),
-    /// A node would inherit from itself.
+    /// The parents of the node form a cycle.
     #[error("{0}: it would inherit from itself")]
     Cycle(NodeName),
-    /// A node has too many ancestors.
-    #[error("{0}: more than {MAX_DEPTH} ancestors")]
+    /// The node has more than [`MAX_DEPTH`] ancestors.
+    #[error("{0}: node has more than {MAX_DEPTH} ancestors")]
     TooDeep(NodeName),
-    /// A name is empty, too long or has characters that names do not have.
-    #[error("{0}: names have 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_', '.', '/'")]
+    /// The name is empty, too long or has invalid characters.
+    #[error("{0}: invalid name: expected 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_', '.', '/'")]
     InvalidName(NodeName),
-    /// The kind does not go with the parent's or the name.
-    #[error("{0}: a node of this kind can't stand here")]
+    /// The kind is not valid for this parent or name.
+    #[error("{0}: node kind is not valid for this parent or name")]
     InvalidKind(NodeName),
-    /// There is no such key.
+    /// The key is not in the schema.
     #[error("{node}: {key}: no such setting")]
     UnknownKey {
-        /// The node.
+        /// Node with the error.
         node: NodeName,
-        /// The key as written.
+        /// Key as written.
         key: String,
     },
-    /// The value does not fit.
+    /// The value is not valid for its key.
     #[error("{node}: {source}")]
     InvalidValue {
-        /// The node.
+        /// Node with the error.
         node: NodeName,
-        /// What was expected and found.
+        /// Expected and actual value.
         source: ValueError,
     },
-    /// The override to take back is not there.
-    #[error("{node}: {key} is not set here")]
+    /// The override to remove does not exist.
+    #[error("{node}: {key} is not set on this node")]
     NotSet {
-        /// The node.
+        /// Node with the error.
         node: NodeName,
-        /// The key.
+        /// Key without an override.
         key: String,
     },
 }
 
-/// Name of the root.
+/// Name of the root node.
 pub const ROOT: &str = "fleet";
 
-/// An immutable state of the tree.
+/// An immutable tree of settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsTree {
@@ -213,28 +214,28 @@
 }
 
 impl SettingsTree {
-    /// All nodes by name.
+    /// Nodes by name.
     pub const fn nodes(&self) -> &BTreeMap<NodeName, Node> {
         &self.nodes
     }
 
-    /// One node by name.
+    /// Finds a node by name.
     pub fn node(&self, name: &NodeName) -> Option<&Node> {
         self.nodes.get(name)
     }
 
-    /// Makes the next state.
+    /// Applies the changes in order and validates the resulting tree.
     ///
     /// # Errors
     ///
-    /// The first fault of the changes or of the tree that they would make.
+    /// The first error of the changes or of the resulting tree.
     pub fn apply(&self, changes: &[Change]) -> Result<Self, TreeError> {
         let mut next = self.clone();
         for change in changes {
             next.apply_one(change)?;
         }
         match next.validation_errors().into_iter().next() {
-            Some(fault) => Err(fault),
+            Some(error) => Err(error),
             None => Ok(next),
         }
     }
@@ -291,7 +292,7 @@
             .any(|node| node.parent.as_ref() == Some(name))
     }
 
-    /// Every fault of the tree; none for a sound one.
+    /// Validates the tree; empty if it is valid.
     pub fn validation_errors(&self) -> Vec<TreeError> {
         let mut errors = Vec::new();
         let roots: Vec<_> = self
@@ -301,21 +302,21 @@
             .collect();
         match roots.as_slice() {
             [(name, root)] if name.as_str() == ROOT && root.parent.is_none() => {}
-            _ => errors.push(TreeError::Root),
+            _ => errors.push(TreeError::InvalidRoot),
         }
         for (name, node) in &self.nodes {
-            errors.extend(self.descent_fault(name, node));
+            errors.extend(self.parent_error(name, node));
             errors.extend(
                 node.set
                     .iter()
-                    .filter_map(|(key, value)| value_fault(name, key, value)),
+                    .filter_map(|(key, value)| value_error(name, key, value)),
             );
         }
         errors
     }
 
-    fn descent_fault(&self, name: &NodeName, node: &Node) -> Option<TreeError> {
-        if !is_good_name(name) {
+    fn parent_error(&self, name: &NodeName, node: &Node) -> Option<TreeError> {
+        if !is_valid_name(name) {
             return Some(TreeError::InvalidName(name.clone()));
         }
         let Some(parent_name) = &node.parent else {
@@ -324,36 +325,40 @@
         let Some(parent) = self.nodes.get(parent_name) else {
             return Some(TreeError::NodeNotFound(parent_name.clone()));
         };
-        if !kind_fits(name, node.kind, parent_name, parent.kind) {
+        if !is_kind_allowed(name, node.kind, parent_name, parent.kind) {
             return Some(TreeError::InvalidKind(name.clone()));
         }
-        self.walk_fault(name)
+        self.ancestor_error(name)
     }
 
-    fn walk_fault(&self, name: &NodeName) -> Option<TreeError> {
-        let mut seen = BTreeSet::from([name]);
-        let mut at = name;
-        while let Some(parent) = self.nodes.get(at).and_then(|node| node.parent.as_ref()) {
-            if !seen.insert(parent) {
+    fn ancestor_error(&self, name: &NodeName) -> Option<TreeError> {
+        let mut visited = BTreeSet::from([name]);
+        let mut current = name;
+        while let Some(parent) = self
+            .nodes
+            .get(current)
+            .and_then(|node| node.parent.as_ref())
+        {
+            if !visited.insert(parent) {
                 return Some(TreeError::Cycle(parent.clone()));
             }
-            if seen.len() > MAX_DEPTH {
+            if visited.len() > MAX_DEPTH {
                 return Some(TreeError::TooDeep(name.clone()));
             }
-            at = parent;
+            current = parent;
         }
         None
     }
 
-    /// The value in force at a node and the node that sets it; none if no node does.
+    /// Effective value of a key at a node, with the node that sets it; `None` if no node does.
     pub fn origin(&self, name: &NodeName, key: Key) -> Option<(&NodeName, &Value)> {
-        let mut at = self.nodes.get_key_value(name);
+        let mut current = self.nodes.get_key_value(name);
         for _ in 0..=MAX_DEPTH {
-            let (found, node) = at?;
+            let (found, node) = current?;
             if let Some(value) = node.set.get(key.as_str()) {
                 return Some((found, value));
             }
-            at = node
+            current = node
                 .parent
                 .as_ref()
                 .and_then(|parent| self.nodes.get_key_value(parent));
@@ -361,7 +366,7 @@
         None
     }
 
-    /// The value in force at a node, or the key's default.
+    /// Effective value of a key at a node, or the default of the key.
     pub fn effective(&self, name: &NodeName, key: Key) -> Value {
         match self.origin(name, key) {
             Some((_, value)) => value.clone(),
@@ -369,26 +374,27 @@
         }
     }
 
-    /// A whole number in force at a node; zero for a key that takes none.
+    /// Effective integer of a key at a node; zero for a key of another type.
     pub fn integer(&self, name: &NodeName, key: Key) -> u64 {
         self.effective(name, key).as_u64().unwrap_or_default()
     }
 
-    /// The changes that lead from this state to `other`.
+    /// Changes that turn this tree into `other`.
     pub fn changes_to(&self, other: &Self) -> Vec<Change> {
         let mut changes = Vec::new();
         for (name, node) in &other.nodes {
             self.node_changes(name, node, &mut changes);
         }
-        // Children go before their parents.
-        let mut gone: Vec<_> = self
+        // Children first: a node with children can't be removed.
+        let mut removed: Vec<_> = self
             .nodes
             .keys()
             .filter(|name| !other.nodes.contains_key(*name))
             .collect();
-        gone.sort_by_key(|name| std::cmp::Reverse(self.depth(name)));
+        removed.sort_by_key(|name| std::cmp::Reverse(self.depth(name)));
         changes.extend(
-            gone.into_iter()
+            removed
+                .into_iter()
                 .map(|node| Change::Remove { node: node.clone() }),
         );
         changes
@@ -432,15 +438,17 @@
     }
 
     fn depth(&self, name: &NodeName) -> usize {
-        std::iter::successors(Some(name), |at| {
-            self.nodes.get(*at).and_then(|node| node.parent.as_ref())
+        std::iter::successors(Some(name), |current| {
+            self.nodes
+                .get(*current)
+                .and_then(|node| node.parent.as_ref())
         })
         .take(MAX_DEPTH)
         .count()
     }
 }
 
-fn is_good_name(name: &NodeName) -> bool {
+fn is_valid_name(name: &NodeName) -> bool {
     let text = name.as_str();
     (1..=MAX_NAME_BYTES).contains(&text.len())
         && text
@@ -448,7 +456,12 @@
             .all(|b| matches!(b, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.' | b'/'))
 }
 
-fn kind_fits(name: &NodeName, kind: NodeKind, parent: &NodeName, parent_kind: NodeKind) -> bool {
+fn is_kind_allowed(
+    name: &NodeName,
+    kind: NodeKind,
+    parent: &NodeName,
+    parent_kind: NodeKind,
+) -> bool {
     match (kind, parent_kind) {
         (NodeKind::Class, NodeKind::Workspace) => name
             .as_str()
@@ -456,20 +469,20 @@
             .and_then(|rest| rest.strip_prefix('/'))
             .is_some_and(|class| !class.is_empty() && !class.contains('/')),
         (NodeKind::Root | NodeKind::Class, _) => false,
-        (NodeKind::Region | NodeKind::Hall | NodeKind::Workspace, above) => {
-            matches!(above, NodeKind::Root | NodeKind::Region) && !name.as_str().contains('/')
+        (NodeKind::Region | NodeKind::Hall | NodeKind::Workspace, parent_kind) => {
+            matches!(parent_kind, NodeKind::Root | NodeKind::Region) && !name.as_str().contains('/')
         }
     }
 }
 
-fn value_fault(node: &NodeName, key: &str, value: &Value) -> Option<TreeError> {
-    let Some(known) = Key::parse(key) else {
+fn value_error(node: &NodeName, key: &str, value: &Value) -> Option<TreeError> {
+    let Some(parsed) = Key::parse(key) else {
         return Some(TreeError::UnknownKey {
             node: node.clone(),
             key: key.to_owned(),
         });
     };
-    known
+    parsed
         .check(value)
         .err()
         .map(|source| TreeError::InvalidValue {
--- a/lib/src/settings_view.rs
+++ b/lib/src/settings_view.rs
@@ -1,4 +1,4 @@
-//! Settings as the request path reads them: typed, and worked out once per revision.
+//! Typed settings for the request path, computed once per revision.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,41 +21,41 @@
 
 const DIGEST_BYTES: usize = 32;
 
-/// Limits of one request class.
+/// Settings of one request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassSettings {
-    /// Whole time limit.
+    /// Time limit from arrival to the last token.
     pub time_limit: Duration,
-    /// Time to reach a server.
-    pub connect: Duration,
-    /// Time to the first token beyond the prompt's prefill.
+    /// Timeout for connecting to a server.
+    pub connect_timeout: Duration,
+    /// Time limit for the first token, in addition to the prefill of the prompt.
     pub first_token: Duration,
-    /// Longest silence within an answer.
+    /// Longest gap between tokens of a response.
     pub between_tokens: Duration,
-    /// Attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Order among waiting requests.
+    /// Priority among waiting requests.
     pub priority: Priority,
-    /// Waiting time worth one priority.
+    /// Waiting time after which the priority rises by one level.
     pub ageing: Duration,
     /// Longest prompt, in tokens.
     pub max_prompt: u64,
-    /// Longest answer, in tokens.
+    /// Longest output, in tokens.
     pub max_output: u64,
-    /// First guess of prompt bytes per token.
+    /// Initial estimate of prompt bytes per token.
     pub bytes_per_token: f64,
 }
 
-/// A workspace's limits and keys.
+/// Settings of a workspace, with the digests of its keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkspaceSettings {
-    /// Share against others.
+    /// Weight of the fair share among workspaces.
     pub weight: u64,
-    /// Requests a second for all boxes of a hall together.
+    /// Requests per second, for all boxes of a hall together.
     pub requests_per_s: u64,
-    /// Tokens a second for all boxes of a hall together.
+    /// Tokens per second, for all boxes of a hall together.
     pub tokens_per_s: u64,
-    /// Waiting requests at one box.
+    /// Maximum number of waiting requests at one box.
     pub queue_requests: u64,
     digests: Vec<[u8; DIGEST_BYTES]>,
 }
@@ -63,73 +63,73 @@
 /// Routing settings of a data hall.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoutingSettings {
-    /// Servers drawn for one decision.
+    /// Servers sampled for one routing decision.
     pub samples: usize,
-    /// Work kept queued at one engine.
+    /// Work to keep queued at one engine.
     pub queue: Duration,
-    /// Prompts above this many tokens are long.
+    /// Prompts with more tokens than this are long.
     pub long_prompt: u64,
-    /// Most engines, in percent, that long prompts may use.
+    /// Largest share of the engines that long prompts may use, in percent.
     pub long_share_percent: u64,
-    /// What another hall must be better by.
+    /// Minimum advantage of another hall before a request is sent there.
     pub hall_trip: Duration,
-    /// Repeats per hundred first attempts.
+    /// Retries per hundred first attempts.
     pub retry_percent: u64,
-    /// Failures in a row that open a breaker.
+    /// Consecutive failures that open a circuit breaker.
     pub breaker_failures: u32,
-    /// How long a breaker stays open.
+    /// Time that a circuit breaker stays open.
     pub breaker_open: Duration,
-    /// Life of what a silent box made an engine hold.
+    /// Time after which an engine releases the reservations of a silent box.
     pub holding_ttl: Duration,
 }
 
 /// Placement settings of a data hall.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementSettings {
-    /// Life of the placement lease.
+    /// Time to live of the placement lease.
     pub lease_ttl: Duration,
-    /// Engines wanted with each model.
+    /// Desired number of engines of each model.
     pub copies: BTreeMap<ModelName, u64>,
-    /// How long a difference must last.
+    /// Time that a difference from the desired state must last before an order is given.
     pub hysteresis: Duration,
-    /// Loads from the weight store a minute.
+    /// Model loads from the weight store per minute.
     pub loads_per_min: u64,
 }
 
-/// The typed view of one revision, for one data hall.
+/// Typed settings of one revision for one data hall.
 #[derive(Debug, Clone)]
 pub struct SettingsView {
-    /// The revision.
+    /// Revision of the settings.
     pub revision: Revision,
-    /// Routing in this hall.
+    /// Routing settings of the hall.
     pub routing: RoutingSettings,
-    /// Placement in this hall.
+    /// Placement settings of the hall.
     pub placement: PlacementSettings,
-    /// Largest body, in bytes, over all classes.
+    /// Largest request body of any node, in bytes.
     pub max_body: usize,
     workspaces: BTreeMap<WorkspaceName, WorkspaceSettings>,
     classes: BTreeMap<NodeName, ClassSettings>,
 }
 
 impl SettingsView {
-    /// Works the view out for a hall; a hall without a node of its own reads the root.
+    /// Computes the settings of a hall; a hall without its own node uses the root.
     pub fn new(active: &ActiveSettings, hall: &str) -> Self {
         let tree = &active.tree;
         let hall = NodeName::new(hall);
-        let at = match tree.node(&hall) {
+        let node = match tree.node(&hall) {
             Some(_) => hall,
             None => NodeName::new(ROOT),
         };
-        let named = |kind| {
+        let nodes_of_kind = |kind| {
             tree.nodes()
                 .iter()
                 .filter(move |(_, node)| node.kind == kind)
         };
-        let workspaces = named(NodeKind::Workspace)
+        let workspaces = nodes_of_kind(NodeKind::Workspace)
             .map(|(name, _)| (WorkspaceName::new(name.as_str()), workspace(tree, name)))
             .collect();
-        let classes = named(NodeKind::Workspace)
-            .chain(named(NodeKind::Class))
+        let classes = nodes_of_kind(NodeKind::Workspace)
+            .chain(nodes_of_kind(NodeKind::Class))
             .map(|(name, _)| (name.clone(), class(tree, name)))
             .collect();
         let max_body = tree
@@ -140,25 +140,25 @@
             .unwrap_or_default();
         Self {
             revision: active.revision,
-            routing: routing(tree, &at),
-            placement: placement(tree, &at),
+            routing: routing(tree, &node),
+            placement: placement(tree, &node),
             max_body: max_body as usize,
             workspaces,
             classes,
         }
     }
 
-    /// A workspace's settings.
+    /// Settings of a workspace; `None` if it has no node.
     pub fn workspace(&self, name: &WorkspaceName) -> Option<&WorkspaceSettings> {
         self.workspaces.get(name)
     }
 
-    /// All workspaces.
+    /// Settings of all workspaces, by name.
     pub const fn workspaces(&self) -> &BTreeMap<WorkspaceName, WorkspaceSettings> {
         &self.workspaces
     }
 
-    /// A class's settings; without a class, the workspace's own.
+    /// Settings of a request class, or of the workspace itself without a class.
     pub fn class(&self, workspace: &WorkspaceName, class: Option<&str>) -> Option<&ClassSettings> {
         let node = match class {
             Some(class) => NodeName::new(format!("{workspace}/{class}")),
@@ -167,7 +167,8 @@
         self.classes.get(&node)
     }
 
-    /// The workspace that a key opens. Every digest is compared, in constant time.
+    /// Workspace that a key authenticates. Compares all digests, each in constant time, so that
+    /// the duration does not reveal which one matches.
     pub fn workspace_for_key(&self, key: &str) -> Option<&WorkspaceName> {
         let digest: [u8; DIGEST_BYTES] = Sha256::digest(key.as_bytes()).into();
         let mut found = None;
@@ -190,7 +191,7 @@
     let priority = tree.effective(node, Key::RequestPriority);
     ClassSettings {
         time_limit: millis(tree, node, Key::RequestTimeLimit),
-        connect: millis(tree, node, Key::RequestConnect),
+        connect_timeout: millis(tree, node, Key::RequestConnect),
         first_token: millis(tree, node, Key::RequestFirstToken),
         between_tokens: millis(tree, node, Key::RequestBetweenTokens),
         max_attempts: tree.integer(node, Key::RequestMaxAttempts) as u32,
--- a/lib/tests/seeded.rs
+++ b/lib/tests/seeded.rs
@@ -1,12 +1,15 @@
-//! Drawn inputs that are the same in every run.
+//! Property checks with a fixed seed, so that every run checks the same inputs.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-const TESTS: u64 = 2_000;
+const CASES: u64 = 2_000;
 
-/// A checker with a fixed seed.
+/// Checker with a fixed seed and a fixed number of cases.
 pub fn seeded() -> QuickCheck {
-    let seeded = Gen::from_size_and_seed(100, 1);
-    QuickCheck::new().rng(seeded).tests(TESTS).max_tests(TESTS)
+    let generator = Gen::from_size_and_seed(100, 1);
+    QuickCheck::new()
+        .rng(generator)
+        .tests(CASES)
+        .max_tests(CASES)
 }
--- a/lib/tests/test_settings_seeds.rs
+++ b/lib/tests/test_settings_seeds.rs
@@ -1,6 +1,6 @@
-//! Long seeded runs of settings: racing operators, lost and late writes, outages.
+//! Seeded simulations of settings: concurrent operators, lost and delayed writes, outages.
 //!
-//! Any number of seeds: `cargo run --release --bin emulate -- seeds settings --count N`.
+//! To run more seeds: `cargo run --release --bin emulate -- seeds settings --count N`.
 
 use badgerferry_testutils::seeded_settings;
 use badgerferry_testutils::seeded_settings::SettingsCounts;
@@ -12,16 +12,16 @@
 fn settings_invariants_hold_over_seeds() {
     let mut counts = SettingsCounts::default();
 
-    let (results, broken) = run_seeds(0..SEEDS, seeded_settings::run);
+    let (results, failed_seeds) = run_seeds(0..SEEDS, seeded_settings::run);
     for result in results {
         counts.add(result);
     }
 
     assert!(
-        broken.is_empty(),
-        "seeds that broke an invariant: {broken:?}"
+        failed_seeds.is_empty(),
+        "seeds that violated an invariant: {failed_seeds:?}"
     );
-    // The runs must have provoked what they are for, or they prove nothing.
+    // Without enough conflicts, lost responses and checkpoints the simulation proves nothing.
     assert!(counts.accepted > 30_000, "{counts:?}");
     assert!(counts.rejected > 30_000, "{counts:?}");
     assert!(counts.unsure > 1_000, "{counts:?}");
