--- a/lib/tests/test_properties.rs
+++ b/lib/tests/test_properties.rs
@@ -50,7 +50,7 @@
     fn holds(one: u64, other: u64) -> bool {
         let (one, other) = (tree(one), tree(other));
         let changes = one.changes_to(&other);
-        one.faults().is_empty() && one.apply(&changes) == Ok(other)
+        one.validation_errors().is_empty() && one.apply(&changes) == Ok(other)
     }
     seeded().quickcheck(holds as fn(u64, u64) -> bool);
 }
@@ -73,14 +73,14 @@
 fn backups_round_trip_and_corrupted_ones_are_rejected() {
     fn holds(seed: u64, at: usize, byte: u8) -> bool {
         let snapshot = SettingsSnapshot::new(Revision(seed % 1_000), tree(seed));
-        let text = snapshot.to_text();
+        let text = snapshot.to_json();
         let mut bytes = text.clone().into_bytes();
         let at = at % bytes.len();
         bytes[at] = byte;
         let corrupted = String::from_utf8(bytes).unwrap_or_default();
-        let round_trips = SettingsSnapshot::from_text(&text).as_ref() == Ok(&snapshot);
+        let round_trips = SettingsSnapshot::from_json(&text).as_ref() == Ok(&snapshot);
         // Changed white space decodes to the same backup; any other change must be rejected.
-        let other = SettingsSnapshot::from_text(&corrupted);
+        let other = SettingsSnapshot::from_json(&corrupted);
         let decodes_to_another = other.is_ok_and(|other| other != snapshot);
         round_trips && !decodes_to_another
     }
