--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -152,13 +152,13 @@
 
     /// Whether the box's share of the retry budget has a repeat left.
     pub fn has_retry_budget(&self) -> bool {
-        let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
+        let (now, boxes) = (self.relay.clock.now(), self.relay.box_count());
         self.with_retries(|window, rule| window.has_retry_left(now, rule, boxes))
     }
 
     /// Takes one repeat from the box's share of the retry budget, if there is one.
     pub fn may_repeat(&self) -> bool {
-        let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
+        let (now, boxes) = (self.relay.clock.now(), self.relay.box_count());
         let allowed = self.with_retries(|window, rule| window.try_spend(now, rule, boxes));
         if !allowed {
             tracing::info!(call = self.id(), service = %self.service, boxes, "no retry budget left");
@@ -218,7 +218,7 @@
             log_lines::turned_away(&id, code);
             caller_answer::bad(status, code)
         })?;
-    if relay.refuses() {
+    if relay.refuses_calls() {
         log_lines::turned_away(&id, "box_leaving");
         return Err(caller_answer::not_run("box_leaving", Some(SOON)));
     }
--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -130,8 +130,8 @@
     now: Time,
     candidates: Vec<(&'a ServerRecord, Availability)>,
 ) -> Vec<(&'a ServerRecord, Availability)> {
-    let paces = lock(&relay.paces);
-    let fast = paces.without_slow(now, candidates.clone(), |(record, _)| record.key);
+    let slow_engine_tracker = lock(&relay.slow_engine_tracker);
+    let fast = slow_engine_tracker.without_slow(now, candidates.clone(), |(record, _)| record.key);
     let accepts_calls = fast
         .iter()
         .any(|(_, availability)| availability.accepts_calls());
--- a/daemon/src/relay/engines.rs
+++ b/daemon/src/relay/engines.rs
@@ -350,8 +350,8 @@
 ) -> Result<Planned, NotNow> {
     let relay = &call.relay;
     let now = relay.clock.now();
-    let scope = lock(&relay.followed).scope();
-    let boxes = relay.boxes_beside(scope);
+    let scope = lock(&relay.cluster_view).scope();
+    let boxes = relay.boxes_in_scope(scope);
     let tracker = lock(&relay.tracker);
     let table = lock(&relay.loads).table(now);
     let candidates = candidates::of_service(relay, now, &tracker, &wanted(call, tried))?;
@@ -486,7 +486,7 @@
         if not_now.lasts_until(now, expires_at) {
             return Err(not_now.refusal());
         }
-        if relay.refuses() {
+        if relay.refuses_calls() {
             return Err((RefusalReason::Leaving, NO_SERVER_RETRY));
         }
         if now >= expires_at {
--- a/daemon/src/relay/neighbours.rs
+++ b/daemon/src/relay/gossip.rs
@@ -49,7 +49,7 @@
 
 /// Sockets to other boxes.
 #[derive(Debug)]
-pub struct Links {
+pub struct PeerSockets {
     load: UdpSocket,
     pull: TcpListener,
 }
@@ -59,23 +59,23 @@
 /// # Errors
 ///
 /// An address can't be used.
-pub async fn bind(settings: &BoxSettings) -> anyhow::Result<Links> {
+pub async fn bind(settings: &BoxSettings) -> anyhow::Result<PeerSockets> {
     let load = UdpSocket::bind(settings.load).await;
     let load = load.with_context(|| format!("failed to take datagrams on {}", settings.load))?;
     let pull = listener::listen(settings.pull)?;
-    Ok(Links { load, pull })
+    Ok(PeerSockets { load, pull })
 }
 
 /// Runs for ever.
-pub async fn run(relay: &Arc<Relay>, links: Links) {
-    let Links { load, pull } = links;
+pub async fn run(relay: &Arc<Relay>, links: PeerSockets) {
+    let PeerSockets { load, pull } = links;
     tokio::join!(
         tell(relay, &load),
         hear(relay, &load),
         tell_far(relay, &load),
         send_permits(relay, &load),
-        pulls::answer_pulls(relay, pull),
-        pulls::pull_at_start(relay),
+        pulls::serve_pulls(relay, pull),
+        pulls::bootstrap(relay),
     );
 }
 
@@ -152,13 +152,14 @@
 /// Whether this box speaks for its hall, and to whom this time.
 fn far_receivers(relay: &Relay, now: Time, turn: usize) -> (Option<DelegateRole>, Vec<SocketAddr>) {
     let own = &relay.settings;
-    let followed = lock(&relay.followed);
-    if followed.scope() == GossipScope::Fleet {
+    let cluster_view = lock(&relay.cluster_view);
+    if cluster_view.scope() == GossipScope::Fleet {
         return (None, Vec::new());
     }
-    let lives = |name: &str| followed.heard.is_live(now, name);
-    let speaker = gossip_topology::delegate_role(&followed.boxes, &own.name, &own.hall, lives);
-    let receivers = gossip_topology::gossip_targets(&followed.boxes, &own.hall, turn).into_iter();
+    let lives = |name: &str| cluster_view.peer_liveness.is_live(now, name);
+    let speaker = gossip_topology::delegate_role(&cluster_view.boxes, &own.name, &own.hall, lives);
+    let receivers =
+        gossip_topology::gossip_targets(&cluster_view.boxes, &own.hall, turn).into_iter();
     let receivers = receivers.filter_map(|of| of.load.parse().ok());
     (speaker, receivers.collect())
 }
@@ -166,9 +167,9 @@
 /// The work of this box's hall, for the others.
 fn hall_datagram(relay: &Relay, now: Time, sequence: u64) -> LoadDatagram {
     let rows = {
-        let followed = lock(&relay.followed);
-        let is_near = |name: &str| relay.is_near(&followed.boxes, name);
-        lock(&relay.loads).hall_table(now, is_near)
+        let cluster_view = lock(&relay.cluster_view);
+        let is_in_own_hall = |name: &str| relay.is_in_own_hall(&cluster_view.boxes, name);
+        lock(&relay.loads).hall_table(now, is_in_own_hall)
     };
     let source = LoadSource::Hall {
         hall: relay.settings.hall.clone(),
@@ -192,8 +193,14 @@
         (tracker.recent_faults(now), tracker.recent_departures(now))
     };
     let (slow_engines, runs_of) = match source {
-        LoadSource::Box => (lock(&relay.paces).own_reports(now), RunScope::Box),
-        LoadSource::Hall { .. } => (lock(&relay.paces).hall_reports(now), RunScope::Hall),
+        LoadSource::Box => (
+            lock(&relay.slow_engine_tracker).own_reports(now),
+            RunScope::Box,
+        ),
+        LoadSource::Hall { .. } => (
+            lock(&relay.slow_engine_tracker).hall_reports(now),
+            RunScope::Hall,
+        ),
     };
     let suspects = lock(&relay.quarantine).rows(now, runs_of);
     let notices = lock(&relay.gate.notices).rows(now);
@@ -243,9 +250,9 @@
 
 fn end_holds(relay: &Relay) {
     let now = relay.clock.now();
-    let due = lock(&relay.followed).servers.next_tick();
+    let due = lock(&relay.cluster_view).servers.next_tick();
     if due.is_some_and(|due| now >= due) {
-        relay.change_servers(|servers| {
+        relay.update_servers(|servers| {
             servers.tick(now);
         });
         tracing::info!("server entries that did not come back are taken as gone");
@@ -267,8 +274,8 @@
 
 fn log_scope(relay: &Relay, last: &mut GossipScope) {
     let (scope, boxes) = {
-        let followed = lock(&relay.followed);
-        (followed.scope(), followed.boxes.len())
+        let cluster_view = lock(&relay.cluster_view);
+        (cluster_view.scope(), cluster_view.boxes.len())
     };
     if scope != *last {
         tracing::info!(?scope, before = ?last, boxes, "boxes told of work change");
@@ -278,10 +285,10 @@
 
 /// The boxes that this one tells of its work.
 fn others(relay: &Relay) -> Vec<SocketAddr> {
-    let followed = lock(&relay.followed);
-    let scope = followed.scope();
+    let cluster_view = lock(&relay.cluster_view);
+    let scope = cluster_view.scope();
     let own = &relay.settings;
-    let others = followed.boxes.values().filter(|of| of.name != own.name);
+    let others = cluster_view.boxes.values().filter(|of| of.name != own.name);
     others
         .filter(|of| scope.includes(&own.hall, &of.hall))
         .filter_map(|of| of.load.parse().ok())
@@ -320,7 +327,7 @@
         merge_rows(relay, now, &mut datagram);
         note_neighbour(relay, now, &datagram);
         suspects::heard(relay, now, &datagram);
-        let teller = teller_name(&datagram);
+        let teller = source_name(&datagram);
         relay.gate.merge_rows(&datagram.notices, teller);
         if passed_on.is_due(relay, now, &datagram) {
             pass_on(relay, socket, &datagram).await;
@@ -378,7 +385,7 @@
 }
 
 /// Whose word a datagram is.
-pub fn teller_name(datagram: &LoadDatagram) -> &str {
+pub fn source_name(datagram: &LoadDatagram) -> &str {
     match &datagram.source {
         LoadSource::Box => &datagram.from,
         LoadSource::Hall { hall, .. } => hall.as_str(),
@@ -433,16 +440,16 @@
 /// Notes that the box was heard, and what it says of servers.
 fn note_neighbour(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let hall = {
-        let mut followed = lock(&relay.followed);
+        let mut cluster_view = lock(&relay.cluster_view);
         if datagram.follows_store {
-            followed.neighbour_at = Some(now);
+            cluster_view.peer_followed_store_at = Some(now);
         }
-        followed
-            .heard
+        cluster_view
+            .peer_liveness
             .record(now, &datagram.from, datagram.known_state);
-        let hall = followed.boxes.get(&datagram.from);
+        let hall = cluster_view.boxes.get(&datagram.from);
         let hall = hall.map(|of| HallName::new(&of.hall));
-        followed.heard_unknown |= hall.is_none();
+        cluster_view.has_unknown_peer |= hall.is_none();
         hall
     };
     let Some(hall) = hall else {
@@ -454,7 +461,7 @@
     } else {
         ReportOrigin::OtherHall
     };
-    lock(&relay.paces).record_gossip(now, said_by, &datagram.slow_engines);
+    lock(&relay.slow_engine_tracker).record_gossip(now, said_by, &datagram.slow_engines);
     let mut tracker = lock(&relay.tracker);
     tracker.datagram_received(now, own, &hall, &datagram.from);
     tracker.apply_departures(now, &datagram.departures);
--- a/daemon/src/relay/late_calls.rs
+++ b/daemon/src/relay/late_calls.rs
@@ -52,12 +52,12 @@
 fn ask_engines(call: &Call, engines: Vec<Engine>) {
     let relay = &call.relay;
     let now = relay.clock.now();
-    let mut paces = lock(&relay.paces);
+    let mut slow_engine_tracker = lock(&relay.slow_engine_tracker);
     let asked = engines
         .into_iter()
-        .filter(|engine| paces.should_query(now, engine.key));
+        .filter(|engine| slow_engine_tracker.should_query(now, engine.key));
     let asked: Vec<Engine> = asked.collect();
-    drop(paces);
+    drop(slow_engine_tracker);
     tracing::info!(
         call = call.id(),
         engines = asked.len(),
@@ -74,7 +74,7 @@
     let key = engine.key;
     while let Some(pace) = pace_of(&relay, &engine).await {
         let now = relay.clock.now();
-        let is_slow = lock(&relay.paces).record_pace(now, key, pace);
+        let is_slow = lock(&relay.slow_engine_tracker).record_pace(now, key, pace);
         tracing::info!(
             engine = engine.address,
             pace,
@@ -88,7 +88,7 @@
         relay.urgent_changed.notify_one();
         let jitter = rand::rng().random_range(0.0..QUERY_JITTER);
         tokio::time::sleep(QUERY_INTERVAL + QUERY_INTERVAL.mul_f64(jitter)).await;
-        if !lock(&relay.paces).should_query_again(relay.clock.now(), key) {
+        if !lock(&relay.slow_engine_tracker).should_query_again(relay.clock.now(), key) {
             return;
         }
     }
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -13,24 +13,24 @@
 mod caller_answer;
 mod caller_io;
 mod candidates;
+mod cluster_view;
 mod engine_call;
 mod engines;
-mod followed;
 mod front;
+mod gossip;
 mod late_calls;
 mod line_budget;
 mod listener;
 mod live_stream;
 mod log_lines;
 mod metrics_page;
-mod neighbours;
 mod permit_post;
 mod pulls;
 mod reservations;
 mod server_gate;
 mod state;
 mod stop;
-mod store_follow;
+mod store_follower;
 mod suspects;
 mod tries;
 mod unknown_headers;
@@ -81,7 +81,7 @@
         .name("control".to_owned())
         .spawn(move || {
             runtime.block_on(async {
-                let links = match neighbours::bind(&relay.settings).await {
+                let links = match gossip::bind(&relay.settings).await {
                     Ok(links) => links,
                     Err(cause) => {
                         // The receiver waits for exactly this.
@@ -91,9 +91,9 @@
                 };
                 let _ = bound_tx.send(Ok(()));
                 tokio::join!(
-                    store_follow::run(&relay),
+                    store_follower::run(&relay),
                     suspects::keep_in_store(&relay),
-                    neighbours::run(&relay, links),
+                    gossip::run(&relay, links),
                 );
             });
         })
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -65,11 +65,11 @@
 /// Whether this box lacks addresses of others, and has not asked for them just now.
 pub fn wants_boxes(relay: &Relay) -> bool {
     let now = relay.clock.now();
-    let followed = lock(&relay.followed);
-    let asked_lately = followed
-        .boxes_asked
+    let cluster_view = lock(&relay.cluster_view);
+    let asked_lately = cluster_view
+        .boxes_requested_at
         .is_some_and(|at| now.since(at) < BOXES_PAUSE);
-    (followed.heard_unknown || followed.boxes.len() < 2) && !asked_lately
+    (cluster_view.has_unknown_peer || cluster_view.boxes.len() < 2) && !asked_lately
 }
 
 /// Pulls from a box that is ahead, and while that answers others, from another one that is.
@@ -98,18 +98,20 @@
 /// A box that has newer state, drawn from those that said so.
 fn any_ahead(relay: &Relay) -> Option<String> {
     let known_state = relay.known_state();
-    let followed = lock(&relay.followed);
-    let ahead = followed.heard.ahead_of(relay.clock.now(), known_state);
+    let cluster_view = lock(&relay.cluster_view);
+    let ahead = cluster_view
+        .peer_liveness
+        .ahead_of(relay.clock.now(), known_state);
     ahead.choose(&mut rand::rng()).map(|&name| name.to_owned())
 }
 
 /// Pulls from a box, or from any other one if its address is not known.
 async fn pull_from_named(relay: &Arc<Relay>, name: &str, known_state: KnownState) -> Pulled {
     let address = {
-        let followed = lock(&relay.followed);
-        let named = followed.boxes.get(name).map(|of| of.pull.clone());
+        let cluster_view = lock(&relay.cluster_view);
+        let named = cluster_view.boxes.get(name).map(|of| of.pull.clone());
         named.or_else(|| {
-            let others = followed.boxes.values();
+            let others = cluster_view.boxes.values();
             let others = others.filter(|of| of.name != relay.settings.name);
             let others: Vec<&str> = others.map(|of| of.pull.as_str()).collect();
             others
@@ -124,11 +126,15 @@
 }
 
 /// Pulls from any box until routes are known, from here or from the store.
-pub async fn pull_at_start(relay: &Arc<Relay>) {
+pub async fn bootstrap(relay: &Arc<Relay>) {
     while relay.routes.load().is_none() {
         tokio::time::sleep(START_PULL).await;
         let settings = &relay.settings;
-        let all = bootstrap_sources(settings.pull, &settings.seeds, &lock(&relay.followed).boxes);
+        let all = bootstrap_sources(
+            settings.pull,
+            &settings.seeds,
+            &lock(&relay.cluster_view).boxes,
+        );
         let drawn = all.choose(&mut rand::rng()).copied();
         if let (None, Some(address)) = (relay.routes.load().as_ref(), drawn) {
             pull(relay, address, relay.known_state()).await;
@@ -143,9 +149,9 @@
         wants_boxes: wants_boxes(relay),
     };
     if request.wants_boxes {
-        let mut followed = lock(&relay.followed);
-        followed.boxes_asked = Some(relay.clock.now());
-        followed.heard_unknown = false;
+        let mut cluster_view = lock(&relay.cluster_view);
+        cluster_view.boxes_requested_at = Some(relay.clock.now());
+        cluster_view.has_unknown_peer = false;
     }
     let (answer, table) = match timeout(PULL_LIMIT, ask(address, &request)).await {
         Ok(Ok(answer)) => answer,
@@ -173,7 +179,7 @@
     if let Some(news) = answer.servers {
         let now = relay.clock.now();
         let hold_remaining = answer.hold_remaining;
-        relay.change_servers(|servers| {
+        relay.update_servers(|servers| {
             servers.extend_hold(now, hold_remaining);
             servers.apply_update(now, news);
         });
@@ -181,11 +187,11 @@
     relay.gate.merge_rows(&answer.notices, "a pull");
     // Last: calls that wait for the first routes go by them at once.
     if let Some(table) = table {
-        relay.offer_table(table, "neighbour");
+        relay.update_routes(table, "neighbour");
     }
-    let mut followed = lock(&relay.followed);
+    let mut cluster_view = lock(&relay.cluster_view);
     for of in answer.boxes {
-        followed.boxes.entry(of.name.clone()).or_insert(of);
+        cluster_view.boxes.entry(of.name.clone()).or_insert(of);
     }
     Pulled::Done
 }
@@ -219,7 +225,7 @@
 }
 
 /// Answers other boxes' pulls for ever.
-pub async fn answer_pulls(relay: &Arc<Relay>, listener: TcpListener) {
+pub async fn serve_pulls(relay: &Arc<Relay>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(ANSWERS_AT_ONCE));
     listener::serve_each(listener, |stream| {
         answer_pull(Arc::clone(relay), Arc::clone(&slots), stream)
@@ -236,8 +242,8 @@
             counter!("badgerferry_pulls_turned_away_total").increment(1);
             return write_frame(&mut stream, &[]).await;
         };
-        let answer = relay.newer_than(&request);
-        let table = relay.table_for(&answer);
+        let answer = relay.newer_state_for(&request);
+        let table = relay.encoded_table_for(&answer);
         write_frame(&mut stream, &postcard::to_stdvec(&answer)?).await?;
         if let Some(table) = table {
             write_frame(&mut stream, &table).await?;
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -37,7 +37,7 @@
 use tokio::time::timeout;
 
 use crate::clock::Clock;
-use crate::relay::followed::Followed;
+use crate::relay::cluster_view::ClusterView;
 use crate::relay::line_budget::GOOD_LINES;
 use crate::relay::line_budget::LATE_LINES;
 use crate::relay::permit_post::PermitPost;
@@ -92,7 +92,7 @@
     /// The process's clock.
     pub clock: Clock,
     /// Which boxes live.
-    pub followed: Arc<Mutex<Followed>>,
+    pub cluster_view: Arc<Mutex<ClusterView>>,
     /// Names of servers.
     pub tracker: Arc<Mutex<ServerTracker>>,
     /// Wakes whoever tells the boxes of this hall.
@@ -253,7 +253,7 @@
 
     /// Who gives out the calls of limited servers of a hall.
     fn keeper(&self, hall: &HallName) -> QuotaOwner {
-        lock(&self.parts.followed).keeper(self.now(), &self.parts.own, hall)
+        lock(&self.parts.cluster_view).quota_owner(self.now(), &self.parts.own, hall)
     }
 
     /// Asks for a call; gives back how long it must wait, or when there is room. Then the server is
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -39,7 +39,7 @@
 use tokio::time::timeout;
 
 use crate::clock::Clock;
-use crate::relay::followed::Followed;
+use crate::relay::cluster_view::ClusterView;
 use crate::relay::server_gate::GateParts;
 use crate::relay::server_gate::ServerGate;
 use crate::relay::unknown_headers::UnknownHeaders;
@@ -89,7 +89,7 @@
     /// Work at engines, of all boxes.
     pub loads: Mutex<EngineLoadTracker>,
     /// Engines that are slow.
-    pub paces: Mutex<SlowEngineTracker>,
+    pub slow_engine_tracker: Mutex<SlowEngineTracker>,
     /// Long prompts that wait for engines.
     pub long_prompt_queue: Mutex<LongPromptQueue>,
     /// Retry budgets by service.
@@ -97,9 +97,9 @@
     /// Pieces of work under which servers ended.
     pub quarantine: Mutex<Quarantine>,
     /// Wakes calls that wait for what a run of their work tells.
-    pub verdicts: Notify,
+    pub admission_changed: Notify,
     /// Wakes whoever writes to the store what is known of them.
-    pub suspects_changed: Notify,
+    pub quarantine_changed: Notify,
     /// The way to servers.
     pub gate: ServerGate,
     /// Headers of servers that nothing reads.
@@ -107,7 +107,7 @@
     /// Connections to servers.
     pub upstream: Upstream,
     /// What control knows of the platform's state.
-    pub followed: Arc<Mutex<Followed>>,
+    pub cluster_view: Arc<Mutex<ClusterView>>,
     /// The route table in force as other boxes are told it.
     encoded_table: Mutex<Option<EncodedTable>>,
     /// Wakes the sender of load datagrams.
@@ -129,11 +129,11 @@
     /// A box that knows nothing yet but itself.
     pub fn new(settings: BoxSettings) -> Self {
         let own = own_addresses(&settings);
-        let followed = Followed {
+        let cluster_view = ClusterView {
             boxes: Boxes::from([(own.name.clone(), own)]),
-            ..Followed::default()
+            ..ClusterView::default()
         };
-        let followed = Arc::new(Mutex::new(followed));
+        let cluster_view = Arc::new(Mutex::new(cluster_view));
         let tracker: Arc<Mutex<ServerTracker>> = Arc::default();
         let load_changed: Arc<Notify> = Arc::default();
         let urgent_changed: Arc<Notify> = Arc::default();
@@ -142,7 +142,7 @@
         let gate = ServerGate::new(GateParts {
             own: settings.name.clone(),
             clock,
-            followed: Arc::clone(&followed),
+            cluster_view: Arc::clone(&cluster_view),
             tracker: Arc::clone(&tracker),
             load_changed: Arc::clone(&load_changed),
             urgent_changed: Arc::clone(&urgent_changed),
@@ -156,16 +156,16 @@
             routes_known: Notify::new(),
             tracker,
             loads: Mutex::default(),
-            paces: Mutex::default(),
+            slow_engine_tracker: Mutex::default(),
             long_prompt_queue: Mutex::default(),
             retries: Mutex::default(),
             quarantine: Mutex::default(),
-            verdicts: Notify::new(),
-            suspects_changed: Notify::new(),
+            admission_changed: Notify::new(),
+            quarantine_changed: Notify::new(),
             gate,
             unknown_headers: UnknownHeaders::default(),
             upstream: Upstream::default(),
-            followed,
+            cluster_view,
             encoded_table: Mutex::default(),
             load_changed,
             urgent_changed,
@@ -208,19 +208,19 @@
     }
 
     /// Whether new calls are refused.
-    pub fn refuses(&self) -> bool {
+    pub fn refuses_calls(&self) -> bool {
         self.refusing.load(Ordering::SeqCst)
     }
 
     /// Boxes that serve, this one included, as far as it knows.
-    pub fn boxes(&self) -> usize {
-        lock(&self.followed).boxes.len().max(1)
+    pub fn box_count(&self) -> usize {
+        lock(&self.cluster_view).boxes.len().max(1)
     }
 
     /// Whether the store answered lately.
     pub fn follows_store(&self) -> bool {
         let now = self.clock.now();
-        let at = lock(&self.followed).store_at;
+        let at = lock(&self.cluster_view).store_answered_at;
         at.is_some_and(|at| now.since(at) < FOLLOWS)
     }
 
@@ -230,52 +230,52 @@
     /// whoever hears of none that does.
     pub fn must_follow_store(&self) -> bool {
         let now = self.clock.now();
-        let followed = lock(&self.followed);
+        let cluster_view = lock(&self.cluster_view);
         let own = &self.settings;
         let before =
-            gossip_topology::rank_in_hall(&followed.boxes, &own.hall, own.processor, &own.name);
+            gossip_topology::rank_in_hall(&cluster_view.boxes, &own.hall, own.processor, &own.name);
         let hears = |at: Time| now.since(at) < NEIGHBOUR_SILENCE;
-        before < FOLLOWERS_PER_HALL || !followed.neighbour_at.is_some_and(hears)
+        before < FOLLOWERS_PER_HALL || !cluster_view.peer_followed_store_at.is_some_and(hears)
     }
 
     /// Which state this box has.
     pub fn known_state(&self) -> KnownState {
         KnownState {
-            routes: self.version_in_force(),
-            servers: lock(&self.followed).servers.entries().position,
+            routes: self.current_route_version(),
+            servers: lock(&self.cluster_view).servers.entries().position,
         }
     }
 
     /// Version of the route table in force.
-    pub fn version_in_force(&self) -> Option<u64> {
+    pub fn current_route_version(&self) -> Option<u64> {
         let routes = self.routes.load();
         routes.as_ref().map(|index| index.table().version)
     }
 
     /// Boxes that choose among the engines which this box uses first.
-    pub fn boxes_beside(&self, scope: GossipScope) -> usize {
-        let followed = lock(&self.followed);
+    pub fn boxes_in_scope(&self, scope: GossipScope) -> usize {
+        let cluster_view = lock(&self.cluster_view);
         let own = &self.settings.hall;
-        let beside = followed.boxes.values();
+        let beside = cluster_view.boxes.values();
         let beside = beside.filter(|of| scope.includes(own, &of.hall)).count();
         beside.max(1)
     }
 
     /// This box's rank among those that take turns with a suspect work.
     pub fn rank_for(&self, work: RequestFingerprint) -> usize {
-        let followed = lock(&self.followed);
-        let names = followed.boxes.keys().map(String::as_str);
+        let cluster_view = lock(&self.cluster_view);
+        let names = cluster_view.boxes.keys().map(String::as_str);
         quarantine::rank(work, &self.settings.name, names)
     }
 
     /// Whether a box is known to stand in this box's hall.
-    pub fn is_near(&self, boxes: &Boxes, name: &str) -> bool {
+    pub fn is_in_own_hall(&self, boxes: &Boxes, name: &str) -> bool {
         let of = boxes.get(name);
         of.is_some_and(|of| of.hall == self.settings.hall.as_str())
     }
 
-    /// What another box lacks; see [`Self::table_for`].
-    pub fn newer_than(&self, request: &PullRequest) -> PullResponse {
+    /// What another box lacks; see [`Self::encoded_table_for`].
+    pub fn newer_state_for(&self, request: &PullRequest) -> PullResponse {
         let known_state = request.known_state;
         // Boxes that are up hear of them with the datagrams.
         let has_just_started = known_state.routes.is_none();
@@ -284,23 +284,23 @@
         } else {
             NoticeRows::default()
         };
-        let followed = lock(&self.followed);
+        let cluster_view = lock(&self.cluster_view);
         let boxes = if request.wants_boxes {
-            followed.boxes.values().cloned().collect()
+            cluster_view.boxes.values().cloned().collect()
         } else {
             Vec::new()
         };
         PullResponse {
-            table_follows: self.version_in_force() > known_state.routes,
-            servers: followed.servers.update_since(known_state.servers),
-            hold_remaining: followed.servers.hold_remaining(self.clock.now()),
+            table_follows: self.current_route_version() > known_state.routes,
+            servers: cluster_view.servers.update_since(known_state.servers),
+            hold_remaining: cluster_view.servers.hold_remaining(self.clock.now()),
             notices,
             boxes,
         }
     }
 
     /// The route table in force as it follows an answer.
-    pub fn table_for(&self, answer: &PullResponse) -> Option<Bytes> {
+    pub fn encoded_table_for(&self, answer: &PullResponse) -> Option<Bytes> {
         answer.table_follows.then(|| self.encoded_table()).flatten()
     }
 
@@ -326,11 +326,11 @@
     }
 
     /// Puts a route table in force if its version is higher than that of the one that is.
-    pub fn offer_table(&self, table: RouteTable, source: &'static str) {
+    pub fn update_routes(&self, table: RouteTable, source: &'static str) {
         // Held until the table is in force: tables come from the store and from other boxes.
-        let followed = lock(&self.followed);
-        let (version, before) = (table.version, self.version_in_force());
-        let position = followed.servers.entries().position;
+        let cluster_view = lock(&self.cluster_view);
+        let (version, before) = (table.version, self.current_route_version());
+        let position = cluster_view.servers.entries().position;
         if before >= Some(version) {
             if before > Some(version) {
                 tracing::info!(
@@ -353,7 +353,7 @@
             "routes in force"
         );
         self.routes.store(Some(Arc::new(RouteIndex::new(table))));
-        drop(followed);
+        drop(cluster_view);
         self.routes_known.notify_waiters();
         // Neighbours are told at once, not after the pause that a hundred boxes in a hall bring: each
         // round in which the routes spread would take that pause longer.
@@ -361,29 +361,29 @@
     }
 
     /// Changes what is believed of the servers and shows it to traffic.
-    pub fn change_servers(&self, f: impl FnOnce(&mut ServerList)) {
-        f(&mut lock(&self.followed).servers);
-        self.show_servers();
+    pub fn update_servers(&self, f: impl FnOnce(&mut ServerList)) {
+        f(&mut lock(&self.cluster_view).servers);
+        self.publish_servers();
     }
 
     /// Shows traffic what is believed of the servers after news of the store, and tells the other
     /// boxes at once of those that leave.
-    pub fn show_servers_of_store(&self) {
-        let servers = lock(&self.followed).servers.servers();
+    pub fn publish_store_servers(&self) {
+        let servers = lock(&self.cluster_view).servers.servers();
         let departs = lock(&self.tracker).record_departures(self.clock.now(), &servers);
-        self.show_servers();
+        self.publish_servers();
         if departs {
             self.urgent_changed.notify_one();
         }
     }
 
     /// Shows traffic what is believed of the servers.
-    pub fn show_servers(&self) {
-        let servers = lock(&self.followed).servers.servers();
+    pub fn publish_servers(&self) {
+        let servers = lock(&self.cluster_view).servers.servers();
         let listed: HashSet<EngineKey> = (servers.iter())
             .map(|server| EngineKey::of(&server.name))
             .collect();
-        lock(&self.paces).retain(|engine| listed.contains(&engine));
+        lock(&self.slow_engine_tracker).retain(|engine| listed.contains(&engine));
         lock(&self.tracker).set_servers(servers);
         self.load_changed.notify_one();
     }
--- a/daemon/src/relay/store_follow.rs
+++ b/daemon/src/relay/store_follower.rs
@@ -59,7 +59,7 @@
 /// Follows for ever.
 pub async fn run(relay: &Arc<Relay>) {
     let mut store = Store::new(relay.settings.store, CALL_LIMIT);
-    let mut follow = Follow::new(relay);
+    let mut follow = StoreFollower::new(relay);
     loop {
         if follow.entered_in.is_some() && !relay.must_follow_store() {
             follow.follow_neighbours();
@@ -79,7 +79,7 @@
     }
 }
 
-struct Follow<'a> {
+struct StoreFollower<'a> {
     relay: &'a Arc<Relay>,
     cursor: StoreCursor,
     lost_since: Option<Instant>,
@@ -96,7 +96,7 @@
     swept: Instant,
 }
 
-impl<'a> Follow<'a> {
+impl<'a> StoreFollower<'a> {
     fn new(relay: &'a Arc<Relay>) -> Self {
         Self {
             relay,
@@ -149,7 +149,7 @@
         }
         if servers_changed {
             // Once for all of them: each time, the list is copied whole.
-            self.relay.show_servers_of_store();
+            self.relay.publish_store_servers();
         }
         self.cursor.advance_to(seen.position);
         self.sweep(store).await
@@ -197,9 +197,9 @@
         self.swept = Instant::now();
         let now = self.relay.clock.now();
         let abandoned = {
-            let followed = lock(&self.relay.followed);
-            let silent_for = |name: &str| followed.heard.silent_for(now, name);
-            gossip_topology::expired_boxes(&followed.boxes, &self.own, silent_for)
+            let cluster_view = lock(&self.relay.cluster_view);
+            let silent_for = |name: &str| cluster_view.peer_liveness.silent_for(now, name);
+            gossip_topology::expired_boxes(&cluster_view.boxes, &self.own, silent_for)
         };
         for name in abandoned {
             if let Some(&at) = self.entries.get(&name) {
@@ -217,9 +217,9 @@
 
     fn store_available(&self) {
         let now = self.relay.clock.now();
-        let mut followed = lock(&self.relay.followed);
-        followed.servers.store_available(now);
-        followed.store_at = Some(now);
+        let mut cluster_view = lock(&self.relay.cluster_view);
+        cluster_view.servers.store_available(now);
+        cluster_view.store_answered_at = Some(now);
     }
 
     /// Goes on from where the neighbours' news are, should this box follow the store again.
@@ -227,7 +227,7 @@
         self.cursor.raise_to(self.relay.known_state().servers);
         // Its news reaches this box through them: entries that end are no longer held for long.
         let now = self.relay.clock.now();
-        lock(&self.relay.followed).servers.store_available(now);
+        lock(&self.relay.cluster_view).servers.store_available(now);
         self.lost_since = None;
         self.failures = 0;
     }
@@ -267,7 +267,7 @@
             tracing::warn!(%cause, era, revision, "store lost");
         }
         self.failures += 1;
-        lock(&self.relay.followed).servers.store_unavailable();
+        lock(&self.relay.cluster_view).servers.store_unavailable();
         self.backoff.next(&mut rand::rng()).min(LONGEST_PAUSE)
     }
 
@@ -307,14 +307,14 @@
         boxes.insert(self.own.name.clone(), self.own.clone());
         let now = self.relay.clock.now();
         {
-            let mut followed = lock(&self.relay.followed);
-            followed.take_boxes(now, boxes);
-            followed.servers.replace(now, entries);
+            let mut cluster_view = lock(&self.relay.cluster_view);
+            cluster_view.merge_boxes(now, boxes);
+            cluster_view.servers.replace(now, entries);
         }
-        self.relay.show_servers_of_store();
+        self.relay.publish_store_servers();
         if position.era > before.era {
             lock(&self.relay.quarantine).on_store_restored();
-            self.relay.suspects_changed.notify_one();
+            self.relay.quarantine_changed.notify_one();
         }
         // Calls that wait for the first routes go by them at once, and need the servers.
         if let Some(routes) = routes {
@@ -325,7 +325,7 @@
     fn take(&mut self, change: Change) {
         let relay = self.relay;
         match change {
-            Change::Routes(table) => relay.offer_table(*table, "store"),
+            Change::Routes(table) => relay.update_routes(*table, "store"),
             Change::Server { position, server } => {
                 tracing::info!(
                     server = %server.name,
@@ -337,20 +337,20 @@
                     revision = position.revision,
                     "server entry"
                 );
-                lock(&relay.followed).servers.put(position, server);
+                lock(&relay.cluster_view).servers.put(position, server);
             }
             Change::ServerGone { position, name } => {
                 let (era, revision) = (position.era, position.revision);
                 tracing::info!(server = %name, era, revision, "server entry gone");
                 let now = relay.clock.now();
-                let mut followed = lock(&relay.followed);
-                followed.servers.remove(now, position, &name);
+                let mut cluster_view = lock(&relay.cluster_view);
+                cluster_view.servers.remove(now, position, &name);
             }
             Change::Box { position, of } => {
                 let (era, revision) = (position.era, position.revision);
                 tracing::info!(r#box = of.name, era, revision, "box entry");
                 self.entries.insert(of.name.clone(), position);
-                lock(&relay.followed).boxes.insert(of.name.clone(), of);
+                lock(&relay.cluster_view).boxes.insert(of.name.clone(), of);
             }
             Change::BoxGone { name } if name == self.own.name => {
                 tracing::warn!(r#box = name, "this box's entry is gone");
@@ -359,7 +359,7 @@
             Change::BoxGone { name } => {
                 tracing::info!(r#box = name, "box entry gone");
                 self.entries.remove(&name);
-                lock(&relay.followed).boxes.remove(&name);
+                lock(&relay.cluster_view).boxes.remove(&name);
             }
             Change::Suspect { work, fact } => suspects::stored(relay, work, fact),
             Change::Unreadable {
@@ -370,8 +370,8 @@
             } => {
                 let (era, revision) = (position.era, position.revision);
                 tracing::error!(server = %name, cause, era, revision, "server entry can't be read; it is not used");
-                let mut followed = lock(&relay.followed);
-                followed.servers.put_unreadable(position, &name);
+                let mut cluster_view = lock(&relay.cluster_view);
+                cluster_view.servers.put_unreadable(position, &name);
             }
             Change::Unreadable { key, cause, .. } => {
                 tracing::error!(
--- a/daemon/src/relay/suspects.rs
+++ b/daemon/src/relay/suspects.rs
@@ -31,7 +31,7 @@
 
 use crate::relay::call::Call;
 use crate::relay::engines::Chosen;
-use crate::relay::neighbours::teller_name;
+use crate::relay::gossip::source_name;
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
@@ -94,7 +94,7 @@
         let Some(work) = self.work else { return };
         let now = self.relay.clock.now();
         if lock(&self.relay.quarantine).end_run(now, work) {
-            self.relay.verdicts.notify_waiters();
+            self.relay.admission_changed.notify_waiters();
             self.relay.urgent_changed.notify_one();
         }
     }
@@ -121,7 +121,7 @@
     let until = relay.clock.now() + patience;
     loop {
         // Listens before it looks: a verdict that comes between the two is not missed.
-        let news = relay.verdicts.notified();
+        let news = relay.admission_changed.notified();
         let now = relay.clock.now();
         let saw_crash = call.saw_crash.load(Ordering::Relaxed);
         let rank = || relay.rank_for(work);
@@ -272,16 +272,16 @@
 /// Takes what another box, or a hall, tells of suspect works. All boxes that are to be told by this
 /// one hear it from there as well, but for those of other halls, if this one speaks for its own.
 pub fn heard(relay: &Relay, now: Time, datagram: &LoadDatagram) {
-    let (from, rows) = (teller_name(datagram), &datagram.suspects);
+    let (from, rows) = (source_name(datagram), &datagram.suspects);
     let of = match datagram.source {
         LoadSource::Box => RunScope::Box,
         LoadSource::Hall { .. } => RunScope::Hall,
     };
     let changes = lock(&relay.quarantine).merge_rows(now, of, from, rows);
-    relay.verdicts.notify_waiters();
+    relay.admission_changed.notify_waiters();
     if !changes.is_empty() {
         relay.hall_changed.notify_one();
-        relay.suspects_changed.notify_one();
+        relay.quarantine_changed.notify_one();
     }
     for change in &changes {
         log(change, from);
@@ -300,10 +300,10 @@
 fn tell(relay: &Relay, change: Option<QuarantineChange>, source: &str) {
     let Some(change) = change else { return };
     log(&change, source);
-    relay.verdicts.notify_waiters();
+    relay.admission_changed.notify_waiters();
     relay.urgent_changed.notify_one();
     relay.hall_changed.notify_one();
-    relay.suspects_changed.notify_one();
+    relay.quarantine_changed.notify_one();
 }
 
 fn log(change: &QuarantineChange, source: &str) {
@@ -327,12 +327,12 @@
 /// and for those that start later.
 pub async fn keep_in_store(relay: &Arc<Relay>) {
     loop {
-        relay.suspects_changed.notified().await;
+        relay.quarantine_changed.notified().await;
         // A new connection each time: this is rare, and the watch holds the other one.
         let mut store = Store::new(relay.settings.store, STORE_LIMIT);
         loop {
             let now = relay.clock.now();
-            let is_alone = !lock(&relay.followed).heard.has_live_peer(now);
+            let is_alone = !lock(&relay.cluster_view).peer_liveness.has_live_peer(now);
             let facts = lock(&relay.quarantine).unstored_facts(now, is_alone);
             if facts.is_empty() {
                 break;
--- a/daemon/tests/relay_fleet.rs
+++ b/daemon/tests/relay_fleet.rs
@@ -12,11 +12,11 @@
 use badgerferry_standin::store::Store;
 
 /// By then boxes that have just started know each other.
-const FOUND: Duration = Duration::from_millis(1_500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// From one call of a caller to its next.
-pub const PAUSE: Duration = Duration::from_millis(30);
+pub const CALL_INTERVAL: Duration = Duration::from_millis(30);
 /// Later than this a call counts as hanging: callers give five seconds.
-pub const HELD: Duration = Duration::from_secs(8);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 /// What callers of engines say of their prompts.
 pub const SHORT_PROMPT: &str = "Badgerferry-Token-Counts: 1000,50\r\n";
 
@@ -52,13 +52,18 @@
             one.wait_ready().await?;
             fleet.boxes.push(one);
         }
-        tokio::time::sleep(FOUND).await;
+        tokio::time::sleep(DISCOVERY_TIME).await;
         Ok(fleet)
     }
 
     /// Calls at all boxes for so long, one after the other at each; gives back what each was told and
     /// how long it took.
-    pub async fn press(&self, path: &str, extra: &str, lasts: Duration) -> Vec<(Answer, Duration)> {
+    pub async fn call_all(
+        &self,
+        path: &str,
+        extra: &str,
+        lasts: Duration,
+    ) -> Vec<(Answer, Duration)> {
         let until = Instant::now() + lasts;
         let callers = self.boxes.iter().enumerate().map(async |(at, one)| {
             let mut told = Vec::new();
@@ -77,9 +82,9 @@
                 // A connection that the box ends without an answer is one of status 0.
                 let answer = Caller::once(one.front(), &text).await.unwrap_or_default();
                 let took = began.elapsed();
-                assert!(took < HELD, "{took:?}: {answer:?}; {}", self.logs());
+                assert!(took < CALL_TIMEOUT, "{took:?}: {answer:?}; {}", self.logs());
                 told.push((answer, took));
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(CALL_INTERVAL).await;
             }
             told
         });
@@ -102,7 +107,7 @@
 }
 
 /// Calls that were served.
-pub fn served(told: &[(Answer, Duration)]) -> usize {
+pub fn count_served(told: &[(Answer, Duration)]) -> usize {
     told.iter()
         .filter(|(answer, _)| answer.status == 200)
         .count()
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -14,7 +14,7 @@
 
 use crate::relay_fleet::Fleet;
 use crate::relay_fleet::SHORT_PROMPT;
-use crate::relay_fleet::served;
+use crate::relay_fleet::count_served;
 
 /// Calls before a server begins to leave.
 const WARM_UP: Duration = Duration::from_millis(500);
@@ -33,17 +33,17 @@
 
 async fn one_of_six_leaves(boxes: usize, service: &str, path: &str, extra: &str) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.press(path, extra, WARM_UP).await;
+    fleet.call_all(path, extra, WARM_UP).await;
     fleet.store.set_mode(Mode::Silent);
     let leaving = fleet.busiest();
     leaving.say_leaving(Some("1"));
     let since = Instant::now();
 
-    let told = fleet.press(path, extra, WATCHED).await;
+    let told = fleet.call_all(path, extra, WATCHED).await;
 
     let late = late_calls(leaving, since);
     assert_eq!(late, 0, "calls; logs:\n{}", fleet.logs());
-    assert_eq!(served(&told), told.len(), "no call needs that server");
+    assert_eq!(count_served(&told), told.len(), "no call needs that server");
 }
 
 #[tokio::test]
@@ -68,9 +68,9 @@
     for server in &fleet.servers {
         server.say_leaving(Some("1"));
     }
-    fleet.press("/again/a", "", WARM_UP).await;
+    fleet.call_all("/again/a", "", WARM_UP).await;
 
-    let told = fleet.press("/again/a", "", WARM_UP).await;
+    let told = fleet.call_all("/again/a", "", WARM_UP).await;
 
     for (answer, took) in told {
         assert_eq!(answer.status, 503, "{answer:?}; {}", fleet.logs());
@@ -99,7 +99,7 @@
     let server = &fleet.servers[0];
     server.crash_by(Crashes::by("", Duration::from_millis(300), &fleet.store));
     server.say_leaving(Some("1"));
-    fleet.press("/again/a", "", WARM_UP).await;
+    fleet.call_all("/again/a", "", WARM_UP).await;
 
     server.crash();
 
@@ -123,7 +123,7 @@
     let leaving = fleet.servers[0].clone();
     leaving.say_leaving(Some("1"));
     while !leaving.seen().iter().any(|seen| seen.ran) {
-        fleet.press("/again/a", "", WARM_UP).await;
+        fleet.call_all("/again/a", "", WARM_UP).await;
     }
     fleet.store.set_mode(Mode::Silent);
     let seeds = [fleet.boxes[0].ip];
@@ -132,7 +132,7 @@
     fleet.boxes = vec![late];
     let since = Instant::now();
 
-    let told = fleet.press("/again/a", "", WATCHED).await;
+    let told = fleet.call_all("/again/a", "", WATCHED).await;
 
     let times = leaving.seen().into_iter().filter_map(|seen| seen.at);
     assert_eq!(
@@ -141,7 +141,7 @@
         "{}",
         fleet.logs()
     );
-    assert_eq!(served(&told), told.len());
+    assert_eq!(count_served(&told), told.len());
 }
 
 #[tokio::test]
@@ -150,9 +150,9 @@
     for odd in ["0", "", "yes", "11"] {
         fleet.servers[0].say_leaving(Some(odd));
 
-        let told = fleet.press("/again/a", "", WARM_UP).await;
+        let told = fleet.call_all("/again/a", "", WARM_UP).await;
 
-        assert_eq!(served(&told), told.len(), "{odd:?}: {}", fleet.logs());
+        assert_eq!(count_served(&told), told.len(), "{odd:?}: {}", fleet.logs());
     }
     let line = "a server's header can't be read";
     wait_until(|| fleet.boxes[0].log().contains(line))
@@ -176,7 +176,7 @@
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
 
-    let told = fleet.press("/again/a", "", WARM_UP).await;
+    let told = fleet.call_all("/again/a", "", WARM_UP).await;
 
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    assert_eq!(count_served(&told), told.len(), "{}", fleet.logs());
 }
--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -9,11 +9,11 @@
 use badgerferry_standin::server::Behaviour;
 use badgerferry_standin::server::Server;
 
+use crate::relay_fleet::CALL_INTERVAL;
+use crate::relay_fleet::CALL_TIMEOUT;
 use crate::relay_fleet::Fleet;
-use crate::relay_fleet::HELD;
-use crate::relay_fleet::PAUSE;
 use crate::relay_fleet::SHORT_PROMPT;
-use crate::relay_fleet::served;
+use crate::relay_fleet::count_served;
 
 /// A limit must be in force so long after it was first named.
 const IN_FORCE: Duration = Duration::from_secs(1);
@@ -37,13 +37,13 @@
 
 async fn one_of_six_is_limited(boxes: usize, service: &str, path: &str, extra: &str) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.press(path, extra, IN_FORCE).await;
+    fleet.call_all(path, extra, IN_FORCE).await;
     let busiest = fleet.busiest();
     busiest.name_limit(Some("1"));
-    fleet.press(path, extra, IN_FORCE).await;
+    fleet.call_all(path, extra, IN_FORCE).await;
     let from = Instant::now();
 
-    let told = fleet.press(path, extra, Duration::from_secs(6)).await;
+    let told = fleet.call_all(path, extra, Duration::from_secs(6)).await;
 
     let most = most_in_window(busiest, from);
     assert!(
@@ -51,7 +51,7 @@
         "{most} requests in 4 s; logs:\n{}",
         fleet.logs()
     );
-    assert_eq!(served(&told), told.len(), "no call needs that server");
+    assert_eq!(count_served(&told), told.len(), "no call needs that server");
 }
 
 #[tokio::test]
@@ -76,19 +76,22 @@
     for server in &fleet.servers {
         server.name_limit(Some("4"));
     }
-    fleet.press("/again/a", "", IN_FORCE * 2).await;
+    fleet.call_all("/again/a", "", IN_FORCE * 2).await;
     let from = Instant::now();
     let lasts = Duration::from_secs(8);
 
-    let told = fleet.press("/again/a", "", lasts).await;
+    let told = fleet.call_all("/again/a", "", lasts).await;
 
     for server in &fleet.servers {
         let most = most_in_window(server, from);
         assert!(most <= allowed(limit), "{most} in 4 s; {}", fleet.logs());
     }
     let usable = limit * fleet.servers.len() as f64 * lasts.as_secs_f64();
-    let served = served(&told);
-    assert!(served as f64 >= 0.9 * usable, "{served} of {usable} served");
+    let count_served = count_served(&told);
+    assert!(
+        count_served as f64 >= 0.9 * usable,
+        "{count_served} of {usable} served"
+    );
     let refused = told.iter().filter(|(answer, _)| answer.status != 200);
     for (answer, took) in refused {
         assert_eq!(answer.status, 503, "{answer:?}");
@@ -103,13 +106,13 @@
     let fleet = Fleet::start(3, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.name_limit(Some("2"));
-    fleet.press("/again/a", "", IN_FORCE).await;
+    fleet.call_all("/again/a", "", IN_FORCE).await;
     server.name_limit(None);
 
     for one in &fleet.boxes {
         let free = async || {
             fleet
-                .press("/again/a", "", Duration::from_millis(100))
+                .call_all("/again/a", "", Duration::from_millis(100))
                 .await;
             one.log().contains("server names no limit any more")
         };
@@ -119,9 +122,9 @@
         }
         assert!(is_free, "{}", one.log());
     }
-    let told = fleet.press("/again/a", "", Duration::from_secs(1)).await;
+    let told = fleet.call_all("/again/a", "", Duration::from_secs(1)).await;
 
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    assert_eq!(count_served(&told), told.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
@@ -132,10 +135,10 @@
         server.name_limit(Some(bad));
 
         let told = fleet
-            .press("/again/a", "", Duration::from_millis(300))
+            .call_all("/again/a", "", Duration::from_millis(300))
             .await;
 
-        assert_eq!(served(&told), told.len(), "{bad:?}: {}", fleet.logs());
+        assert_eq!(count_served(&told), told.len(), "{bad:?}: {}", fleet.logs());
     }
     let line = "a server's header can't be read";
     wait_until(|| fleet.boxes[0].log().contains(line))
@@ -150,7 +153,7 @@
     let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.name_limit(Some("3"));
-    fleet.press("/again/a", "", IN_FORCE).await;
+    fleet.call_all("/again/a", "", IN_FORCE).await;
     let front = fleet.boxes[0].front();
     let lasts = Duration::from_secs(8);
     let until = Instant::now() + lasts;
@@ -162,19 +165,23 @@
             let sent = Instant::now();
             let answer = Caller::once(front, &text).await.unwrap_or_default();
             let took = sent.elapsed();
-            assert!(took < HELD, "{took:?}: {answer:?}; {}", fleet.logs());
+            assert!(
+                took < CALL_TIMEOUT,
+                "{took:?}: {answer:?}; {}",
+                fleet.logs()
+            );
             if answer.status == 200 {
                 begun.push(answer);
             }
             if begun.len() == 4 || Instant::now() >= until {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         begun
     };
 
-    let (begun, _others) = tokio::join!(streams, fleet.press("/again/a", "", lasts));
+    let (begun, _others) = tokio::join!(streams, fleet.call_all("/again/a", "", lasts));
 
     assert!(!begun.is_empty(), "no stream began; {}", fleet.logs());
     for answer in begun {
--- a/daemon/tests/test_relay_shedding.rs
+++ b/daemon/tests/test_relay_shedding.rs
@@ -12,7 +12,7 @@
 
 use crate::relay_fleet::Fleet;
 use crate::relay_fleet::SHORT_PROMPT;
-use crate::relay_fleet::served;
+use crate::relay_fleet::count_served;
 
 /// Calls before a server begins to shed.
 const WARM_UP: Duration = Duration::from_millis(500);
@@ -24,7 +24,7 @@
 /// Three pauses.
 const WATCHED: Duration = Duration::from_secs(6);
 
-/// The box that a call of [`Fleet::press`] came from.
+/// The box that a call of [`Fleet::call_all`] came from.
 fn box_of(seen: &Seen) -> Option<&str> {
     seen.id().split('-').nth(1)
 }
@@ -46,7 +46,7 @@
 
 async fn some_of_six_shed(shedding: usize, boxes: usize, service: &str, path: &str, extra: &str) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.press(path, extra, WARM_UP).await;
+    fleet.call_all(path, extra, WARM_UP).await;
     let mut servers: Vec<&Server> = fleet.servers.iter().collect();
     servers.sort_by_key(|server| std::cmp::Reverse(server.seen().len()));
     servers.truncate(shedding);
@@ -54,13 +54,17 @@
         server.shed(Some(PAUSE_TEXT));
     }
 
-    let told = fleet.press(path, extra, WATCHED).await;
+    let told = fleet.call_all(path, extra, WATCHED).await;
 
     for server in servers {
         let most = most_in_a_pause(server);
         assert_eq!(most, 0, "calls in a pause; logs:\n{}", fleet.logs());
     }
-    assert_eq!(served(&told), told.len(), "no call needs these servers");
+    assert_eq!(
+        count_served(&told),
+        told.len(),
+        "no call needs these servers"
+    );
 }
 
 #[tokio::test]
@@ -85,9 +89,9 @@
         server.shed(Some(PAUSE_TEXT));
     }
     // By then each box has been turned away by each server.
-    fleet.press("/again/a", "", ON_THEIR_WAY).await;
+    fleet.call_all("/again/a", "", ON_THEIR_WAY).await;
 
-    let told = fleet.press("/again/a", "", Duration::from_secs(1)).await;
+    let told = fleet.call_all("/again/a", "", Duration::from_secs(1)).await;
 
     for (answer, took) in &told {
         assert_eq!(answer.status, 503, "{answer:?}");
@@ -104,8 +108,8 @@
         server.shed(None);
     }
     tokio::time::sleep(PAUSE).await;
-    let told = fleet.press("/again/a", "", WARM_UP).await;
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    let told = fleet.call_all("/again/a", "", WARM_UP).await;
+    assert_eq!(count_served(&told), told.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
@@ -133,11 +137,11 @@
     let server = &fleet.servers[0];
     server.shed(Some("0.5"));
 
-    let told = fleet.press("/again/a", "", Duration::from_secs(4)).await;
+    let told = fleet.call_all("/again/a", "", Duration::from_secs(4)).await;
 
     let declined = server.seen().len();
     assert!((2..=9).contains(&declined), "{declined} calls");
-    assert_eq!(served(&told), told.len(), "{}", fleet.logs());
+    assert_eq!(count_served(&told), told.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
@@ -154,9 +158,14 @@
     for text in odd {
         fleet.servers[0].shed(Some(text));
 
-        let told = fleet.press("/again/a", "", WARM_UP).await;
+        let told = fleet.call_all("/again/a", "", WARM_UP).await;
 
-        assert_eq!(served(&told), told.len(), "{text:?}: {}", fleet.logs());
+        assert_eq!(
+            count_served(&told),
+            told.len(),
+            "{text:?}: {}",
+            fleet.logs()
+        );
     }
     let line = "a server's header can't be read";
     wait_until(|| fleet.boxes[0].log().contains(line))
@@ -172,7 +181,7 @@
     };
     shedding.shed(Some("30"));
     while shedding.seen().is_empty() {
-        fleet.press("/again/a", "", WARM_UP).await;
+        fleet.call_all("/again/a", "", WARM_UP).await;
     }
     let before = shedding.seen().len();
     others[0].usually(Behaviour::BreakAfter(2));
