--- a/daemon/src/relay/cluster_view.rs
+++ b/daemon/src/relay/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What control knows of the platform's state and of the other boxes.
+//! The control thread's view of servers, other boxes and contact with the store.
 
 use badgerferry_lib::ids::HallName;
 use badgerferry_lib::relay::gossip_topology::Boxes;
@@ -8,28 +8,28 @@
 use badgerferry_lib::relay::server_list::ServerList;
 use badgerferry_lib::time::Time;
 
-/// What control knows of the platform's state.
+/// Servers, boxes and contact with the store, as this box knows them.
 #[derive(Debug, Default)]
 pub struct ClusterView {
-    /// The servers.
+    /// Servers listed in the store.
     pub servers: ServerList,
-    /// All boxes that are known, this one included.
+    /// All known boxes, this one included.
     pub boxes: Boxes,
-    /// Which other boxes are heard.
+    /// Which other boxes are live, and the state that they announced.
     pub peer_liveness: PeerLiveness,
     /// When the store last answered this box.
     pub store_answered_at: Option<Time>,
-    /// When a neighbour last said that the store answers it.
+    /// When a peer last announced that it follows the store.
     pub peer_followed_store_at: Option<Time>,
-    /// Whether a box was heard that is not known.
+    /// Whether a datagram came from a box that is not in `boxes`.
     pub has_unknown_peer: bool,
-    /// When boxes were last asked for.
+    /// When a pull last requested the list of boxes.
     pub boxes_requested_at: Option<Time>,
 }
 
 impl ClusterView {
-    /// Takes the boxes that the store lists. One that was heard lately stays: the store may have come back
-    /// from a copy in which that box is missing until it enters itself again.
+    /// Replaces the known boxes by those listed in the store, but keeps live ones. The store may have
+    /// been restored from a backup that lacks a live box until that registers again.
     pub fn merge_boxes(&mut self, now: Time, listed: Boxes) {
         let before = std::mem::replace(&mut self.boxes, listed);
         for (name, of) in before {
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Whom this box tells of its work, and whose engines it uses first.
+    /// Which boxes this one sends its load to; it prefers the engines that these use.
     pub fn scope(&self) -> GossipScope {
         GossipScope::of(&self.boxes)
     }
 
-    /// Who gives out the calls of limited servers of a hall; `own` is this box.
+    /// Which box grants the call quota of limited servers of a hall; `own` is this box.
     pub fn quota_owner(&self, now: Time, own: &str, hall: &HallName) -> QuotaOwner {
         let lives = |name: &str| self.peer_liveness.is_live(now, name);
         let up_for = now.since(Time::ZERO);
--- a/daemon/src/relay/metrics_page.rs
+++ b/daemon/src/relay/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The balancer's question, and the daemon's own figures.
+//! HTTP endpoints for the load balancer's readiness check and for metrics.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,11 +22,11 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Where figures are served; the deploy file names the same port.
+/// Port of the metrics endpoint; the deployment file names the same port.
 const METRICS_PORT: u16 = 9_464;
-/// Longest that one of these connections lasts.
-const CONNECTION_LIMIT: Duration = Duration::from_secs(30);
-/// Answers the balancer for ever: 200 while callers may be sent here.
+/// Maximum duration of a connection to either endpoint.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Serves the readiness check: 200 while the balancer may send calls to this box, 503 otherwise.
 pub async fn serve_ready(listener: TcpListener, relay: Arc<Relay>) {
     serve_page(listener, move || {
         let (status, text) = if relay.is_ready() {
@@ -34,14 +34,14 @@
         } else {
             (StatusCode::SERVICE_UNAVAILABLE, "not ready")
         };
-        let mut answer = Response::new(AnswerBody::whole(text));
-        *answer.status_mut() = status;
-        answer
+        let mut response = Response::new(AnswerBody::whole(text));
+        *response.status_mut() = status;
+        response
     })
     .await;
 }
 
-/// Serves figures in the Prometheus text format for ever.
+/// Serves metrics in the Prometheus text format.
 pub async fn serve_metrics(metrics: PrometheusHandle, relay: Arc<Relay>) {
     let address = SocketAddr::new(relay.settings.front.ip(), METRICS_PORT);
     match listener::listen(address) {
@@ -53,12 +53,12 @@
             serve_page(listener, page).await;
         }
         Err(cause) => {
-            tracing::warn!(%address, cause = format!("{cause:#}"), "figures are not served");
+            tracing::warn!(%address, cause = format!("{cause:#}"), "metrics endpoint not started");
         }
     }
 }
 
-/// Gives the same page to whoever connects.
+/// Answers every request with `page`, whatever its path.
 async fn serve_page(
     listener: TcpListener,
     page: impl Fn() -> Response<AnswerBody> + Clone + Send + 'static,
@@ -69,23 +69,23 @@
             service_fn(move |_req: Request<Incoming>| std::future::ready(Answered::Ok(page())));
         async move {
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever wants the page asks again, whatever became of this connection.
-            let _ = timeout(CONNECTION_LIMIT, connection).await;
+            // Time-outs and connection errors are ignored: clients poll this page.
+            let _ = timeout(CONNECTION_TIMEOUT, connection).await;
         }
     })
     .await;
 }
 
 fn set_gauges(relay: &Relay) {
-    let known = relay.known_state();
-    gauge!("badgerferry_routes_version").set(known.routes.unwrap_or_default() as f64);
-    gauge!("badgerferry_store_era").set(known.servers.era as f64);
-    gauge!("badgerferry_servers_revision").set(known.servers.revision as f64);
+    let known_state = relay.known_state();
+    gauge!("badgerferry_routes_version").set(known_state.routes.unwrap_or_default() as f64);
+    gauge!("badgerferry_store_era").set(known_state.servers.era as f64);
+    gauge!("badgerferry_servers_revision").set(known_state.servers.revision as f64);
     gauge!("badgerferry_long_prompts_waiting").set(lock(&relay.long_prompt_queue).len() as f64);
     {
         let quarantine = lock(&relay.quarantine);
-        let held = quarantine.quarantined_count(relay.clock.now());
-        gauge!("badgerferry_works_held").set(held as f64);
+        let quarantined = quarantine.quarantined_count(relay.clock.now());
+        gauge!("badgerferry_works_held").set(quarantined as f64);
         gauge!("badgerferry_works_pushed_out").set(quarantine.evicted() as f64);
     }
     {
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -1,7 +1,8 @@
-//! The daemon on the users' platform: calls are relayed as they are.
+//! Relay mode of the daemon: forwards calls unmodified to backend servers.
 //!
-//! One thread follows the store and the other boxes; the other takes calls. They share
-//! [`state::Relay`]: immutable views that control replaces, and the books that calls write.
+//! The control thread follows the store and the other boxes, the traffic thread handles calls. They
+//! share [`state::Relay`], which holds immutable views that control replaces and trackers that calls
+//! update.
 
 use std::sync::Arc;
 
@@ -36,19 +37,19 @@
 mod unknown_headers;
 mod upstream;
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a planned stop completes.
 ///
 /// # Errors
 ///
-/// An address can't be listened on, or a thread can't be started.
+/// An address can't be bound, or a runtime, signal handler or thread can't be set up.
 pub fn run(settings: BoxSettings) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context("failed to build the traffic runtime")?;
     runtime.block_on(async {
-        // First of all: a signal that comes before this ends the process.
-        let signals = stop::Signals::take().context("failed to take signals")?;
+        // First: the default action of a signal that arrives earlier terminates the process.
+        let signals = stop::Signals::take().context("failed to install signal handlers")?;
         let metrics = crate::telemetry::start_metrics()?;
         let relay = Arc::new(state::Relay::new(settings));
         let front = listener::listen(relay.settings.front)?;
@@ -84,7 +85,7 @@
                 let links = match gossip::bind(&relay.settings).await {
                     Ok(links) => links,
                     Err(cause) => {
-                        // The receiver waits for exactly this.
+                        // Can't fail: the receiver waits for this one message.
                         let _ = bound_tx.send(Err(cause));
                         return;
                     }
@@ -98,5 +99,7 @@
             });
         })
         .context("failed to start the control thread")?;
-    bound_rx.recv().context("the control thread ended")?
+    bound_rx
+        .recv()
+        .context("the control thread ended before it was ready")?
 }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! What the threads of a relaying daemon share.
+//! State shared by the control and traffic threads in relay mode.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -46,14 +46,15 @@
 use crate::relay::upstream::Upstream;
 use crate::traffic::lock;
 
-/// A store that answered within this time is followed; a watch takes little less.
-const FOLLOWS: Duration = Duration::from_secs(4);
-/// Without a word of a neighbour that follows the store for this long, a box follows it itself.
-const NEIGHBOUR_SILENCE: Duration = Duration::from_millis(1_500);
-/// Boxes of each hall that always follow the store.
+/// A box follows the store if it had a response from it within this time, which is slightly longer
+/// than a watch takes.
+const STORE_CONTACT_TIMEOUT: Duration = Duration::from_secs(4);
+/// A box follows the store itself if it has heard from no peer that does for this long.
+const PEER_FOLLOWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Number of boxes of each hall that always follow the store.
 const FOLLOWERS_PER_HALL: usize = 2;
 
-/// Where other boxes reach this one.
+/// Addresses and rank under which this box registers.
 pub fn own_addresses(settings: &BoxSettings) -> BoxAddresses {
     BoxAddresses {
         name: settings.name.clone(),
@@ -64,69 +65,70 @@
     }
 }
 
-/// A route table, encoded once for all boxes that ask for it.
+/// A route table, encoded once for all boxes that pull it.
 #[derive(Debug, Clone)]
 struct EncodedTable {
     version: u64,
     bytes: Bytes,
 }
 
-/// What the threads share.
+/// State shared by the control and traffic threads.
 #[derive(Debug)]
 pub struct Relay {
-    /// What the platform told this process.
+    /// Settings of this box from the platform.
     pub settings: BoxSettings,
-    /// Distinguishes this life of the process from others.
+    /// Random number that distinguishes this run of the process from others.
     pub incarnation: u64,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The route table in force.
+    /// Current route table; none until the first one is known.
     pub routes: ArcSwapOption<RouteIndex>,
-    /// Wakes calls that wait for the first route table.
+    /// Notifies calls that wait for the first route table.
     routes_known: Notify,
-    /// Servers and how they do.
+    /// Health and load of each server.
     pub tracker: Arc<Mutex<ServerTracker>>,
-    /// Work at engines, of all boxes.
+    /// Load that all boxes place on the engines.
     pub loads: Mutex<EngineLoadTracker>,
-    /// Engines that are slow.
+    /// Which engines are slow.
     pub slow_engine_tracker: Mutex<SlowEngineTracker>,
-    /// Long prompts that wait for engines.
+    /// Long prompts queued for engines.
     pub long_prompt_queue: Mutex<LongPromptQueue>,
     /// Retry budgets by service.
     pub retries: Mutex<HashMap<ServiceName, RetryWindow>>,
-    /// Pieces of work under which servers ended.
+    /// Requests during which servers crashed.
     pub quarantine: Mutex<Quarantine>,
-    /// Wakes calls that wait for what a run of their work tells.
+    /// Notifies calls that wait for admission because their request is suspect.
     pub admission_changed: Notify,
-    /// Wakes whoever writes to the store what is known of them.
+    /// Notifies the task that writes the quarantine's facts to the store.
     pub quarantine_changed: Notify,
-    /// The way to servers.
+    /// Admits calls to servers, by their notices and limits.
     pub gate: ServerGate,
-    /// Headers of servers that nothing reads.
+    /// Response headers of servers that the daemon doesn't know.
     pub unknown_headers: UnknownHeaders,
-    /// Connections to servers.
+    /// Idle connections to servers.
     pub upstream: Upstream,
-    /// What control knows of the platform's state.
+    /// Servers, boxes and contact with the store.
     pub cluster_view: Arc<Mutex<ClusterView>>,
-    /// The route table in force as other boxes are told it.
+    /// Current route table as sent to other boxes.
     encoded_table: Mutex<Option<EncodedTable>>,
-    /// Wakes the sender of load datagrams.
+    /// Notifies the sender of load datagrams, which waits for its minimum interval.
     pub load_changed: Arc<Notify>,
-    /// Wakes it at once: a long prompt waits, starts or has been read, an engine is slow, there are
-    /// new routes, or servers leave.
+    /// Notifies the sender of load datagrams to send at once: a long prompt is queued, starts or has
+    /// been prefilled, an engine is slow, there are new routes, or servers leave.
     pub urgent_changed: Arc<Notify>,
-    /// Wakes whoever tells other halls: a long prompt of this hall waits, starts or has been read.
+    /// Notifies the sender of the hall's load to other halls: a long prompt of this hall is queued,
+    /// starts or has been prefilled.
     pub hall_changed: Arc<Notify>,
-    /// Whether a planned stop has begun.
+    /// Set when a planned stop begins.
     pub stopping: AtomicBool,
-    /// Whether new calls are refused, late in a planned stop.
+    /// Set late in a planned stop, when new calls are refused.
     pub refusing: AtomicBool,
-    /// Calls whose answers are not yet out.
+    /// Calls whose responses are not fully sent yet.
     pub in_flight: AtomicUsize,
 }
 
 impl Relay {
-    /// A box that knows nothing yet but itself.
+    /// State of a box that has just started and knows only itself.
     pub fn new(settings: BoxSettings) -> Self {
         let own = own_addresses(&settings);
         let cluster_view = ClusterView {
@@ -176,21 +178,21 @@
         }
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the balancer may send calls to this box.
     pub fn is_ready(&self) -> bool {
         self.routes.load().is_some() && !self.is_stopping()
     }
 
-    /// The route table in force; waits at most so long for the first one.
-    pub async fn routes_within(&self, patience: Duration) -> Option<Arc<RouteIndex>> {
-        // Listens before it looks: a table that comes between the two is not missed.
+    /// Returns the current route table, after waiting at most `max_wait` for the first one.
+    pub async fn routes_within(&self, max_wait: Duration) -> Option<Arc<RouteIndex>> {
+        // Subscribes before the check, so that a table that arrives in between is not missed.
         let known = self.routes_known.notified();
         match self.routes.load_full() {
             Some(routes) => Some(routes),
             None if self.is_stopping() => None,
             None => {
-                // Whether it came or not is looked at below.
-                let _ = timeout(patience, known).await;
+                // The result doesn't matter: the table is loaded in either case.
+                let _ = timeout(max_wait, known).await;
                 self.routes.load_full()
             }
         }
@@ -201,44 +203,44 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Rank of an engine in this box's own order.
+    /// Rank of an engine in this box's order of preference. Boxes have different orders.
     pub fn preference(&self, engine: EngineKey) -> u32 {
         let own = EngineKey::of(&ServerName::new(&self.settings.name));
         (engine.0 ^ own.0).wrapping_mul(0x9E37_79B1)
     }
 
-    /// Whether new calls are refused.
+    /// Whether new calls are refused, late in a planned stop.
     pub fn refuses_calls(&self) -> bool {
         self.refusing.load(Ordering::SeqCst)
     }
 
-    /// Boxes that serve, this one included, as far as it knows.
+    /// Number of known boxes, this one included.
     pub fn box_count(&self) -> usize {
         lock(&self.cluster_view).boxes.len().max(1)
     }
 
-    /// Whether the store answered lately.
+    /// Whether the store responded within the contact time-out.
     pub fn follows_store(&self) -> bool {
         let now = self.clock.now();
         let at = lock(&self.cluster_view).store_answered_at;
-        at.is_some_and(|at| now.since(at) < FOLLOWS)
+        at.is_some_and(|at| now.since(at) < STORE_CONTACT_TIMEOUT)
     }
 
-    /// Whether this box asks the store itself, or takes news from neighbours that do.
+    /// Whether this box follows the store itself instead of pulling updates from peers that do.
     ///
-    /// Each call to the store is paid for, so only the first boxes of each hall follow it, and
-    /// whoever hears of none that does.
+    /// Each call to the store is billed, so only the highest-ranked boxes of each hall follow it, and
+    /// boxes that hear from no peer that does.
     pub fn must_follow_store(&self) -> bool {
         let now = self.clock.now();
         let cluster_view = lock(&self.cluster_view);
         let own = &self.settings;
-        let before =
+        let rank =
             gossip_topology::rank_in_hall(&cluster_view.boxes, &own.hall, own.processor, &own.name);
-        let hears = |at: Time| now.since(at) < NEIGHBOUR_SILENCE;
-        before < FOLLOWERS_PER_HALL || !cluster_view.peer_followed_store_at.is_some_and(hears)
+        let is_recent = |at: Time| now.since(at) < PEER_FOLLOWER_TIMEOUT;
+        rank < FOLLOWERS_PER_HALL || !cluster_view.peer_followed_store_at.is_some_and(is_recent)
     }
 
-    /// Which state this box has.
+    /// Versions of the state that this box has.
     pub fn known_state(&self) -> KnownState {
         KnownState {
             routes: self.current_route_version(),
@@ -246,38 +248,39 @@
         }
     }
 
-    /// Version of the route table in force.
+    /// Version of the current route table, if any.
     pub fn current_route_version(&self) -> Option<u64> {
         let routes = self.routes.load();
         routes.as_ref().map(|index| index.table().version)
     }
 
-    /// Boxes that choose among the engines which this box uses first.
+    /// Number of boxes in the gossip scope of this one, itself included; they share the engines that
+    /// this box prefers.
     pub fn boxes_in_scope(&self, scope: GossipScope) -> usize {
         let cluster_view = lock(&self.cluster_view);
         let own = &self.settings.hall;
-        let beside = cluster_view.boxes.values();
-        let beside = beside.filter(|of| scope.includes(own, &of.hall)).count();
-        beside.max(1)
+        let in_scope = cluster_view.boxes.values();
+        let in_scope = in_scope.filter(|of| scope.includes(own, &of.hall)).count();
+        in_scope.max(1)
     }
 
-    /// This box's rank among those that take turns with a suspect work.
-    pub fn rank_for(&self, work: RequestFingerprint) -> usize {
+    /// Rank of this box among those that run a suspect request in turn.
+    pub fn rank_for(&self, fingerprint: RequestFingerprint) -> usize {
         let cluster_view = lock(&self.cluster_view);
         let names = cluster_view.boxes.keys().map(String::as_str);
-        quarantine::rank(work, &self.settings.name, names)
+        quarantine::rank(fingerprint, &self.settings.name, names)
     }
 
-    /// Whether a box is known to stand in this box's hall.
+    /// Whether the named box is known and in the same hall as this one.
     pub fn is_in_own_hall(&self, boxes: &Boxes, name: &str) -> bool {
         let of = boxes.get(name);
         of.is_some_and(|of| of.hall == self.settings.hall.as_str())
     }
 
-    /// What another box lacks; see [`Self::encoded_table_for`].
+    /// Response to a pull. A newer route table follows it, see [`Self::encoded_table_for`].
     pub fn newer_state_for(&self, request: &PullRequest) -> PullResponse {
         let known_state = request.known_state;
-        // Boxes that are up hear of them with the datagrams.
+        // Other boxes receive notices with the load datagrams.
         let has_just_started = known_state.routes.is_none();
         let notices = if has_just_started {
             lock(&self.gate.notices).all_rows(self.clock.now())
@@ -299,9 +302,12 @@
         }
     }
 
-    /// The route table in force as it follows an answer.
-    pub fn encoded_table_for(&self, answer: &PullResponse) -> Option<Bytes> {
-        answer.table_follows.then(|| self.encoded_table()).flatten()
+    /// Encoded route table that follows a pull response, if it announces one.
+    pub fn encoded_table_for(&self, response: &PullResponse) -> Option<Bytes> {
+        response
+            .table_follows
+            .then(|| self.encoded_table())
+            .flatten()
     }
 
     fn encoded_table(&self) -> Option<Bytes> {
@@ -314,7 +320,7 @@
         let bytes = match postcard::to_stdvec(routes.table()) {
             Ok(bytes) => Bytes::from(bytes),
             Err(cause) => {
-                tracing::error!(%cause, version, "the route table can't be encoded");
+                tracing::error!(%cause, version, "route table encoding failed");
                 return None;
             }
         };
@@ -325,20 +331,15 @@
         Some(bytes)
     }
 
-    /// Puts a route table in force if its version is higher than that of the one that is.
+    /// Replaces the current route table if `table` has a higher version.
     pub fn update_routes(&self, table: RouteTable, source: &'static str) {
-        // Held until the table is in force: tables come from the store and from other boxes.
+        // Locked until the table is stored: tables come from the store and from peers concurrently.
         let cluster_view = lock(&self.cluster_view);
         let (version, before) = (table.version, self.current_route_version());
         let position = cluster_view.servers.entries().position;
         if before >= Some(version) {
             if before > Some(version) {
-                tracing::info!(
-                    version,
-                    in_force = before,
-                    source,
-                    "older routes passed over"
-                );
+                tracing::info!(version, in_force = before, source, "older routes ignored");
             }
             return;
         }
@@ -355,29 +356,29 @@
         self.routes.store(Some(Arc::new(RouteIndex::new(table))));
         drop(cluster_view);
         self.routes_known.notify_waiters();
-        // Neighbours are told at once, not after the pause that a hundred boxes in a hall bring: each
-        // round in which the routes spread would take that pause longer.
+        // Announced at once: the gossip interval is long in a hall of a hundred boxes, and would delay
+        // each round in which the routes spread.
         self.urgent_changed.notify_one();
     }
 
-    /// Changes what is believed of the servers and shows it to traffic.
+    /// Changes the list of servers and publishes it to traffic.
     pub fn update_servers(&self, f: impl FnOnce(&mut ServerList)) {
         f(&mut lock(&self.cluster_view).servers);
         self.publish_servers();
     }
 
-    /// Shows traffic what is believed of the servers after news of the store, and tells the other
-    /// boxes at once of those that leave.
+    /// Publishes the list of servers to traffic after an update from the store, and announces leaving
+    /// servers to the other boxes at once.
     pub fn publish_store_servers(&self) {
         let servers = lock(&self.cluster_view).servers.servers();
-        let departs = lock(&self.tracker).record_departures(self.clock.now(), &servers);
+        let has_departures = lock(&self.tracker).record_departures(self.clock.now(), &servers);
         self.publish_servers();
-        if departs {
+        if has_departures {
             self.urgent_changed.notify_one();
         }
     }
 
-    /// Shows traffic what is believed of the servers.
+    /// Publishes the list of servers to traffic.
     pub fn publish_servers(&self) {
         let servers = lock(&self.cluster_view).servers.servers();
         let listed: HashSet<EngineKey> = (servers.iter())
