--- a/daemon/src/relay/gossip.rs
+++ b/daemon/src/relay/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between boxes, which tell the work at the engines and who has newer state.
+//! Gossip between boxes: datagrams that announce engine load and the version of a box's state.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,53 +40,55 @@
 use crate::relay::suspects;
 use crate::traffic::lock;
 
-/// Least time until a box passes the work of the same hall on again.
-const PASS_ON_PAUSE: Duration = Duration::from_millis(10);
-/// A box is behind when a neighbour had newer state for this long; the watch is faster mostly.
-const BEHIND: Duration = Duration::from_millis(250);
-/// Between two pulls: changes that come together are fetched by one.
-const PULL_PAUSE: Duration = Duration::from_millis(150);
+/// Minimum interval at which a box forwards datagrams of the same other hall.
+const MIN_FORWARD_INTERVAL: Duration = Duration::from_millis(10);
+/// A box that follows the store pulls state from a peer only if that has had newer state for this
+/// long. Its own watch usually delivers the state sooner.
+const PULL_DELAY: Duration = Duration::from_millis(250);
+/// Minimum interval between pulls, so that one pull fetches changes that come together.
+const MIN_PULL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Sockets to other boxes.
+/// Sockets for other boxes: load datagrams (UDP) and pulls (TCP).
 #[derive(Debug)]
 pub struct PeerSockets {
     load: UdpSocket,
     pull: TcpListener,
 }
 
-/// Opens the sockets.
+/// Binds the sockets of this box.
 ///
 /// # Errors
 ///
-/// An address can't be used.
+/// An address can't be bound.
 pub async fn bind(settings: &BoxSettings) -> anyhow::Result<PeerSockets> {
     let load = UdpSocket::bind(settings.load).await;
-    let load = load.with_context(|| format!("failed to take datagrams on {}", settings.load))?;
+    let load =
+        load.with_context(|| format!("failed to bind the datagram socket to {}", settings.load))?;
     let pull = listener::listen(settings.pull)?;
     Ok(PeerSockets { load, pull })
 }
 
-/// Runs for ever.
+/// Exchanges datagrams and state with other boxes. Never returns.
 pub async fn run(relay: &Arc<Relay>, links: PeerSockets) {
     let PeerSockets { load, pull } = links;
     tokio::join!(
-        tell(relay, &load),
-        hear(relay, &load),
-        tell_far(relay, &load),
+        send_own_load(relay, &load),
+        receive_datagrams(relay, &load),
+        send_hall_load(relay, &load),
         send_permits(relay, &load),
         pulls::serve_pulls(relay, pull),
         pulls::bootstrap(relay),
     );
 }
 
-async fn tell(relay: &Arc<Relay>, socket: &UdpSocket) {
+async fn send_own_load(relay: &Arc<Relay>, socket: &UdpSocket) {
     let mut sequence = 0;
     let mut scope = GossipScope::Fleet;
     let mut is_urgent = false;
     loop {
         let now = relay.clock.now();
-        end_holds(relay);
-        log_reach(relay);
+        expire_held_entries(relay);
+        log_reachability(relay);
         log_scope(relay, &mut scope);
         let rows = lock(&relay.loads).own_table(now);
         sequence += 1;
@@ -102,7 +104,7 @@
             Some(_) => QUEUED_PROMPT_HEARTBEAT,
             None => HEARTBEAT_INTERVAL,
         };
-        is_urgent = wait_to_tell(
+        is_urgent = wait_for_change(
             relay,
             GOSSIP_INTERVAL_PER_BOX * others.len() as u32,
             heartbeat,
@@ -114,7 +116,7 @@
     }
 }
 
-/// Sends questions for calls to limited servers, and answers to such.
+/// Sends permit requests for calls to limited servers, and responses to such requests.
 async fn send_permits(relay: &Relay, socket: &UdpSocket) {
     let Some(mut outgoing) = relay.gate.permits.outgoing() else {
         return;
@@ -122,26 +124,27 @@
     while let Some(Outgoing { to, bytes }) = outgoing.recv().await {
         if let Err(cause) = socket.send_to(&bytes, to).await {
             counter!("badgerferry_datagrams_dropped_total", "why" => "not_sent").increment(1);
-            tracing::debug!(%to, %cause, "a datagram could not be sent");
+            tracing::debug!(%to, %cause, "datagram not sent");
         }
     }
 }
 
-/// Tells other halls the work of this one, while each hall keeps to itself and this box speaks.
-async fn tell_far(relay: &Arc<Relay>, socket: &UdpSocket) {
+/// Sends the load of this hall to other halls, while gossip is limited to the own hall and this box
+/// is a delegate.
+async fn send_hall_load(relay: &Arc<Relay>, socket: &UdpSocket) {
     let mut turn = 0;
     loop {
         let now = relay.clock.now();
-        let (speaker, receivers) = far_receivers(relay, now, turn);
-        if let Some(speaker) = speaker {
+        let (role, targets) = hall_gossip_targets(relay, now, turn);
+        if let Some(role) = role {
             turn += 1;
             let mut datagram = hall_datagram(relay, now, turn as u64);
-            send_to_all(socket, &mut datagram, &receivers).await;
-            if speaker == DelegateRole::Primary {
+            send_to_all(socket, &mut datagram, &targets).await;
+            if role == DelegateRole::Primary {
                 tokio::time::sleep(MIN_HALL_GOSSIP_INTERVAL).await;
-                let pause = MAX_HALL_GOSSIP_INTERVAL.saturating_sub(MIN_HALL_GOSSIP_INTERVAL);
-                // Nothing changed in that time: what is known is told again.
-                let _ = timeout(pause, relay.hall_changed.notified()).await;
+                let max_wait = MAX_HALL_GOSSIP_INTERVAL.saturating_sub(MIN_HALL_GOSSIP_INTERVAL);
+                // A time-out means that nothing changed; the same load is sent again.
+                let _ = timeout(max_wait, relay.hall_changed.notified()).await;
                 continue;
             }
         }
@@ -149,22 +152,25 @@
     }
 }
 
-/// Whether this box speaks for its hall, and to whom this time.
-fn far_receivers(relay: &Relay, now: Time, turn: usize) -> (Option<DelegateRole>, Vec<SocketAddr>) {
+/// Role of this box as delegate of its hall, if any, and the receivers of this turn.
+fn hall_gossip_targets(
+    relay: &Relay,
+    now: Time,
+    turn: usize,
+) -> (Option<DelegateRole>, Vec<SocketAddr>) {
     let own = &relay.settings;
     let cluster_view = lock(&relay.cluster_view);
     if cluster_view.scope() == GossipScope::Fleet {
         return (None, Vec::new());
     }
-    let lives = |name: &str| cluster_view.peer_liveness.is_live(now, name);
-    let speaker = gossip_topology::delegate_role(&cluster_view.boxes, &own.name, &own.hall, lives);
-    let receivers =
-        gossip_topology::gossip_targets(&cluster_view.boxes, &own.hall, turn).into_iter();
-    let receivers = receivers.filter_map(|of| of.load.parse().ok());
-    (speaker, receivers.collect())
+    let is_live = |name: &str| cluster_view.peer_liveness.is_live(now, name);
+    let role = gossip_topology::delegate_role(&cluster_view.boxes, &own.name, &own.hall, is_live);
+    let targets = gossip_topology::gossip_targets(&cluster_view.boxes, &own.hall, turn).into_iter();
+    let targets = targets.filter_map(|of| of.load.parse().ok());
+    (role, targets.collect())
 }
 
-/// The work of this box's hall, for the others.
+/// Datagram with the load of this box's hall, for other halls.
 fn hall_datagram(relay: &Relay, now: Time, sequence: u64) -> LoadDatagram {
     let rows = {
         let cluster_view = lock(&relay.cluster_view);
@@ -192,7 +198,7 @@
         let mut tracker = lock(&relay.tracker);
         (tracker.recent_faults(now), tracker.recent_departures(now))
     };
-    let (slow_engines, runs_of) = match source {
+    let (slow_engines, run_scope) = match source {
         LoadSource::Box => (
             lock(&relay.slow_engine_tracker).own_reports(now),
             RunScope::Box,
@@ -202,7 +208,7 @@
             RunScope::Hall,
         ),
     };
-    let suspects = lock(&relay.quarantine).rows(now, runs_of);
+    let suspects = lock(&relay.quarantine).rows(now, run_scope);
     let notices = lock(&relay.gate.notices).rows(now);
     LoadDatagram {
         version: FRAME_VERSION,
@@ -230,16 +236,16 @@
     for address in to {
         if let Err(cause) = socket.send_to(&bytes, address).await {
             counter!("badgerferry_datagrams_dropped_total", "why" => "not_sent").increment(1);
-            tracing::debug!(%address, %cause, "a datagram could not be sent");
+            tracing::debug!(%address, %cause, "datagram not sent");
         }
     }
 }
 
-/// Waits until there is something to tell; true if that can't wait. Another change within the pause
-/// is told after it.
-async fn wait_to_tell(relay: &Relay, pause: Duration, heartbeat: Duration) -> bool {
+/// Waits for the next change or heartbeat; true if the change is urgent. Other changes are sent
+/// after at least `min_interval`.
+async fn wait_for_change(relay: &Relay, min_interval: Duration, heartbeat: Duration) -> bool {
     let changed = async {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(min_interval).await;
         let _ = timeout(heartbeat, relay.load_changed.notified()).await;
     };
     tokio::select! {
@@ -248,18 +254,18 @@
     }
 }
 
-fn end_holds(relay: &Relay) {
+fn expire_held_entries(relay: &Relay) {
     let now = relay.clock.now();
     let due = lock(&relay.cluster_view).servers.next_tick();
     if due.is_some_and(|due| now >= due) {
         relay.update_servers(|servers| {
             servers.tick(now);
         });
-        tracing::info!("server entries that did not come back are taken as gone");
+        tracing::info!("server entries removed: still missing after the hold");
     }
 }
 
-fn log_reach(relay: &Relay) {
+fn log_reachability(relay: &Relay) {
     let now = relay.clock.now();
     for change in lock(&relay.tracker).take_reach_changes(now) {
         let heard_ms = change.heard_ago.as_millis() as u64;
@@ -278,12 +284,12 @@
         (cluster_view.scope(), cluster_view.boxes.len())
     };
     if scope != *last {
-        tracing::info!(?scope, before = ?last, boxes, "boxes told of work change");
+        tracing::info!(?scope, before = ?last, boxes, "gossip scope changed");
         *last = scope;
     }
 }
 
-/// The boxes that this one tells of its work.
+/// Addresses of the boxes that this one sends its load to.
 fn others(relay: &Relay) -> Vec<SocketAddr> {
     let cluster_view = lock(&relay.cluster_view);
     let scope = cluster_view.scope();
@@ -295,11 +301,11 @@
         .collect()
 }
 
-async fn hear(relay: &Arc<Relay>, socket: &UdpSocket) {
+async fn receive_datagrams(relay: &Arc<Relay>, socket: &UdpSocket) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES * 2];
     let mut behind: HashMap<String, Instant> = HashMap::new();
-    let mut pulling: Option<JoinHandle<()>> = None;
-    let mut passed_on = PassedOn::default();
+    let mut pull_task: Option<JoinHandle<()>> = None;
+    let mut forward_times = ForwardTimes::default();
     loop {
         let datagram = match socket.recv_from(&mut buf).await {
             Ok((len, from)) if PermitFrame::has_version_byte(&buf[..len]) => {
@@ -310,7 +316,7 @@
             }
             Ok((len, _from)) => LoadDatagram::decode(&buf[..len]),
             Err(cause) => {
-                tracing::debug!(%cause, "no datagram could be taken");
+                tracing::debug!(%cause, "receiving a datagram failed");
                 tokio::time::sleep(GOSSIP_INTERVAL_PER_BOX).await;
                 continue;
             }
@@ -319,23 +325,24 @@
             Ok(datagram) => datagram,
             Err(cause) => {
                 counter!("badgerferry_datagrams_dropped_total", "why" => "malformed").increment(1);
-                tracing::debug!(%cause, "a datagram was dropped");
+                tracing::debug!(%cause, "datagram dropped: malformed");
                 continue;
             }
         };
         let now = relay.clock.now();
         merge_rows(relay, now, &mut datagram);
-        note_neighbour(relay, now, &datagram);
+        record_peer(relay, now, &datagram);
         suspects::heard(relay, now, &datagram);
-        let teller = source_name(&datagram);
-        relay.gate.merge_rows(&datagram.notices, teller);
-        if passed_on.is_due(relay, now, &datagram) {
-            pass_on(relay, socket, &datagram).await;
+        let source = source_name(&datagram);
+        relay.gate.merge_rows(&datagram.notices, source);
+        if forward_times.is_due(relay, now, &datagram) {
+            forward(relay, socket, &datagram).await;
         }
         let known_state = relay.known_state();
         let is_newer = known_state.is_behind(datagram.known_state);
-        // Far news is pulled by the box that passes it on, the others pull from that one.
-        let lacks_state = is_newer && !is_passed_on(&datagram);
+        // Newer state of another hall is pulled by the box that forwards the datagram; the others
+        // pull from that box.
+        let lacks_state = is_newer && !was_forwarded(&datagram);
         if !lacks_state && !pulls::wants_boxes(relay) {
             behind.clear();
             continue;
@@ -343,32 +350,32 @@
         let since = *behind
             .entry(datagram.from.clone())
             .or_insert_with(Instant::now);
-        let waits = if relay.must_follow_store() {
-            BEHIND
+        let delay = if relay.must_follow_store() {
+            PULL_DELAY
         } else {
             Duration::ZERO
         };
-        let pulls = pulling.as_ref().is_some_and(|task| !task.is_finished());
-        if since.elapsed() >= waits && !pulls {
+        let is_pulling = pull_task.as_ref().is_some_and(|task| !task.is_finished());
+        if since.elapsed() >= delay && !is_pulling {
             behind.clear();
-            // A pull that hangs must not keep datagrams from being heard.
+            // A pull that hangs must not block the reception of datagrams.
             let relay = Arc::clone(relay);
-            pulling = Some(tokio::spawn(async move {
+            pull_task = Some(tokio::spawn(async move {
                 pulls::catch_up(&relay, datagram.from).await;
-                tokio::time::sleep(PULL_PAUSE).await;
+                tokio::time::sleep(MIN_PULL_INTERVAL).await;
             }));
         }
     }
 }
 
-/// When the work of each other hall was last passed on in this one.
+/// When the load of each other hall was last forwarded within this one.
 #[derive(Default)]
-struct PassedOn {
+struct ForwardTimes {
     last: HashMap<HallName, Time>,
 }
 
-impl PassedOn {
-    /// Whether a datagram is to be passed on now, which then counts as done.
+impl ForwardTimes {
+    /// Whether to forward a datagram now. If so, records that it was forwarded.
     fn is_due(&mut self, relay: &Relay, now: Time, datagram: &LoadDatagram) -> bool {
         let LoadSource::Hall { hall, is_forwarded } = &datagram.source else {
             return false;
@@ -376,7 +383,7 @@
         let last = self.last.get(hall);
         let is_due = !is_forwarded
             && *hall != relay.settings.hall
-            && last.is_none_or(|last| now.since(*last) >= PASS_ON_PAUSE);
+            && last.is_none_or(|last| now.since(*last) >= MIN_FORWARD_INTERVAL);
         if is_due {
             self.last.insert(hall.clone(), now);
         }
@@ -384,7 +391,7 @@
     }
 }
 
-/// Whose word a datagram is.
+/// Name of the box or hall whose load a datagram contains.
 pub fn source_name(datagram: &LoadDatagram) -> &str {
     match &datagram.source {
         LoadSource::Box => &datagram.from,
@@ -392,7 +399,7 @@
     }
 }
 
-const fn is_passed_on(datagram: &LoadDatagram) -> bool {
+const fn was_forwarded(datagram: &LoadDatagram) -> bool {
     matches!(
         datagram.source,
         LoadSource::Hall {
@@ -402,8 +409,8 @@
     )
 }
 
-/// Gives a datagram of another hall to the boxes of this one.
-async fn pass_on(relay: &Relay, socket: &UdpSocket, datagram: &LoadDatagram) {
+/// Forwards a datagram of another hall to the boxes of this one.
+async fn forward(relay: &Relay, socket: &UdpSocket, datagram: &LoadDatagram) {
     let mut datagram = datagram.clone();
     if let LoadSource::Hall { is_forwarded, .. } = &mut datagram.source {
         *is_forwarded = true;
@@ -426,7 +433,7 @@
                 relay.hall_changed.notify_one();
             }
         }
-        // Its own hall's boxes are known by themselves.
+        // Boxes of the own hall send their load themselves.
         LoadSource::Hall { hall, .. } if *hall == relay.settings.hall => {}
         LoadSource::Hall { hall, .. } => {
             let rows = datagram.rows.clone();
@@ -437,8 +444,8 @@
     }
 }
 
-/// Notes that the box was heard, and what it says of servers.
-fn note_neighbour(relay: &Relay, now: Time, datagram: &LoadDatagram) {
+/// Records that a peer is live, and its reports on servers.
+fn record_peer(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let hall = {
         let mut cluster_view = lock(&relay.cluster_view);
         if datagram.follows_store {
@@ -456,18 +463,18 @@
         return;
     };
     let own = &relay.settings.hall;
-    let said_by = if hall == *own {
+    let origin = if hall == *own {
         ReportOrigin::OwnHall
     } else {
         ReportOrigin::OtherHall
     };
-    lock(&relay.slow_engine_tracker).record_gossip(now, said_by, &datagram.slow_engines);
+    lock(&relay.slow_engine_tracker).record_gossip(now, origin, &datagram.slow_engines);
     let mut tracker = lock(&relay.tracker);
     tracker.datagram_received(now, own, &hall, &datagram.from);
     tracker.apply_departures(now, &datagram.departures);
-    let resting = tracker.apply_faults(now, own, &hall, &datagram.faults);
+    let excluded = tracker.apply_faults(now, own, &hall, &datagram.faults);
     drop(tracker);
-    for server in resting {
-        tracing::info!(%server, from = datagram.from, "server at fault, by a neighbour");
+    for server in excluded {
+        tracing::info!(%server, from = datagram.from, "server excluded: reported by a peer");
     }
 }
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -1,8 +1,8 @@
 //! Pulls of newer state between boxes.
 //!
-//! A box answers a few pulls at a time and tells others at once that it is busy: they ask the
-//! next one that they hear has the state, which by then are more. So state spreads in a time that
-//! grows with the logarithm of the boxes, and no box holds many answers at once.
+//! A box serves a few pulls at a time and rejects others at once as busy. A rejected box asks another
+//! one that announced the state, and more boxes have it by then. The time until all have it thus grows
+//! with the logarithm of their number, and no box holds many responses in memory.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,74 +29,76 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Between two pulls that ask for boxes: the one that was heard may be known nowhere yet.
-const BOXES_PAUSE: Duration = Duration::from_secs(1);
-/// Between pulls while nothing is known.
-const START_PULL: Duration = Duration::from_millis(400);
-/// Longest pull: a neighbour answers in milliseconds, or another one is asked.
-const PULL_LIMIT: Duration = Duration::from_millis(700);
-/// Pulls answered at a time. 1,500 routes of some 150 bytes take 20 Mbit/s 0.1 s (worked out), so
-/// four are over within [`PULL_LIMIT`].
-const ANSWERS_AT_ONCE: usize = 4;
+/// Minimum interval between pulls that request the list of boxes. An unknown box that was heard may
+/// not be listed anywhere yet.
+const MIN_BOXES_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between pulls while this box has no routes.
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum duration of a pull. Peers respond within milliseconds; if one doesn't, another is asked.
+const PULL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Pulls served concurrently. A table of 1,500 routes of about 150 bytes takes 0.1 s at 20 Mbit/s, so
+/// four complete within [`PULL_TIMEOUT`].
+const MAX_CONCURRENT_PULLS: usize = 4;
 
-/// Pause after a box that answers others: a table is on its way for about as long, and those who
-/// have it then tell so at once.
-const BUSY_PAUSE: Duration = Duration::from_millis(60);
-/// Boxes asked in turn, where each answers others; by then what is heard next is newer.
-const MOST_ASKED: u32 = 8;
+/// Delay after a box rejected a pull as busy. A table transfer takes about as long, and boxes that
+/// have received the table announce it at once.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Pulls in one catch-up while each box asked is busy. After these, the next datagram announces newer
+/// state.
+const MAX_PULL_ATTEMPTS: u32 = 8;
 
-/// The other box answers as many as it does at a time.
+/// The other box already serves its maximum number of pulls.
 #[derive(Debug, thiserror::Error)]
-#[error("it answers others just now")]
+#[error("busy with other pulls")]
 struct Busy;
 
-/// What came of a pull.
+/// Outcome of a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Pulled {
-    /// It was answered, or failed in another way.
+enum PullOutcome {
+    /// It completed, or failed for another reason than a busy box.
     Done,
-    /// The other box answers others.
+    /// The other box is busy with other pulls.
     Busy,
 }
 
-/// An answer of two frames: what is newer, and the route table if that is.
-type Answer = (PullResponse, Option<RouteTable>);
+/// Both frames of a response; the second one, with the route table, is sent only if that is newer.
+type ResponseFrames = (PullResponse, Option<RouteTable>);
 
-/// Whether this box lacks addresses of others, and has not asked for them just now.
+/// Whether this box lacks addresses of others and has not requested them recently.
 pub fn wants_boxes(relay: &Relay) -> bool {
     let now = relay.clock.now();
     let cluster_view = lock(&relay.cluster_view);
-    let asked_lately = cluster_view
+    let requested_recently = cluster_view
         .boxes_requested_at
-        .is_some_and(|at| now.since(at) < BOXES_PAUSE);
-    (cluster_view.has_unknown_peer || cluster_view.boxes.len() < 2) && !asked_lately
+        .is_some_and(|at| now.since(at) < MIN_BOXES_REQUEST_INTERVAL);
+    (cluster_view.has_unknown_peer || cluster_view.boxes.len() < 2) && !requested_recently
 }
 
-/// Pulls from a box that is ahead, and while that answers others, from another one that is.
+/// Pulls from a box with newer state. While that is busy, tries others that have newer state too.
 ///
-/// One that was turned away and waited for the next datagram would have new routes seconds later. A
-/// box without routes asks once: where all start at once, hardly any has them, and asking on keeps
-/// those busy.
+/// Waiting for the next datagram after a rejected pull would delay new routes by seconds. A box
+/// without routes tries only once: if all boxes start together, few have routes, and repeated pulls
+/// would keep those busy.
 pub async fn catch_up(relay: &Arc<Relay>, first: String) {
     let mut name = first;
-    let most = match relay.routes.load().as_ref() {
-        Some(_) => MOST_ASKED,
+    let max_attempts = match relay.routes.load().as_ref() {
+        Some(_) => MAX_PULL_ATTEMPTS,
         None => 1,
     };
-    for _ in 0..most {
-        if pull_from_named(relay, &name, relay.known_state()).await == Pulled::Done {
+    for _ in 0..max_attempts {
+        if pull_from(relay, &name, relay.known_state()).await == PullOutcome::Done {
             return;
         }
-        tokio::time::sleep(BUSY_PAUSE).await;
-        match any_ahead(relay) {
+        tokio::time::sleep(BUSY_RETRY_DELAY).await;
+        match random_peer_ahead(relay) {
             Some(other) => name = other,
             None => return,
         }
     }
 }
 
-/// A box that has newer state, drawn from those that said so.
-fn any_ahead(relay: &Relay) -> Option<String> {
+/// A random box of those that announced newer state.
+fn random_peer_ahead(relay: &Relay) -> Option<String> {
     let known_state = relay.known_state();
     let cluster_view = lock(&relay.cluster_view);
     let ahead = cluster_view
@@ -105,8 +107,8 @@
     ahead.choose(&mut rand::rng()).map(|&name| name.to_owned())
 }
 
-/// Pulls from a box, or from any other one if its address is not known.
-async fn pull_from_named(relay: &Arc<Relay>, name: &str, known_state: KnownState) -> Pulled {
+/// Pulls from the named box, or from a random one if its address is unknown.
+async fn pull_from(relay: &Arc<Relay>, name: &str, known_state: KnownState) -> PullOutcome {
     let address = {
         let cluster_view = lock(&relay.cluster_view);
         let named = cluster_view.boxes.get(name).map(|of| of.pull.clone());
@@ -121,28 +123,28 @@
     };
     match address.and_then(|address| address.parse().ok()) {
         Some(address) => pull(relay, address, known_state).await,
-        None => Pulled::Done,
+        None => PullOutcome::Done,
     }
 }
 
-/// Pulls from any box until routes are known, from here or from the store.
+/// Pulls from random boxes until routes are known, whether from a peer or from the store.
 pub async fn bootstrap(relay: &Arc<Relay>) {
     while relay.routes.load().is_none() {
-        tokio::time::sleep(START_PULL).await;
+        tokio::time::sleep(BOOTSTRAP_INTERVAL).await;
         let settings = &relay.settings;
         let all = bootstrap_sources(
             settings.pull,
             &settings.seeds,
             &lock(&relay.cluster_view).boxes,
         );
-        let drawn = all.choose(&mut rand::rng()).copied();
-        if let (None, Some(address)) = (relay.routes.load().as_ref(), drawn) {
+        let source = all.choose(&mut rand::rng()).copied();
+        if let (None, Some(address)) = (relay.routes.load().as_ref(), source) {
             pull(relay, address, relay.known_state()).await;
         }
     }
 }
 
-async fn pull(relay: &Arc<Relay>, address: SocketAddr, known_state: KnownState) -> Pulled {
+async fn pull(relay: &Arc<Relay>, address: SocketAddr, known_state: KnownState) -> PullOutcome {
     let request = PullRequest {
         version: FRAME_VERSION,
         known_state,
@@ -153,19 +155,19 @@
         cluster_view.boxes_requested_at = Some(relay.clock.now());
         cluster_view.has_unknown_peer = false;
     }
-    let (answer, table) = match timeout(PULL_LIMIT, ask(address, &request)).await {
-        Ok(Ok(answer)) => answer,
+    let (response, table) = match timeout(PULL_TIMEOUT, request_state(address, &request)).await {
+        Ok(Ok(response)) => response,
         Ok(Err(cause)) if cause.is::<Busy>() => {
-            tracing::debug!(%address, "a neighbour answers others just now");
-            return Pulled::Busy;
+            tracing::debug!(%address, "pull rejected: peer is busy");
+            return PullOutcome::Busy;
         }
         Ok(Err(cause)) => {
-            tracing::info!(%address, cause = format!("{cause:#}"), "no state from a neighbour");
-            return Pulled::Done;
+            tracing::info!(%address, cause = format!("{cause:#}"), "pull failed");
+            return PullOutcome::Done;
         }
         Err(_elapsed) => {
-            tracing::info!(%address, "no state from a neighbour in time");
-            return Pulled::Done;
+            tracing::info!(%address, "pull timed out");
+            return PullOutcome::Done;
         }
     };
     tracing::info!(
@@ -173,32 +175,32 @@
         have_version = known_state.routes,
         have_servers = %known_state.servers,
         version = table.as_ref().map(|table| table.version),
-        servers = answer.servers.as_ref().map(news_for_log),
-        "state from a neighbour"
+        servers = response.servers.as_ref().map(describe_update),
+        "state pulled from a peer"
     );
-    if let Some(news) = answer.servers {
+    if let Some(update) = response.servers {
         let now = relay.clock.now();
-        let hold_remaining = answer.hold_remaining;
+        let hold_remaining = response.hold_remaining;
         relay.update_servers(|servers| {
             servers.extend_hold(now, hold_remaining);
-            servers.apply_update(now, news);
+            servers.apply_update(now, update);
         });
     }
-    relay.gate.merge_rows(&answer.notices, "a pull");
-    // Last: calls that wait for the first routes go by them at once.
+    relay.gate.merge_rows(&response.notices, "a pull");
+    // Last, since calls that wait for the first routes proceed at once and need the servers.
     if let Some(table) = table {
         relay.update_routes(table, "neighbour");
     }
     let mut cluster_view = lock(&relay.cluster_view);
-    for of in answer.boxes {
+    for of in response.boxes {
         cluster_view.boxes.entry(of.name.clone()).or_insert(of);
     }
-    Pulled::Done
+    PullOutcome::Done
 }
 
-/// Position and extent of news, for logs.
-fn news_for_log(news: &ServerUpdate) -> String {
-    match news {
+/// Position and number of entries of an update, for logs.
+fn describe_update(update: &ServerUpdate) -> String {
+    match update {
         ServerUpdate::Snapshot(entries) => {
             format!("all {} at {}", entries.servers.len(), entries.position)
         }
@@ -209,54 +211,60 @@
     }
 }
 
-async fn ask(address: SocketAddr, request: &PullRequest) -> anyhow::Result<Answer> {
+async fn request_state(
+    address: SocketAddr,
+    request: &PullRequest,
+) -> anyhow::Result<ResponseFrames> {
     let mut stream = TcpStream::connect(address).await?;
     write_frame(&mut stream, &postcard::to_stdvec(request)?).await?;
     let bytes = read_frame(&mut stream).await?;
     anyhow::ensure!(!bytes.is_empty(), Busy);
-    let answer: PullResponse = postcard::from_bytes(&bytes)?;
-    let table = if answer.table_follows {
+    let response: PullResponse = postcard::from_bytes(&bytes)?;
+    let table = if response.table_follows {
         let bytes = read_frame(&mut stream).await?;
         Some(postcard::from_bytes(&bytes)?)
     } else {
         None
     };
-    Ok((answer, table))
+    Ok((response, table))
 }
 
-/// Answers other boxes' pulls for ever.
+/// Serves pulls of other boxes. Never returns.
 pub async fn serve_pulls(relay: &Arc<Relay>, listener: TcpListener) {
-    let slots = Arc::new(Semaphore::new(ANSWERS_AT_ONCE));
+    let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_PULLS));
     listener::serve_each(listener, |stream| {
-        answer_pull(Arc::clone(relay), Arc::clone(&slots), stream)
+        serve_pull(Arc::clone(relay), Arc::clone(&slots), stream)
     })
     .await;
 }
 
-async fn answer_pull(relay: Arc<Relay>, slots: Arc<Semaphore>, mut stream: TcpStream) {
-    let answered = timeout(PULL_LIMIT, async {
+async fn serve_pull(relay: Arc<Relay>, slots: Arc<Semaphore>, mut stream: TcpStream) {
+    let served = timeout(PULL_TIMEOUT, async {
         let bytes = read_frame(&mut stream).await?;
         let request: PullRequest = postcard::from_bytes(&bytes)?;
-        anyhow::ensure!(request.version == FRAME_VERSION, "another version");
+        anyhow::ensure!(
+            request.version == FRAME_VERSION,
+            "unsupported frame version"
+        );
         let Ok(_slot) = slots.try_acquire() else {
             counter!("badgerferry_pulls_turned_away_total").increment(1);
             return write_frame(&mut stream, &[]).await;
         };
-        let answer = relay.newer_state_for(&request);
-        let table = relay.encoded_table_for(&answer);
-        write_frame(&mut stream, &postcard::to_stdvec(&answer)?).await?;
+        let response = relay.newer_state_for(&request);
+        let table = relay.encoded_table_for(&response);
+        write_frame(&mut stream, &postcard::to_stdvec(&response)?).await?;
         if let Some(table) = table {
             write_frame(&mut stream, &table).await?;
         }
-        // What is written is on its way only when the other end has taken it.
+        // Waits until the peer closes, so that the slot is held until the response was received.
         stream.shutdown().await?;
         let _ = stream.read(&mut [0]).await?;
         Ok(())
     });
-    match answered.await {
+    match served.await {
         Ok(Ok(())) => {}
-        Ok(Err(cause)) => tracing::info!(cause = format!("{cause:#}"), "a pull failed"),
-        Err(_elapsed) => tracing::info!("a pull took too long"),
+        Ok(Err(cause)) => tracing::info!(cause = format!("{cause:#}"), "serving a pull failed"),
+        Err(_elapsed) => tracing::info!("serving a pull timed out"),
     }
 }
 
@@ -271,7 +279,7 @@
     let mut len = [0; 4];
     stream.read_exact(&mut len).await?;
     let len = u32::from_be_bytes(len) as usize;
-    anyhow::ensure!(len <= MAX_FRAME_BYTES, "a frame of {len} bytes is too long");
+    anyhow::ensure!(len <= MAX_FRAME_BYTES, "frame too long: {len} bytes");
     let mut bytes = vec![0; len];
     stream.read_exact(&mut bytes).await?;
     Ok(bytes)
--- a/daemon/tests/test_relay_boxes.rs
+++ b/daemon/tests/test_relay_boxes.rs
@@ -246,7 +246,10 @@
 
     assert_eq!(status(&world.relay, "key-1").await?, 200);
 
-    world.relay.wait_line(&["did not come back"]).await?;
+    world
+        .relay
+        .wait_line(&["still missing after the hold"])
+        .await?;
     wait_status(&world.relay, "key-1", 503).await
 }
 
