--- a/daemon/src/relay/store_follower.rs
+++ b/daemon/src/relay/store_follower.rs
@@ -1,7 +1,8 @@
-//! Follows the platform's store: routes, servers and boxes, by one watch; and enters this box.
+//! Follows routes, servers and boxes in the platform's store by one watch, and registers this box.
 //!
-//! An entry says where a box is reached, not that it lives: that is known by who is heard. So it
-//! is written once for all lives of a box, and removed by its neighbours when it was silent long.
+//! The entry of a box contains its addresses and says nothing about liveness, which peers know from
+//! its datagrams. It is therefore written once, kept across restarts, and removed by peers when the
+//! box has been silent for long.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,54 +27,61 @@
 use crate::relay::suspects;
 use crate::traffic::lock;
 
-/// Longest wait for an answer of the store beyond what a watch waits; it answers in milliseconds.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
-/// Limits tried in turn while the store does not answer: short ones, so that its return shows
-/// soon, and a long one in case it is only slow.
-const LOST_LIMITS: [Duration; 3] = [
+/// Time-out of calls to the store, in addition to the duration of a watch. It responds within
+/// milliseconds.
+const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time-outs used in rotation while the store is unavailable: short ones, so that its recovery is
+/// detected soon, and a long one in case it is only slow.
+const OUTAGE_CALL_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(700),
     Duration::from_millis(700),
     Duration::from_secs(2),
 ];
-/// How long a watch waits: a watch that is cut silently is known after this and the limit.
+/// Duration of a watch. A silently lost connection is detected after this and the call time-out.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
-/// How long it waits while the store does not answer.
-const LOST_WATCH_WAIT: Duration = Duration::from_millis(50);
-/// Pause after an answer: changes that come together are fetched by one call.
-const GATHER: Duration = Duration::from_millis(100);
-/// After all was read, until the first watch: by then a box has heard from neighbours which box
-/// follows the store, and most need not watch at all.
-const FIRST_WATCH: Duration = Duration::from_secs(1);
-/// How often a box that follows its neighbours looks whether they still follow the store.
-const LOOK_AT_NEIGHBOURS: Duration = Duration::from_millis(250);
-/// Longest pause after a failure: a change is to be known within four seconds of the store's
-/// return.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// Within this time after a return from a copy boxes that follow the store read all of it.
-const READ_AGAIN_WITHIN: Duration = Duration::from_millis(200);
-/// Within this time the others write their entries again, which nobody waits for.
-const ENTER_AGAIN_WITHIN: Duration = Duration::from_secs(5);
-/// How often boxes are looked for that were silent long.
-const SWEEP_PAUSE: Duration = Duration::from_mins(1);
+/// Duration of a watch while the store is unavailable.
+const OUTAGE_WATCH_WAIT: Duration = Duration::from_millis(50);
+/// Delay after a response, so that one call fetches changes that come together.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Delay between the first full read and the first watch. In this time a box hears which peers follow
+/// the store, so most boxes never start a watch.
+const FIRST_WATCH_DELAY: Duration = Duration::from_secs(1);
+/// Interval at which a box that relies on its peers checks that they still follow the store.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum delay after a failed call. Changes have to take effect within four seconds of the store's
+/// recovery.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Maximum random delay before a box that follows the store reads it in full after a restore.
+const MAX_REREAD_DELAY: Duration = Duration::from_millis(200);
+/// Maximum random delay before the other boxes write their entries again after a restore. Nothing
+/// depends on these soon.
+const MAX_REREGISTRATION_DELAY: Duration = Duration::from_secs(5);
+/// Interval between checks for expired boxes.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Follows for ever.
+/// Follows the store, directly or through peers. Never returns.
 pub async fn run(relay: &Arc<Relay>) {
-    let mut store = Store::new(relay.settings.store, CALL_LIMIT);
-    let mut follow = StoreFollower::new(relay);
+    let mut store = Store::new(relay.settings.store, STORE_CALL_TIMEOUT);
+    let mut follower = StoreFollower::new(relay);
     loop {
-        if follow.entered_in.is_some() && !relay.must_follow_store() {
-            follow.follow_neighbours();
-            follow.enter_again(&mut store).await;
-            tokio::time::sleep(LOOK_AT_NEIGHBOURS).await;
+        if follower.registered_in.is_some() && !relay.must_follow_store() {
+            follower.follow_peers();
+            follower.reregister(&mut store).await;
+            tokio::time::sleep(PEER_CHECK_INTERVAL).await;
             continue;
         }
-        let is_first = follow.cursor.next() == StoreRead::Full && follow.entered_in.is_none();
-        let pause = match follow.step(&mut store).await {
+        let is_first =
+            follower.cursor.next() == StoreRead::Full && follower.registered_in.is_none();
+        let pause = match follower.step(&mut store).await {
             Ok(()) => {
-                follow.answered();
-                if is_first { FIRST_WATCH } else { GATHER }
+                follower.record_success();
+                if is_first {
+                    FIRST_WATCH_DELAY
+                } else {
+                    BATCH_DELAY
+                }
             }
-            Err(cause) => follow.failed(&cause),
+            Err(cause) => follower.record_failure(&cause),
         };
         tokio::time::sleep(pause).await;
     }
@@ -82,18 +90,18 @@
 struct StoreFollower<'a> {
     relay: &'a Arc<Relay>,
     cursor: StoreCursor,
-    lost_since: Option<Instant>,
+    unavailable_since: Option<Instant>,
     failures: usize,
     backoff: Backoff,
-    /// What other boxes are to know of this one.
+    /// Entry of this box.
     own: BoxAddresses,
-    /// The era in which the store held that.
-    entered_in: Option<u64>,
-    /// When it is written again after a return from a copy.
-    enters_again: Option<Instant>,
-    /// Where the store took each box's entry, in the era that is read.
-    entries: HashMap<String, StorePosition>,
-    swept: Instant,
+    /// Latest store era known to contain that entry.
+    registered_in: Option<u64>,
+    /// When the entry is written again after a restore of the store.
+    reregister_at: Option<Instant>,
+    /// Store position of each box's entry, in the current era.
+    box_entries: HashMap<String, StorePosition>,
+    expiry_checked_at: Instant,
 }
 
 impl<'a> StoreFollower<'a> {
@@ -101,35 +109,35 @@
         Self {
             relay,
             cursor: StoreCursor::default(),
-            lost_since: None,
+            unavailable_since: None,
             failures: 0,
             backoff: Backoff::default(),
             own: state::own_addresses(&relay.settings),
-            entered_in: None,
-            enters_again: None,
-            entries: HashMap::new(),
-            swept: Instant::now(),
+            registered_in: None,
+            reregister_at: None,
+            box_entries: HashMap::new(),
+            expiry_checked_at: Instant::now(),
         }
     }
 
     async fn step(&mut self, store: &mut Store) -> Result<(), StoreError> {
         store.set_limit(match self.failures {
-            0 => CALL_LIMIT,
-            failures => LOST_LIMITS[failures % LOST_LIMITS.len()],
+            0 => STORE_CALL_TIMEOUT,
+            failures => OUTAGE_CALL_TIMEOUTS[failures % OUTAGE_CALL_TIMEOUTS.len()],
         });
         let after = match self.cursor.next() {
             StoreRead::ChangesSince(position) => position,
             StoreRead::Full => {
                 let all = store.read_all().await?;
                 self.store_available();
-                self.take_everything(all.position, all.items);
+                self.apply_full_read(all.position, all.items);
                 self.cursor.advance_to(all.position);
-                return self.enter(store, all.position.era).await;
+                return self.register(store, all.position.era).await;
             }
         };
-        self.enter(store, after.era).await?;
-        let wait = match self.lost_since {
-            Some(_) => LOST_WATCH_WAIT,
+        self.register(store, after.era).await?;
+        let wait = match self.unavailable_since {
+            Some(_) => OUTAGE_WATCH_WAIT,
             None => WATCH_WAIT,
         };
         let seen = store.watch(after, wait).await?;
@@ -145,69 +153,69 @@
                         ..
                     }
             );
-            self.take(change);
+            self.apply_change(change);
         }
         if servers_changed {
-            // Once for all of them: each time, the list is copied whole.
+            // Once for all changes, since each publication copies the whole list.
             self.relay.publish_store_servers();
         }
         self.cursor.advance_to(seen.position);
-        self.sweep(store).await
+        self.remove_expired_boxes(store).await
     }
 
-    /// Enters this box in an era of the store, unless that holds its addresses.
-    async fn enter(&mut self, store: &mut Store, era: u64) -> Result<(), StoreError> {
-        if self.entered_in >= Some(era) {
+    /// Registers this box in an era of the store, unless it is registered there already.
+    async fn register(&mut self, store: &mut Store, era: u64) -> Result<(), StoreError> {
+        if self.registered_in >= Some(era) {
             return Ok(());
         }
         let era = store.put_box(&self.own).await?;
-        self.entered_in = Some(era);
-        self.enters_again = None;
+        self.registered_in = Some(era);
+        self.reregister_at = None;
         tracing::info!(
             r#box = self.own.name,
             era,
-            "this box is entered in the store"
+            "this box is registered in the store"
         );
         Ok(())
     }
 
-    /// Enters this box again, some time after it heard from others that the store came back from a copy:
-    /// all boxes hear of it at once.
-    async fn enter_again(&mut self, store: &mut Store) {
+    /// Registers this box again if its peers announce a new era, that is a restore of the store. All
+    /// boxes hear of a new era at once, so each writes after a random delay.
+    async fn reregister(&mut self, store: &mut Store) {
         let era = self.relay.known_state().servers.era;
-        if self.entered_in >= Some(era) {
+        if self.registered_in >= Some(era) {
             return;
         }
-        let within = rand::rng().random_range(Duration::ZERO..ENTER_AGAIN_WITHIN);
-        let at = *self.enters_again.get_or_insert(Instant::now() + within);
+        let delay = rand::rng().random_range(Duration::ZERO..MAX_REREGISTRATION_DELAY);
+        let at = *self.reregister_at.get_or_insert(Instant::now() + delay);
         if Instant::now() < at {
             return;
         }
-        if let Err(cause) = self.enter(store, era).await {
-            tracing::warn!(%cause, era, "this box could not be entered in the store again");
-            self.enters_again = None;
+        if let Err(cause) = self.register(store, era).await {
+            tracing::warn!(%cause, era, "registration in the restored store failed");
+            self.reregister_at = None;
         }
     }
 
-    /// Removes entries of boxes that were silent long, if this box does that for its hall.
-    async fn sweep(&mut self, store: &mut Store) -> Result<(), StoreError> {
-        if self.swept.elapsed() < SWEEP_PAUSE {
+    /// Removes entries of expired boxes, if this box is the one of its hall that has to.
+    async fn remove_expired_boxes(&mut self, store: &mut Store) -> Result<(), StoreError> {
+        if self.expiry_checked_at.elapsed() < EXPIRY_CHECK_INTERVAL {
             return Ok(());
         }
-        self.swept = Instant::now();
+        self.expiry_checked_at = Instant::now();
         let now = self.relay.clock.now();
-        let abandoned = {
+        let expired = {
             let cluster_view = lock(&self.relay.cluster_view);
             let silent_for = |name: &str| cluster_view.peer_liveness.silent_for(now, name);
             gossip_topology::expired_boxes(&cluster_view.boxes, &self.own, silent_for)
         };
-        for name in abandoned {
-            if let Some(&at) = self.entries.get(&name) {
+        for name in expired {
+            if let Some(&at) = self.box_entries.get(&name) {
                 tracing::info!(
                     r#box = name,
                     era = at.era,
                     revision = at.revision,
-                    "entry of a box removed, which is silent long"
+                    "entry of expired box removed"
                 );
                 store.remove_box(&name, at).await?;
             }
@@ -222,31 +230,33 @@
         cluster_view.store_answered_at = Some(now);
     }
 
-    /// Goes on from where the neighbours' news are, should this box follow the store again.
-    fn follow_neighbours(&mut self) {
+    /// Advances the cursor to the state known from peers, from which this box would continue if it
+    /// followed the store again.
+    fn follow_peers(&mut self) {
         self.cursor.raise_to(self.relay.known_state().servers);
-        // Its news reaches this box through them: entries that end are no longer held for long.
+        // Updates of the store arrive through peers: entries that disappear from now on are not held as
+        // in an outage.
         let now = self.relay.clock.now();
         lock(&self.relay.cluster_view).servers.store_available(now);
-        self.lost_since = None;
+        self.unavailable_since = None;
         self.failures = 0;
     }
 
-    fn answered(&mut self) {
-        if let Some(since) = self.lost_since.take() {
+    fn record_success(&mut self) {
+        if let Some(since) = self.unavailable_since.take() {
             let away_ms = since.elapsed().as_millis() as u64;
-            tracing::info!(away_ms, "store regained");
+            tracing::info!(away_ms, "store available again");
         }
         self.failures = 0;
         self.backoff = Backoff::default();
     }
 
-    fn failed(&mut self, cause: &StoreError) -> Duration {
+    fn record_failure(&mut self, cause: &StoreError) -> Duration {
         let position = self.cursor.position();
         let (era, revision) = position.map(|at| (at.era, at.revision)).unzip();
         match cause {
             StoreError::HistoryGone => {
-                tracing::info!(era, revision, "store's history is gone; reading all");
+                tracing::info!(era, revision, "store history expired: reading in full");
                 self.cursor.reset();
                 return Duration::ZERO;
             }
@@ -255,41 +265,41 @@
                     era,
                     revision,
                     new_era,
-                    "store came back from a copy; reading all"
+                    "store restored from a backup: reading in full"
                 );
                 self.cursor.reset();
-                return rand::rng().random_range(Duration::ZERO..READ_AGAIN_WITHIN);
+                return rand::rng().random_range(Duration::ZERO..MAX_REREAD_DELAY);
             }
             StoreError::NotDone(_) | StoreError::NoAnswer(_) => {}
         }
-        if self.lost_since.is_none() {
-            self.lost_since = Some(Instant::now());
-            tracing::warn!(%cause, era, revision, "store lost");
+        if self.unavailable_since.is_none() {
+            self.unavailable_since = Some(Instant::now());
+            tracing::warn!(%cause, era, revision, "store unavailable");
         }
         self.failures += 1;
         lock(&self.relay.cluster_view).servers.store_unavailable();
-        self.backoff.next(&mut rand::rng()).min(LONGEST_PAUSE)
+        self.backoff.next(&mut rand::rng()).min(MAX_RETRY_DELAY)
     }
 
-    fn take_everything(&mut self, position: StorePosition, items: Vec<Change>) {
+    fn apply_full_read(&mut self, position: StorePosition, items: Vec<Change>) {
         let mut entries = ServerSnapshot {
             position,
             ..ServerSnapshot::default()
         };
         let mut boxes = Boxes::new();
         let mut routes = None;
-        self.entries.clear();
+        self.box_entries.clear();
         for change in items {
             match change {
                 Change::Server { server, .. } => {
                     entries.servers.insert(server.name.clone(), server);
                 }
                 Change::Box { position, of } => {
-                    self.entries.insert(of.name.clone(), position);
+                    self.box_entries.insert(of.name.clone(), position);
                     boxes.insert(of.name.clone(), of);
                 }
                 Change::Routes(_) => routes = Some(change),
-                other => self.take(other),
+                other => self.apply_change(other),
             }
         }
         let before = self.relay.known_state().servers;
@@ -300,10 +310,10 @@
             known_revision = before.revision,
             servers = entries.servers.len(),
             boxes = boxes.len(),
-            "store read whole"
+            "store read in full"
         );
-        let is_entered = boxes.get(&self.own.name) == Some(&self.own);
-        self.entered_in = is_entered.then_some(position.era);
+        let is_registered = boxes.get(&self.own.name) == Some(&self.own);
+        self.registered_in = is_registered.then_some(position.era);
         boxes.insert(self.own.name.clone(), self.own.clone());
         let now = self.relay.clock.now();
         {
@@ -316,13 +326,13 @@
             lock(&self.relay.quarantine).on_store_restored();
             self.relay.quarantine_changed.notify_one();
         }
-        // Calls that wait for the first routes go by them at once, and need the servers.
+        // Last, since calls that wait for the first routes proceed at once and need the servers.
         if let Some(routes) = routes {
-            self.take(routes);
+            self.apply_change(routes);
         }
     }
 
-    fn take(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         let relay = self.relay;
         match change {
             Change::Routes(table) => relay.update_routes(*table, "store"),
@@ -341,7 +351,7 @@
             }
             Change::ServerGone { position, name } => {
                 let (era, revision) = (position.era, position.revision);
-                tracing::info!(server = %name, era, revision, "server entry gone");
+                tracing::info!(server = %name, era, revision, "server entry removed");
                 let now = relay.clock.now();
                 let mut cluster_view = lock(&relay.cluster_view);
                 cluster_view.servers.remove(now, position, &name);
@@ -349,16 +359,16 @@
             Change::Box { position, of } => {
                 let (era, revision) = (position.era, position.revision);
                 tracing::info!(r#box = of.name, era, revision, "box entry");
-                self.entries.insert(of.name.clone(), position);
+                self.box_entries.insert(of.name.clone(), position);
                 lock(&relay.cluster_view).boxes.insert(of.name.clone(), of);
             }
             Change::BoxGone { name } if name == self.own.name => {
-                tracing::warn!(r#box = name, "this box's entry is gone");
-                self.entered_in = None;
+                tracing::warn!(r#box = name, "entry of this box was removed");
+                self.registered_in = None;
             }
             Change::BoxGone { name } => {
-                tracing::info!(r#box = name, "box entry gone");
-                self.entries.remove(&name);
+                tracing::info!(r#box = name, "box entry removed");
+                self.box_entries.remove(&name);
                 lock(&relay.cluster_view).boxes.remove(&name);
             }
             Change::Suspect { work, fact } => suspects::stored(relay, work, fact),
@@ -369,16 +379,12 @@
                 ..
             } => {
                 let (era, revision) = (position.era, position.revision);
-                tracing::error!(server = %name, cause, era, revision, "server entry can't be read; it is not used");
+                tracing::error!(server = %name, cause, era, revision, "server entry unreadable: server not used");
                 let mut cluster_view = lock(&relay.cluster_view);
                 cluster_view.servers.put_unreadable(position, &name);
             }
             Change::Unreadable { key, cause, .. } => {
-                tracing::error!(
-                    key,
-                    cause,
-                    "a value in the store can't be read; the old stands"
-                );
+                tracing::error!(key, cause, "store value unreadable: previous value kept");
             }
             Change::Other => {}
         }
--- a/daemon/tests/relay_fleet.rs
+++ b/daemon/tests/relay_fleet.rs
@@ -1,4 +1,4 @@
-//! Boxes before servers of one service, and callers that press at all of them.
+//! A fleet of boxes with servers of one service, and callers that put load on all boxes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,27 +11,27 @@
 use badgerferry_standin::server::Server;
 use badgerferry_standin::store::Store;
 
-/// By then boxes that have just started know each other.
+/// Time after which boxes that have just started know each other.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// From one call of a caller to its next.
+/// Interval between the response to a caller's call and its next call.
 pub const CALL_INTERVAL: Duration = Duration::from_millis(30);
-/// Later than this a call counts as hanging: callers give five seconds.
+/// A call that takes longer counts as hanging: calls have a deadline of five seconds.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// What callers of engines say of their prompts.
+/// Header with the token counts of short prompts, for calls to engines.
 pub const SHORT_PROMPT: &str = "Badgerferry-Token-Counts: 1000,50\r\n";
 
-/// Boxes before servers of one service.
+/// A store, servers of one service, and boxes.
 pub struct Fleet {
-    /// The store.
+    /// Store that all of them use.
     pub store: Store,
-    /// The servers.
+    /// Servers, named `i-0` and so on.
     pub servers: Vec<Server>,
-    /// The boxes.
+    /// Boxes, named `box-0` and so on.
     pub boxes: Vec<RelayBox>,
 }
 
 impl Fleet {
-    /// Starts all of it.
+    /// Starts a fleet and waits until its boxes know each other.
     pub async fn start(boxes: usize, servers: usize, service: &str) -> anyhow::Result<Self> {
         let store = Store::start().await?;
         store.put_routes(&desired_state(3, &["key-1"]));
@@ -56,20 +56,20 @@
         Ok(fleet)
     }
 
-    /// Calls at all boxes for so long, one after the other at each; gives back what each was told and
-    /// how long it took.
+    /// Calls all boxes concurrently for `duration`, each one sequentially. Returns each response and the
+    /// time it took.
     pub async fn call_all(
         &self,
         path: &str,
         extra: &str,
-        lasts: Duration,
+        duration: Duration,
     ) -> Vec<(Answer, Duration)> {
-        let until = Instant::now() + lasts;
+        let until = Instant::now() + duration;
         let callers = self.boxes.iter().enumerate().map(async |(at, one)| {
-            let mut told = Vec::new();
+            let mut responses = Vec::new();
             for turn in 0.. {
-                let began = Instant::now();
-                if began >= until {
+                let started_at = Instant::now();
+                if started_at >= until {
                     break;
                 }
                 let text = call(
@@ -79,36 +79,37 @@
                     extra,
                     "a prompt",
                 );
-                // A connection that the box ends without an answer is one of status 0.
+                // A connection closed without a response counts as status 0.
                 let answer = Caller::once(one.front(), &text).await.unwrap_or_default();
-                let took = began.elapsed();
+                let took = started_at.elapsed();
                 assert!(took < CALL_TIMEOUT, "{took:?}: {answer:?}; {}", self.logs());
-                told.push((answer, took));
+                responses.push((answer, took));
                 tokio::time::sleep(CALL_INTERVAL).await;
             }
-            told
+            responses
         });
         futures::future::join_all(callers).await.concat()
     }
 
-    /// What all boxes logged.
+    /// Logs of all boxes.
     pub fn logs(&self) -> String {
         self.boxes.iter().map(RelayBox::log).collect()
     }
 }
 
 impl Fleet {
-    /// The server that most calls reached: short calls are packed on few, and one that gets none
-    /// would show nothing.
+    /// The server that received most calls. Short calls are packed on few servers, so a test on another
+    /// one might check nothing.
     pub fn busiest(&self) -> &Server {
         let busiest = self.servers.iter().max_by_key(|server| server.seen().len());
         busiest.expect("a server")
     }
 }
 
-/// Calls that were served.
-pub fn count_served(told: &[(Answer, Duration)]) -> usize {
-    told.iter()
+/// Number of calls answered with status 200.
+pub fn count_served(responses: &[(Answer, Duration)]) -> usize {
+    responses
+        .iter()
         .filter(|(answer, _)| answer.status == 200)
         .count()
 }
--- a/daemon/tests/test_relay_boxes.rs
+++ b/daemon/tests/test_relay_boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes on the platform: what they know while the store misbehaves, and how they stop.
+//! State of boxes while the store fails, and planned stops.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -22,12 +22,14 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-fn again(id: &str, key: &str) -> String {
+fn idempotent_call(id: &str, key: &str) -> String {
     call("GET", "/again/a", id, "", "").replace("key-1", key)
 }
 
 async fn status(relay: &RelayBox, key: &str) -> anyhow::Result<u16> {
-    Ok(Caller::once(relay.front(), &again("id", key)).await?.status)
+    Ok(Caller::once(relay.front(), &idempotent_call("id", key))
+        .await?
+        .status)
 }
 
 async fn wait_status(relay: &RelayBox, key: &str, wanted: u16) -> anyhow::Result<()> {
@@ -37,26 +39,26 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    anyhow::bail!("the status never becomes {wanted}; log:\n{}", relay.log())
+    anyhow::bail!("the status does not become {wanted}; log:\n{}", relay.log())
 }
 
 #[tokio::test]
-async fn a_box_without_routes_is_not_ready_and_promises_that_nothing_ran() -> anyhow::Result<()> {
+async fn box_without_routes_is_not_ready_and_answers_503() -> anyhow::Result<()> {
     let store = Store::start().await?;
     store.set_mode(Mode::Silent);
     let relay = RelayBox::start("box-1", store.address, &[])?;
     relay.wait_line(&["daemon started"]).await?;
 
-    let answer = Caller::once(relay.front(), &again("id-1", "key-1")).await?;
+    let answer = Caller::once(relay.front(), &idempotent_call("id-1", "key-1")).await?;
 
     assert_eq!(answer.status, 503);
     assert!(!relay.is_ready().await);
     Ok(())
 }
 
-/// A call that comes before the first routes is served; so many servers of another service are listed
-/// beside the one that it needs.
-async fn serves_a_call_that_comes_first(others: usize) -> anyhow::Result<()> {
+/// Checks that a call is served that arrives before the first routes. The store also lists `others`
+/// servers of another service.
+async fn check_call_before_first_routes(others: usize) -> anyhow::Result<()> {
     let store = Store::start().await?;
     store.put_routes(&desired_state(3, &["key-1"]));
     let server = Server::start("i-0", "boards", Duration::from_millis(20)).await?;
@@ -68,10 +70,10 @@
     }
     store.set_mode(Mode::Busy);
     let relay = RelayBox::start("box-1", store.address, &[])?;
-    relay.wait_line(&["store lost"]).await?;
+    relay.wait_line(&["store unavailable"]).await?;
     let mut caller = Caller::connect(relay.front()).await?;
 
-    caller.send(&again("id-1", "key-1")).await?;
+    caller.send(&idempotent_call("id-1", "key-1")).await?;
     store.set_mode(Mode::Serving);
 
     let answer = caller.answer().await?;
@@ -79,21 +81,21 @@
     Ok(())
 }
 
-/// Found by a play: callers of boxes that had all just started were turned away, twice each.
+/// Guards against refused calls at boxes that have just started and have no routes yet.
 #[tokio::test]
-async fn a_call_that_comes_before_the_first_routes_waits_for_them() -> anyhow::Result<()> {
-    serves_a_call_that_comes_first(0).await
+async fn call_before_the_first_routes_waits_for_them() -> anyhow::Result<()> {
+    check_call_before_first_routes(0).await
 }
 
-/// Entries of many servers are read with the routes, and must be known before a call goes by those.
+/// Guards against routes that take effect before the servers read with them, which takes longer for
+/// many servers.
 #[tokio::test]
-async fn a_call_that_waits_for_the_first_routes_finds_the_servers_as_well() -> anyhow::Result<()> {
-    serves_a_call_that_comes_first(4_000).await
+async fn call_before_the_first_routes_waits_for_many_servers() -> anyhow::Result<()> {
+    check_call_before_first_routes(4_000).await
 }
 
 #[tokio::test]
-async fn new_routes_keys_and_servers_are_in_force_soon_after_the_store_took_them()
--> anyhow::Result<()> {
+async fn new_route_table_takes_effect() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.store.put_routes(&desired_state(9, &["key-2"]));
 
@@ -104,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn an_older_version_never_comes_back_into_force() -> anyhow::Result<()> {
+async fn older_route_table_version_is_ignored() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.store.put_routes(&desired_state(9, &["key-2"]));
     wait_status(&world.relay, "key-2", 200).await?;
@@ -120,14 +122,14 @@
 }
 
 #[tokio::test]
-async fn a_state_that_cant_be_read_leaves_the_old_one_in_force() -> anyhow::Result<()> {
+async fn malformed_route_table_is_ignored() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world
         .store
         .put_routes(&serde_json::json!({"version": "none"}));
     world
         .relay
-        .wait_line(&["can't be read", "op/config"])
+        .wait_line(&["store value unreadable", "op/config"])
         .await?;
 
     assert_eq!(status(&world.relay, "key-1").await?, 200);
@@ -135,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_server_gets_no_new_calls() -> anyhow::Result<()> {
+async fn server_marked_as_leaving_in_the_store_gets_no_new_calls() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     let leaving = &world.servers[0];
     world.store.put(&leaving.key(), &leaving.entry("draining"));
@@ -146,7 +148,11 @@
     let before = leaving.seen().len();
 
     for at in 0..10 {
-        Caller::once(world.relay.front(), &again(&format!("id-{at}"), "key-1")).await?;
+        Caller::once(
+            world.relay.front(),
+            &idempotent_call(&format!("id-{at}"), "key-1"),
+        )
+        .await?;
     }
 
     assert_eq!(leaving.seen().len(), before);
@@ -154,8 +160,7 @@
 }
 
 #[tokio::test]
-async fn every_way_the_store_fails_leaves_the_box_serving_and_it_catches_up() -> anyhow::Result<()>
-{
+async fn box_serves_during_store_failures_and_catches_up() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let modes = [Mode::Busy, Mode::TooMany, Mode::Reset, Mode::Silent];
     for (version, mode) in (20..).zip(modes) {
@@ -173,23 +178,24 @@
     Ok(())
 }
 
-/// Found by a hunt: a watch that began just before the store's return hung for four seconds.
+/// Guards against a watch with a long time-out that starts just before the store recovers and delays
+/// updates by four seconds.
 #[tokio::test]
-async fn a_silent_store_is_asked_again_by_short_calls() -> anyhow::Result<()> {
+async fn silent_store_is_polled_with_short_timeouts() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.store.set_mode(Mode::Silent);
-    world.relay.wait_line(&["store lost"]).await?;
+    world.relay.wait_line(&["store unavailable"]).await?;
     let before = world.store.calls();
 
-    // A call that is let hang for long would keep this count from rising.
+    // A call with a long time-out would keep this count from rising.
     wait_until(|| world.store.calls() >= before + 4).await?;
     world.store.set_mode(Mode::Serving);
 
-    world.relay.wait_line(&["store regained"]).await
+    world.relay.wait_line(&["store available again"]).await
 }
 
 #[tokio::test]
-async fn a_forgotten_history_is_read_anew() -> anyhow::Result<()> {
+async fn expired_store_history_causes_a_full_read() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.store.put_routes(&desired_state(5, &["key-5"]));
     world.store.forget_history();
@@ -200,13 +206,13 @@
 }
 
 #[tokio::test]
-async fn a_box_that_the_store_turns_away_learns_of_a_revoked_key_from_a_neighbour()
--> anyhow::Result<()> {
+async fn box_without_store_learns_of_a_revoked_key_from_a_peer() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let other = RelayBox::start("box-2", world.store.address, &[])?;
     other.wait_ready().await?;
     world.relay.wait_line(&["box entry", "box-2"]).await?;
-    // All of a loopback host's calls come from one address: the box is silenced by its own.
+    // All calls on the loopback interface have one source address, so the store can't reject only this
+    // box. The box is suspended until the other one has the new key.
     world.store.put_routes(&desired_state(4, &["key-1"]));
     wait_until(|| world.relay.log().matches("routes in force").count() >= 2).await?;
     world.relay.signal("STOP")?;
@@ -217,14 +223,13 @@
 
     wait_status(&world.relay, "key-1", 401).await?;
 
-    // Lines are written by a thread of their own, a moment later.
+    // A separate thread writes the log, slightly later.
     let source = "\"source\":\"neighbour\"";
     world.relay.wait_line(&["routes in force", source]).await
 }
 
 #[tokio::test]
-async fn a_box_that_starts_while_the_store_is_away_takes_its_state_from_a_neighbour()
--> anyhow::Result<()> {
+async fn box_started_during_store_outage_pulls_state_from_a_peer() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.store.set_mode(Mode::Silent);
 
@@ -236,13 +241,16 @@
 }
 
 #[tokio::test]
-async fn entries_that_lapse_with_the_store_do_not_stop_the_box_serving() -> anyhow::Result<()> {
+async fn server_entries_lost_in_a_store_outage_are_held_for_a_time() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     world.store.set_mode(Mode::Silent);
-    world.relay.wait_line(&["store lost"]).await?;
+    world.relay.wait_line(&["store unavailable"]).await?;
     world.store.remove("servers/i-0");
     world.store.set_mode(Mode::Serving);
-    world.relay.wait_line(&["server entry gone", "i-0"]).await?;
+    world
+        .relay
+        .wait_line(&["server entry removed", "i-0"])
+        .await?;
 
     assert_eq!(status(&world.relay, "key-1").await?, 200);
 
@@ -253,10 +261,10 @@
     wait_status(&world.relay, "key-1", 503).await
 }
 
-/// Found by a hunt: boxes that turned from the store to neighbours while it was away held entries
-/// that ended later for ever.
+/// Guards against boxes that switch from the store to peers during an outage and then hold entries
+/// forever that are removed after it.
 #[tokio::test]
-async fn boxes_that_follow_neighbours_after_an_outage_let_go_of_servers() -> anyhow::Result<()> {
+async fn boxes_that_follow_peers_after_an_outage_drop_removed_servers() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     let others = [
         RelayBox::start("box-2", world.store.address, &[])?,
@@ -269,11 +277,11 @@
     }
     world.store.set_mode(Mode::Silent);
     for other in &others {
-        other.wait_line(&["store lost"]).await?;
+        other.wait_line(&["store unavailable"]).await?;
     }
     world.store.set_mode(Mode::Serving);
-    world.relay.wait_line(&["store regained"]).await?;
-    // What is held after the outage has been let go by now.
+    world.relay.wait_line(&["store available again"]).await?;
+    // By now, entries held after the outage have expired.
     tokio::time::sleep(Duration::from_secs(4)).await;
 
     world.store.remove("servers/i-0");
@@ -283,23 +291,27 @@
     Ok(())
 }
 
-/// Waits until a box sends none of twenty calls to this server.
+/// Waits until none of twenty calls to a box reaches the server.
 async fn wait_unused(relay: &RelayBox, server: &Server) -> anyhow::Result<()> {
     for _ in 0..60 {
         let before = server.seen().len();
         for at in 0..20 {
-            Caller::once(relay.front(), &again(&format!("id-{at}"), "key-1")).await?;
+            Caller::once(
+                relay.front(),
+                &idempotent_call(&format!("id-{at}"), "key-1"),
+            )
+            .await?;
         }
         if server.seen().len() == before {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    anyhow::bail!("{} is used on; log:\n{}", server.name, relay.log())
+    anyhow::bail!("{} is still in use; log:\n{}", server.name, relay.log())
 }
 
 #[tokio::test]
-async fn a_planned_stop_serves_what_is_open_and_what_still_arrives() -> anyhow::Result<()> {
+async fn planned_stop_serves_open_and_new_calls() -> anyhow::Result<()> {
     let mut world = World::start(1).await?;
     let mut open = Caller::connect(world.relay.front()).await?;
     let mut streaming = Caller::connect(world.relay.front()).await?;
@@ -309,7 +321,7 @@
 
     world.relay.signal("TERM")?;
     world.relay.wait_line(&["planned stop begun"]).await?;
-    open.send(&again("id-2", "key-1")).await?;
+    open.send(&idempotent_call("id-2", "key-1")).await?;
     let late = open.answer().await?;
     let whole = streaming.answer().await?;
 
@@ -324,11 +336,11 @@
 }
 
 #[tokio::test]
-async fn a_stop_ends_in_time_though_a_call_hangs() -> anyhow::Result<()> {
+async fn planned_stop_ends_in_time_with_a_hanging_call() -> anyhow::Result<()> {
     let mut world = World::start(1).await?;
     world.servers[0].usually(Behaviour::Silent);
-    let mut hangs = Caller::connect(world.relay.front()).await?;
-    hangs.send(&again("id-1", "key-1")).await?;
+    let mut hanging = Caller::connect(world.relay.front()).await?;
+    hanging.send(&idempotent_call("id-1", "key-1")).await?;
     world.relay.wait_line(&["call routed"]).await?;
 
     world.relay.signal("TERM")?;
@@ -337,21 +349,21 @@
     wait_until(|| relay.ended().is_ok_and(|code| code == Some(0))).await
 }
 
-/// Found by a hunt: a prompt that waited for engines was cut without an answer.
+/// Guards against a planned stop that closes the connection of a queued prompt without a response.
 #[tokio::test]
-async fn a_prompt_that_waits_for_engines_is_refused_by_a_box_that_stops() -> anyhow::Result<()> {
+async fn planned_stop_refuses_a_queued_prompt() -> anyhow::Result<()> {
     let mut world = World::start(1).await?;
     let engine = Server::start("e-0", "engines", Duration::from_millis(20)).await?;
     world.store.put(&engine.key(), &engine.entry("ready"));
     world.relay.wait_line(&["server entry", "e-0"]).await?;
-    let mut waits = Caller::connect(world.relay.front()).await?;
-    // More than the one engine holds, so it waits for others.
+    let mut queued = Caller::connect(world.relay.front()).await?;
+    // More tokens than fit into the memory of the only engine, so the prompt is queued.
     let tokens = "Badgerferry-Token-Counts: 500000,100\r\n";
     let text = call("POST", "/long/a", "id-1", tokens, "").replace("Ms: 5000", "Ms: 20000");
-    waits.send(&text).await?;
+    queued.send(&text).await?;
 
     world.relay.signal("TERM")?;
-    let answer = waits.answer().await?;
+    let answer = queued.answer().await?;
 
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.body.contains("box_leaving"), "{}", answer.body);
@@ -361,7 +373,7 @@
 }
 
 #[tokio::test]
-async fn a_killed_box_comes_back_with_the_stores_state() -> anyhow::Result<()> {
+async fn restarted_box_reads_the_current_state_from_the_store() -> anyhow::Result<()> {
     let mut world = World::start(1).await?;
     world.store.put_routes(&desired_state(5, &["key-5"]));
 
@@ -373,7 +385,7 @@
 }
 
 #[tokio::test]
-async fn a_box_enters_itself_once_for_all_its_lives() -> anyhow::Result<()> {
+async fn restarted_box_does_not_write_its_entry_again() -> anyhow::Result<()> {
     let key = "badgerferry/boxes/box-1";
     let mut world = World::start(1).await?;
     let store = world.store.clone();
@@ -382,7 +394,7 @@
 
     world.relay.restart()?;
     world.relay.wait_ready().await?;
-    // A store's answer that comes after the start shows that no write is under way.
+    // A response of the store after the start shows that no write is in progress.
     world.store.put_routes(&desired_state(5, &["key-5"]));
     wait_status(&world.relay, "key-5", 200).await?;
 
@@ -391,7 +403,7 @@
 }
 
 #[tokio::test]
-async fn a_box_whose_entry_is_removed_enters_itself_again() -> anyhow::Result<()> {
+async fn box_whose_entry_is_removed_registers_again() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let store = world.store.clone();
     let key = "badgerferry/boxes/box-1";
@@ -402,15 +414,16 @@
     wait_until(|| store.revision_of(key) > 0).await
 }
 
-/// Answers one call with a list that comes in pieces, with a pause before each.
+/// Guards against a box that only learns of its removed entry by a watch: with the history gone it has
+/// to notice it in a full read.
 #[tokio::test]
-async fn a_box_whose_entry_went_with_the_history_enters_itself_again() -> anyhow::Result<()> {
+async fn box_whose_entry_is_missing_from_a_full_read_registers_again() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let store = world.store.clone();
     let key = "badgerferry/boxes/box-1";
     wait_until(|| store.revision_of(key) > 0).await?;
     store.set_mode(Mode::Reset);
-    world.relay.wait_line(&["store lost"]).await?;
+    world.relay.wait_line(&["store unavailable"]).await?;
 
     store.remove(key);
     store.forget_history();
@@ -419,26 +432,28 @@
     wait_until(|| store.revision_of(key) > 0).await
 }
 
-async fn answer_in_pieces(listener: TcpListener, pause: Duration) -> anyhow::Result<()> {
+/// Answers one call with an empty list, sent in five pieces with a delay before each.
+async fn respond_in_pieces(listener: TcpListener, delay: Duration) -> anyhow::Result<()> {
     let (mut stream, _peer) = listener.accept().await?;
     let _ = stream.read(&mut [0; 4_096]).await?;
     let body = "{\"items\":[],\"has_more\":false,\"timestamp\":7}";
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes()).await?;
     for piece in body.as_bytes().chunks(body.len().div_ceil(5)) {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
         stream.write_all(piece).await?;
     }
     Ok(())
 }
 
-/// Found by a play: boxes that read everything at once over one link gave up half-way.
+/// Guards against a time-out of the whole response: boxes that read the full store concurrently over
+/// one link aborted half-way.
 #[tokio::test]
-async fn a_store_whose_answer_keeps_coming_is_not_given_up() -> anyhow::Result<()> {
+async fn slow_store_response_that_makes_progress_does_not_time_out() -> anyhow::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let limit = Duration::from_secs(2);
     let mut client = Client::new(listener.local_addr()?, limit);
-    let answers = tokio::spawn(answer_in_pieces(listener, limit / 4));
+    let answers = tokio::spawn(respond_in_pieces(listener, limit / 4));
 
     let all = client.read_all().await?;
 
@@ -447,7 +462,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_was_written_again_is_not_removed() -> anyhow::Result<()> {
+async fn box_entry_rewritten_since_is_not_removed() -> anyhow::Result<()> {
     let store = Store::start().await?;
     let key = "badgerferry/boxes/box-9";
     let mut client = Client::new(store.address, Duration::from_secs(5));
@@ -480,34 +495,34 @@
 }
 
 #[tokio::test]
-async fn an_entry_whose_writing_got_no_answer_is_kept_all_the_same() -> anyhow::Result<()> {
+async fn box_registers_although_the_store_response_is_lost() -> anyhow::Result<()> {
     let store = Store::start().await?;
     store.put_routes(&desired_state(3, &["key-1"]));
     store.lose_answers(1);
     let relay = RelayBox::start("box-1", store.address, &[])?;
     relay.wait_ready().await?;
 
-    relay.wait_line(&["store lost", "no answer"]).await?;
+    relay.wait_line(&["store unavailable", "no answer"]).await?;
 
-    relay.wait_line(&["this box is entered"]).await?;
+    relay.wait_line(&["this box is registered"]).await?;
     wait_until(|| store.keys("badgerferry/boxes/") == ["badgerferry/boxes/box-1"]).await
 }
 
 #[tokio::test]
-async fn a_hangup_reads_the_settings_file_again_and_cuts_nothing() -> anyhow::Result<()> {
+async fn hangup_signal_rereads_settings_and_keeps_connections() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     let mut caller = Caller::connect(world.relay.front()).await?;
 
     world.relay.signal("HUP")?;
     world.relay.wait_line(&["settings file unchanged"]).await?;
-    caller.send(&again("id-1", "key-1")).await?;
+    caller.send(&idempotent_call("id-1", "key-1")).await?;
 
     assert_eq!(caller.answer().await?.status, 200);
     Ok(())
 }
 
 #[tokio::test]
-async fn figures_are_served_in_the_prometheus_format() -> anyhow::Result<()> {
+async fn metrics_are_served_in_the_prometheus_format() -> anyhow::Result<()> {
     let world = World::start(1).await?;
     status(&world.relay, "key-1").await?;
     let address = (IpAddr::from(world.relay.ip), 9_464).into();
@@ -530,13 +545,12 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_another_writer_broke_names_no_server_and_the_others_hold()
--> anyhow::Result<()> {
+async fn malformed_server_entry_disables_only_that_server() -> anyhow::Result<()> {
     let world = World::start(2).await?;
     let broken = &world.servers[0];
 
     world.store.put(&broken.key(), &json!({"service": ["s"]}));
-    let line = ["server entry can't be read", "i-0"];
+    let line = ["server entry unreadable", "i-0"];
     world.relay.wait_line(&line).await?;
 
     wait_unused(&world.relay, broken).await?;
