--- a/daemon/src/relay/cluster_view.rs
+++ b/daemon/src/relay/cluster_view.rs
@@ -28,11 +28,11 @@
 }
 
 impl ClusterView {
-    /// Replaces the known boxes by those listed in the store, but keeps live ones. The store may have
-    /// been restored from a backup that lacks a live box until that registers again.
+    /// Replaces the known boxes by those listed in the store, but keeps live ones. The store may
+    /// have been restored from a backup that lacks a live box until that registers again.
     pub fn merge_boxes(&mut self, now: Time, listed: Boxes) {
-        let before = std::mem::replace(&mut self.boxes, listed);
-        for (name, of) in before {
+        let previous = std::mem::replace(&mut self.boxes, listed);
+        for (name, of) in previous {
             if self.peer_liveness.is_live(now, &name) {
                 self.boxes.entry(name).or_insert(of);
             }
@@ -46,8 +46,8 @@
 
     /// Which box grants the call quota of limited servers of a hall; `own` is this box.
     pub fn quota_owner(&self, now: Time, own: &str, hall: &HallName) -> QuotaOwner {
-        let lives = |name: &str| self.peer_liveness.is_live(now, name);
-        let up_for = now.since(Time::ZERO);
-        QuotaOwner::elect(&self.boxes, own, hall, up_for, lives)
+        let is_live = |name: &str| self.peer_liveness.is_live(now, name);
+        let uptime = now.since(Time::ZERO);
+        QuotaOwner::elect(&self.boxes, own, hall, uptime, is_live)
     }
 }
--- a/daemon/src/relay/gossip.rs
+++ b/daemon/src/relay/gossip.rs
@@ -69,8 +69,8 @@
 }
 
 /// Exchanges datagrams and state with other boxes. Never returns.
-pub async fn run(relay: &Arc<Relay>, links: PeerSockets) {
-    let PeerSockets { load, pull } = links;
+pub async fn run(relay: &Arc<Relay>, sockets: PeerSockets) {
+    let PeerSockets { load, pull } = sockets;
     tokio::join!(
         send_own_load(relay, &load),
         receive_datagrams(relay, &load),
@@ -98,15 +98,15 @@
             ..datagram(relay, now, sequence, LoadSource::Box, rows)
         };
         let queue_head = datagram.queue_head;
-        let others = others(relay);
-        send_to_all(socket, &mut datagram, &others).await;
+        let peers = peers(relay);
+        send_to_all(socket, &mut datagram, &peers).await;
         let heartbeat = match queue_head {
             Some(_) => QUEUED_PROMPT_HEARTBEAT,
             None => HEARTBEAT_INTERVAL,
         };
         is_urgent = wait_for_change(
             relay,
-            GOSSIP_INTERVAL_PER_BOX * others.len() as u32,
+            GOSSIP_INTERVAL_PER_BOX * peers.len() as u32,
             heartbeat,
         )
         .await;
@@ -290,12 +290,12 @@
 }
 
 /// Addresses of the boxes that this one sends its load to.
-fn others(relay: &Relay) -> Vec<SocketAddr> {
+fn peers(relay: &Relay) -> Vec<SocketAddr> {
     let cluster_view = lock(&relay.cluster_view);
     let scope = cluster_view.scope();
     let own = &relay.settings;
-    let others = cluster_view.boxes.values().filter(|of| of.name != own.name);
-    others
+    let peers = cluster_view.boxes.values().filter(|of| of.name != own.name);
+    peers
         .filter(|of| scope.includes(&own.hall, &of.hall))
         .filter_map(|of| of.load.parse().ok())
         .collect()
@@ -303,7 +303,7 @@
 
 async fn receive_datagrams(relay: &Arc<Relay>, socket: &UdpSocket) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES * 2];
-    let mut behind: HashMap<String, Instant> = HashMap::new();
+    let mut ahead_since: HashMap<String, Instant> = HashMap::new();
     let mut pull_task: Option<JoinHandle<()>> = None;
     let mut forward_times = ForwardTimes::default();
     loop {
@@ -344,10 +344,10 @@
         // pull from that box.
         let lacks_state = is_newer && !was_forwarded(&datagram);
         if !lacks_state && !pulls::wants_boxes(relay) {
-            behind.clear();
+            ahead_since.clear();
             continue;
         }
-        let since = *behind
+        let since = *ahead_since
             .entry(datagram.from.clone())
             .or_insert_with(Instant::now);
         let delay = if relay.must_follow_store() {
@@ -357,7 +357,7 @@
         };
         let is_pulling = pull_task.as_ref().is_some_and(|task| !task.is_finished());
         if since.elapsed() >= delay && !is_pulling {
-            behind.clear();
+            ahead_since.clear();
             // A pull that hangs must not block the reception of datagrams.
             let relay = Arc::clone(relay);
             pull_task = Some(tokio::spawn(async move {
@@ -415,7 +415,7 @@
     if let LoadSource::Hall { is_forwarded, .. } = &mut datagram.source {
         *is_forwarded = true;
     }
-    send_to_all(socket, &mut datagram, &others(relay)).await;
+    send_to_all(socket, &mut datagram, &peers(relay)).await;
 }
 
 fn merge_rows(relay: &Relay, now: Time, datagram: &mut LoadDatagram) {
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -1,8 +1,8 @@
 //! Relay mode of the daemon: forwards calls unmodified to backend servers.
 //!
 //! The control thread follows the store and the other boxes, the traffic thread handles calls. They
-//! share [`state::Relay`], which holds immutable views that control replaces and trackers that calls
-//! update.
+//! share [`state::Relay`], which holds immutable views that control replaces and trackers that
+//! calls update.
 
 use std::sync::Arc;
 
@@ -82,8 +82,8 @@
         .name("control".to_owned())
         .spawn(move || {
             runtime.block_on(async {
-                let links = match gossip::bind(&relay.settings).await {
-                    Ok(links) => links,
+                let sockets = match gossip::bind(&relay.settings).await {
+                    Ok(sockets) => sockets,
                     Err(cause) => {
                         // Can't fail: the receiver waits for this one message.
                         let _ = bound_tx.send(Err(cause));
@@ -94,7 +94,7 @@
                 tokio::join!(
                     store_follower::run(&relay),
                     suspects::keep_in_store(&relay),
-                    gossip::run(&relay, links),
+                    gossip::run(&relay, sockets),
                 );
             });
         })
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -1,8 +1,8 @@
 //! Pulls of newer state between boxes.
 //!
-//! A box serves a few pulls at a time and rejects others at once as busy. A rejected box asks another
-//! one that announced the state, and more boxes have it by then. The time until all have it thus grows
-//! with the logarithm of their number, and no box holds many responses in memory.
+//! A box serves a few pulls at a time and rejects others at once as busy. A rejected box asks
+//! another one that announced the state, and more boxes have it by then. The time until all have it
+//! thus grows with the logarithm of their number, and no box holds many responses in memory.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,15 +36,15 @@
 const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(400);
 /// Maximum duration of a pull. Peers respond within milliseconds; if one doesn't, another is asked.
 const PULL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pulls served concurrently. A table of 1,500 routes of about 150 bytes takes 0.1 s at 20 Mbit/s, so
-/// four complete within [`PULL_TIMEOUT`].
+/// Pulls served concurrently. A table of 1,500 routes of about 150 bytes takes 0.1 s at 20 Mbit/s,
+/// so four complete within [`PULL_TIMEOUT`].
 const MAX_CONCURRENT_PULLS: usize = 4;
 
 /// Delay after a box rejected a pull as busy. A table transfer takes about as long, and boxes that
 /// have received the table announce it at once.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Pulls in one catch-up while each box asked is busy. After these, the next datagram announces newer
-/// state.
+/// Pulls in one catch-up while each box asked is busy. After these, the next datagram announces
+/// newer state.
 const MAX_PULL_ATTEMPTS: u32 = 8;
 
 /// The other box already serves its maximum number of pulls.
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -113,8 +113,8 @@
     encoded_table: Mutex<Option<EncodedTable>>,
     /// Notifies the sender of load datagrams, which waits for its minimum interval.
     pub load_changed: Arc<Notify>,
-    /// Notifies the sender of load datagrams to send at once: a long prompt is queued, starts or has
-    /// been prefilled, an engine is slow, there are new routes, or servers leave.
+    /// Notifies the sender of load datagrams to send at once: a long prompt is queued, starts or
+    /// has been prefilled, an engine is slow, there are new routes, or servers leave.
     pub urgent_changed: Arc<Notify>,
     /// Notifies the sender of the hall's load to other halls: a long prompt of this hall is queued,
     /// starts or has been prefilled.
@@ -228,8 +228,8 @@
 
     /// Whether this box follows the store itself instead of pulling updates from peers that do.
     ///
-    /// Each call to the store is billed, so only the highest-ranked boxes of each hall follow it, and
-    /// boxes that hear from no peer that does.
+    /// Each call to the store is billed, so only the highest-ranked boxes of each hall follow it,
+    /// and boxes that hear from no peer that does.
     pub fn must_follow_store(&self) -> bool {
         let now = self.clock.now();
         let cluster_view = lock(&self.cluster_view);
@@ -254,8 +254,8 @@
         routes.as_ref().map(|index| index.table().version)
     }
 
-    /// Number of boxes in the gossip scope of this one, itself included; they share the engines that
-    /// this box prefers.
+    /// Number of boxes in the gossip scope of this one, itself included; they share the engines
+    /// that this box prefers.
     pub fn boxes_in_scope(&self, scope: GossipScope) -> usize {
         let cluster_view = lock(&self.cluster_view);
         let own = &self.settings.hall;
@@ -339,7 +339,12 @@
         let position = cluster_view.servers.entries().position;
         if before >= Some(version) {
             if before > Some(version) {
-                tracing::info!(version, in_force = before, source, "older routes ignored");
+                tracing::info!(
+                    version,
+                    in_force = before,
+                    source,
+                    "route table ignored: older version"
+                );
             }
             return;
         }
@@ -351,13 +356,13 @@
             routes = table.routes.len(),
             workspaces = table.workspaces.len(),
             source,
-            "routes in force"
+            "route table updated"
         );
         self.routes.store(Some(Arc::new(RouteIndex::new(table))));
         drop(cluster_view);
         self.routes_known.notify_waiters();
-        // Announced at once: the gossip interval is long in a hall of a hundred boxes, and would delay
-        // each round in which the routes spread.
+        // Announced at once: the gossip interval is long in a hall of a hundred boxes, and would
+        // delay each round in which the routes spread.
         self.urgent_changed.notify_one();
     }
 
@@ -367,8 +372,8 @@
         self.publish_servers();
     }
 
-    /// Publishes the list of servers to traffic after an update from the store, and announces leaving
-    /// servers to the other boxes at once.
+    /// Publishes the list of servers to traffic after an update from the store, and announces
+    /// leaving servers to the other boxes at once.
     pub fn publish_store_servers(&self) {
         let servers = lock(&self.cluster_view).servers.servers();
         let has_departures = lock(&self.tracker).record_departures(self.clock.now(), &servers);
--- a/daemon/src/relay/store_follower.rs
+++ b/daemon/src/relay/store_follower.rs
@@ -27,8 +27,8 @@
 use crate::relay::suspects;
 use crate::traffic::lock;
 
-/// Time-out of calls to the store, in addition to the duration of a watch. It responds within
-/// milliseconds.
+/// Time-out of calls to the store, in addition to the duration of a watch. The store
+/// responds within milliseconds.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time-outs used in rotation while the store is unavailable: short ones, so that its recovery is
 /// detected soon, and a long one in case it is only slow.
@@ -43,13 +43,13 @@
 const OUTAGE_WATCH_WAIT: Duration = Duration::from_millis(50);
 /// Delay after a response, so that one call fetches changes that come together.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// Delay between the first full read and the first watch. In this time a box hears which peers follow
-/// the store, so most boxes never start a watch.
+/// Delay between the first full read and the first watch. In this time a box hears which peers
+/// follow the store, so most boxes never start a watch.
 const FIRST_WATCH_DELAY: Duration = Duration::from_secs(1);
 /// Interval at which a box that relies on its peers checks that they still follow the store.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum delay after a failed call. Changes have to take effect within four seconds of the store's
-/// recovery.
+/// Maximum delay after a failed call. Changes have to take effect within four seconds of the
+/// store's recovery.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Maximum random delay before a box that follows the store reads it in full after a restore.
 const MAX_REREAD_DELAY: Duration = Duration::from_millis(200);
@@ -179,8 +179,8 @@
         Ok(())
     }
 
-    /// Registers this box again if its peers announce a new era, that is a restore of the store. All
-    /// boxes hear of a new era at once, so each writes after a random delay.
+    /// Registers this box again if its peers announce a new era, that is a restore of the store.
+    /// All boxes hear of a new era at once, so each writes after a random delay.
     async fn reregister(&mut self, store: &mut Store) {
         let era = self.relay.known_state().servers.era;
         if self.registered_in >= Some(era) {
@@ -234,8 +234,8 @@
     /// followed the store again.
     fn follow_peers(&mut self) {
         self.cursor.raise_to(self.relay.known_state().servers);
-        // Updates of the store arrive through peers: entries that disappear from now on are not held as
-        // in an outage.
+        // Updates of the store arrive through peers: entries that disappear from now on are not
+        // held as in an outage.
         let now = self.relay.clock.now();
         lock(&self.relay.cluster_view).servers.store_available(now);
         self.unavailable_since = None;
--- a/daemon/tests/relay_fleet.rs
+++ b/daemon/tests/relay_fleet.rs
@@ -56,8 +56,8 @@
         Ok(fleet)
     }
 
-    /// Calls all boxes concurrently for `duration`, each one sequentially. Returns each response and the
-    /// time it took.
+    /// Calls all boxes concurrently for `duration`, each one sequentially. Returns each response
+    /// and the time it took.
     pub async fn call_all(
         &self,
         path: &str,
@@ -98,8 +98,8 @@
 }
 
 impl Fleet {
-    /// The server that received most calls. Short calls are packed on few servers, so a test on another
-    /// one might check nothing.
+    /// The server that received most calls. Short calls are packed on few servers, so a test on
+    /// another one might check nothing.
     pub fn busiest(&self) -> &Server {
         let busiest = self.servers.iter().max_by_key(|server| server.seen().len());
         busiest.expect("a server")
--- a/daemon/tests/test_relay_boxes.rs
+++ b/daemon/tests/test_relay_boxes.rs
@@ -178,8 +178,8 @@
     Ok(())
 }
 
-/// Guards against a watch with a long time-out that starts just before the store recovers and delays
-/// updates by four seconds.
+/// Guards against a watch with a long time-out that starts just before the store recovers and
+/// delays updates by four seconds.
 #[tokio::test]
 async fn silent_store_is_polled_with_short_timeouts() -> anyhow::Result<()> {
     let world = World::start(1).await?;
@@ -211,10 +211,10 @@
     let other = RelayBox::start("box-2", world.store.address, &[])?;
     other.wait_ready().await?;
     world.relay.wait_line(&["box entry", "box-2"]).await?;
-    // All calls on the loopback interface have one source address, so the store can't reject only this
-    // box. The box is suspended until the other one has the new key.
+    // All calls on the loopback interface have one source address, so the store can't reject only
+    // this box. The box is suspended until the other one has the new key.
     world.store.put_routes(&desired_state(4, &["key-1"]));
-    wait_until(|| world.relay.log().matches("routes in force").count() >= 2).await?;
+    wait_until(|| world.relay.log().matches("route table updated").count() >= 2).await?;
     world.relay.signal("STOP")?;
     world.store.put_routes(&desired_state(5, &["key-2"]));
     wait_status(&other, "key-2", 200).await?;
@@ -225,7 +225,10 @@
 
     // A separate thread writes the log, slightly later.
     let source = "\"source\":\"neighbour\"";
-    world.relay.wait_line(&["routes in force", source]).await
+    world
+        .relay
+        .wait_line(&["route table updated", source])
+        .await
 }
 
 #[tokio::test]
@@ -414,8 +417,8 @@
     wait_until(|| store.revision_of(key) > 0).await
 }
 
-/// Guards against a box that only learns of its removed entry by a watch: with the history gone it has
-/// to notice it in a full read.
+/// Guards against a box that only learns of its removed entry by a watch: with the history gone it
+/// has to notice it in a full read.
 #[tokio::test]
 async fn box_whose_entry_is_missing_from_a_full_read_registers_again() -> anyhow::Result<()> {
     let world = World::start(1).await?;
@@ -446,8 +449,8 @@
     Ok(())
 }
 
-/// Guards against a time-out of the whole response: boxes that read the full store concurrently over
-/// one link aborted half-way.
+/// Guards against a time-out of the whole response: boxes that read the full store concurrently
+/// over one link aborted half-way.
 #[tokio::test]
 async fn slow_store_response_that_makes_progress_does_not_time_out() -> anyhow::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
--- a/daemon/tests/test_relay_eras.rs
+++ b/daemon/tests/test_relay_eras.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Backs up the store, writes versions up to 9, makes it unavailable and restores the backup, which has
-/// version 3. The operator then writes version 9 again.
+/// Backs up the store, writes versions up to 9, makes it unavailable and restores the backup, which
+/// has version 3. The operator then writes version 9 again.
 async fn restore_store(store: &Store, boxes: &[&RelayBox]) -> anyhow::Result<()> {
     store.keep_copy();
     write_versions(store, 5..=9);
@@ -72,8 +72,8 @@
     Ok(())
 }
 
-/// The restored store's revision passes that of the box before its next watch, so no status 410 reveals
-/// the restore.
+/// The restored store's revision passes that of the box before its next watch, so no status 410
+/// reveals the restore.
 #[tokio::test]
 async fn restore_visible_only_by_era_hides_no_version() -> anyhow::Result<()> {
     let world = World::start(1).await?;
