--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -159,13 +159,13 @@
 
     /// Whether the box's share of the retry budget has a retry left.
     pub fn has_retry_budget(&self) -> bool {
-        let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
+        let (now, boxes) = (self.relay.clock.now(), self.relay.box_count());
         self.with_retry_window(|window, rule| window.has_retry_left(now, rule, boxes))
     }
 
     /// Takes one retry from the box's share of the retry budget, if one is left.
     pub fn try_spend_retry(&self) -> bool {
-        let (now, boxes) = (self.relay.clock.now(), self.relay.boxes());
+        let (now, boxes) = (self.relay.clock.now(), self.relay.box_count());
         let allowed = self.with_retry_window(|window, rule| window.try_spend(now, rule, boxes));
         if !allowed {
             tracing::info!(
@@ -233,7 +233,7 @@
             call_log::rejected(&id, code);
             error_response::invalid_request(status, code)
         })?;
-    if relay.refuses() {
+    if relay.refuses_calls() {
         call_log::rejected(&id, "box_leaving");
         return Err(error_response::not_run(
             "box_leaving",
--- /dev/null
+++ b/daemon/src/relay/cluster_view.rs
@@ -0,0 +1,53 @@
+//! The control thread's view of servers, other boxes and contact with the store.
+
+use badgerferry_lib::ids::HallName;
+use badgerferry_lib::relay::gossip_topology::Boxes;
+use badgerferry_lib::relay::gossip_topology::GossipScope;
+use badgerferry_lib::relay::peer_liveness::PeerLiveness;
+use badgerferry_lib::relay::quota_owner::QuotaOwner;
+use badgerferry_lib::relay::server_list::ServerList;
+use badgerferry_lib::time::Time;
+
+/// Servers, boxes and contact with the store, as this box knows them.
+#[derive(Debug, Default)]
+pub struct ClusterView {
+    /// Servers listed in the store.
+    pub servers: ServerList,
+    /// All known boxes, this one included.
+    pub boxes: Boxes,
+    /// Which other boxes are live, and the state that they announced.
+    pub peer_liveness: PeerLiveness,
+    /// When the store last answered this box.
+    pub store_answered_at: Option<Time>,
+    /// When a peer last announced that it follows the store.
+    pub peer_followed_store_at: Option<Time>,
+    /// Whether a datagram came from a box that is not in `boxes`.
+    pub has_unknown_peer: bool,
+    /// When a pull last requested the list of boxes.
+    pub boxes_requested_at: Option<Time>,
+}
+
+impl ClusterView {
+    /// Replaces the known boxes by those listed in the store, but keeps live ones. The store may
+    /// have been restored from a backup that lacks a live box until that registers again.
+    pub fn merge_boxes(&mut self, now: Time, listed: Boxes) {
+        let previous = std::mem::replace(&mut self.boxes, listed);
+        for (name, of) in previous {
+            if self.peer_liveness.is_live(now, &name) {
+                self.boxes.entry(name).or_insert(of);
+            }
+        }
+    }
+
+    /// Which boxes this one sends its load to; it prefers the engines that these use.
+    pub fn scope(&self) -> GossipScope {
+        GossipScope::of(&self.boxes)
+    }
+
+    /// Which box grants the call quota of limited servers of a hall; `own` is this box.
+    pub fn quota_owner(&self, now: Time, own: &str, hall: &HallName) -> QuotaOwner {
+        let is_live = |name: &str| self.peer_liveness.is_live(now, name);
+        let uptime = now.since(Time::ZERO);
+        QuotaOwner::elect(&self.boxes, own, hall, uptime, is_live)
+    }
+}
--- a/daemon/src/relay/first_event_watchdog.rs
+++ b/daemon/src/relay/first_event_watchdog.rs
@@ -52,7 +52,7 @@
 fn query_engines(call: &Call, engines: Vec<Engine>) {
     let relay = &call.relay;
     let now = relay.clock.now();
-    let mut slow_engines = lock(&relay.paces);
+    let mut slow_engines = lock(&relay.slow_engine_tracker);
     let queried = engines
         .into_iter()
         .filter(|engine| slow_engines.should_query(now, engine.key));
@@ -74,7 +74,7 @@
     let key = engine.key;
     while let Some(pace) = fetch_pace(&relay, &engine).await {
         let now = relay.clock.now();
-        let is_slow = lock(&relay.paces).record_pace(now, key, pace);
+        let is_slow = lock(&relay.slow_engine_tracker).record_pace(now, key, pace);
         tracing::info!(
             engine = engine.address,
             pace,
@@ -88,7 +88,7 @@
         relay.urgent_changed.notify_one();
         let jitter = rand::rng().random_range(0.0..QUERY_JITTER);
         tokio::time::sleep(QUERY_INTERVAL + QUERY_INTERVAL.mul_f64(jitter)).await;
-        if !lock(&relay.paces).should_query_again(relay.clock.now(), key) {
+        if !lock(&relay.slow_engine_tracker).should_query_again(relay.clock.now(), key) {
             return;
         }
     }
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -1,7 +1,8 @@
-//! The daemon on the users' platform: calls are relayed as they are.
+//! Relay mode of the daemon: forwards calls unmodified to backend servers.
 //!
-//! One thread follows the store and the other boxes; the other takes calls. They share
-//! [`state::Relay`]: immutable views that control replaces, and the books that calls write.
+//! The control thread follows the store and the other boxes, the traffic thread handles calls. They
+//! share [`state::Relay`], which holds immutable views that control replaces and trackers that
+//! calls update.
 
 use std::sync::Arc;
 
@@ -13,16 +14,16 @@
 mod call_log;
 mod caller_io;
 mod candidates;
+mod cluster_view;
 mod connection_pool;
 mod engine_call;
 mod error_response;
 mod first_event_watchdog;
-mod followed;
 mod front;
+mod gossip;
 mod listener;
 mod log_rate_limit;
 mod metrics_page;
-mod neighbours;
 mod permit_transport;
 mod pulls;
 mod request_quarantine;
@@ -32,23 +33,23 @@
 mod server_selection;
 mod state;
 mod stop;
-mod store_follow;
+mod store_follower;
 mod stream_relay;
 mod unknown_headers;
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a planned stop completes.
 ///
 /// # Errors
 ///
-/// An address can't be listened on, or a thread can't be started.
+/// An address can't be bound, or a runtime, signal handler or thread can't be set up.
 pub fn run(settings: BoxSettings) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context("failed to build the traffic runtime")?;
     runtime.block_on(async {
-        // First of all: a signal that comes before this ends the process.
-        let signals = stop::Signals::install().context("failed to take signals")?;
+        // First: the default action of a signal that arrives earlier terminates the process.
+        let signals = stop::Signals::install().context("failed to install signal handlers")?;
         let metrics = crate::telemetry::start_metrics()?;
         let relay = Arc::new(state::Relay::new(settings));
         let front = listener::listen(relay.settings.front)?;
@@ -81,22 +82,24 @@
         .name("control".to_owned())
         .spawn(move || {
             runtime.block_on(async {
-                let links = match neighbours::bind(&relay.settings).await {
-                    Ok(links) => links,
+                let sockets = match gossip::bind(&relay.settings).await {
+                    Ok(sockets) => sockets,
                     Err(cause) => {
-                        // The receiver waits for exactly this.
+                        // Can't fail: the receiver waits for this one message.
                         let _ = bound_tx.send(Err(cause));
                         return;
                     }
                 };
                 let _ = bound_tx.send(Ok(()));
                 tokio::join!(
-                    store_follow::run(&relay),
+                    store_follower::run(&relay),
                     request_quarantine::store_facts(&relay),
-                    neighbours::run(&relay, links),
+                    gossip::run(&relay, sockets),
                 );
             });
         })
         .context("failed to start the control thread")?;
-    bound_rx.recv().context("the control thread ended")?
+    bound_rx
+        .recv()
+        .context("the control thread ended before it was ready")?
 }
--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -30,7 +30,7 @@
 use tokio::time::timeout_at;
 
 use crate::relay::call::Call;
-use crate::relay::neighbours::teller_name;
+use crate::relay::gossip::source_name;
 use crate::relay::server_selection::Selection;
 use crate::relay::state::Relay;
 use crate::traffic::lock;
@@ -100,7 +100,7 @@
         };
         let now = self.relay.clock.now();
         if lock(&self.relay.quarantine).end_run(now, fingerprint) {
-            self.relay.verdicts.notify_waiters();
+            self.relay.admission_changed.notify_waiters();
             self.relay.urgent_changed.notify_one();
         }
     }
@@ -128,7 +128,7 @@
     let until = relay.clock.now() + max_wait;
     loop {
         // Subscribes before the check, so that no notification between the two is missed.
-        let notified = relay.verdicts.notified();
+        let notified = relay.admission_changed.notified();
         let now = relay.clock.now();
         let saw_crash = call.saw_crash.load(Ordering::Relaxed);
         let rank = || relay.rank_for(fingerprint);
@@ -291,16 +291,16 @@
 /// receive them from the same sender, except for boxes of other halls if this box is a delegate of
 /// its hall.
 pub fn merge_reports(relay: &Relay, now: Time, datagram: &LoadDatagram) {
-    let (from, rows) = (teller_name(datagram), &datagram.suspects);
+    let (from, rows) = (source_name(datagram), &datagram.suspects);
     let scope = match datagram.source {
         LoadSource::Box => RunScope::Box,
         LoadSource::Hall { .. } => RunScope::Hall,
     };
     let changes = lock(&relay.quarantine).merge_rows(now, scope, from, rows);
-    relay.verdicts.notify_waiters();
+    relay.admission_changed.notify_waiters();
     if !changes.is_empty() {
         relay.hall_changed.notify_one();
-        relay.suspects_changed.notify_one();
+        relay.quarantine_changed.notify_one();
     }
     for change in &changes {
         log_change(change, from);
@@ -319,10 +319,10 @@
 fn announce(relay: &Relay, change: Option<QuarantineChange>, source: &str) {
     let Some(change) = change else { return };
     log_change(&change, source);
-    relay.verdicts.notify_waiters();
+    relay.admission_changed.notify_waiters();
     relay.urgent_changed.notify_one();
     relay.hall_changed.notify_one();
-    relay.suspects_changed.notify_one();
+    relay.quarantine_changed.notify_one();
 }
 
 fn log_change(change: &QuarantineChange, source: &str) {
@@ -346,12 +346,12 @@
 /// from this one or start later.
 pub async fn store_facts(relay: &Arc<Relay>) {
     loop {
-        relay.suspects_changed.notified().await;
+        relay.quarantine_changed.notified().await;
         // Opens a connection each time, since writes are rare and the watch occupies the other one.
         let mut store = Store::new(relay.settings.store, STORE_TIMEOUT);
         loop {
             let now = relay.clock.now();
-            let is_alone = !lock(&relay.followed).heard.has_live_peer(now);
+            let is_alone = !lock(&relay.cluster_view).peer_liveness.has_live_peer(now);
             let facts = lock(&relay.quarantine).unstored_facts(now, is_alone);
             if facts.is_empty() {
                 break;
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -39,7 +39,7 @@
 use tokio::time::timeout;
 
 use crate::clock::Clock;
-use crate::relay::followed::Followed;
+use crate::relay::cluster_view::ClusterView;
 use crate::relay::log_rate_limit::LATE_LINES;
 use crate::relay::log_rate_limit::ON_TIME_LINES;
 use crate::relay::permit_transport::PermitTransport;
@@ -96,7 +96,7 @@
     /// Clock of the process.
     pub clock: Clock,
     /// Known boxes and their liveness, which determine the quota owners.
-    pub followed: Arc<Mutex<Followed>>,
+    pub cluster_view: Arc<Mutex<ClusterView>>,
     /// Maps incarnations to server names for logs.
     pub tracker: Arc<Mutex<ServerTracker>>,
     /// Wakes the gossip task of this hall.
@@ -268,7 +268,7 @@
 
     /// Owner of the quotas of a hall's servers.
     fn quota_owner(&self, hall: &HallName) -> QuotaOwner {
-        lock(&self.context.followed).keeper(self.now(), &self.context.own, hall)
+        lock(&self.context.cluster_view).quota_owner(self.now(), &self.context.own, hall)
     }
 
     /// Requests a permit and returns how long the call has to wait. If the permit is denied,
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -360,8 +360,8 @@
 ) -> Result<UnregisteredPlan, NoCandidate> {
     let relay = &call.relay;
     let now = relay.clock.now();
-    let scope = lock(&relay.followed).scope();
-    let boxes = relay.boxes_beside(scope);
+    let scope = lock(&relay.cluster_view).scope();
+    let boxes = relay.boxes_in_scope(scope);
     let tracker = lock(&relay.tracker);
     let table = lock(&relay.loads).table(now);
     let candidates = candidates::of_service(relay, now, &tracker, &candidate_query(call, tried))?;
@@ -496,7 +496,7 @@
         if no_candidate.lasts_until(now, expires_at) {
             return Err(no_candidate.refusal());
         }
-        if relay.refuses() {
+        if relay.refuses_calls() {
             return Err((RefusalReason::Leaving, NO_SERVER_RETRY));
         }
         if now >= expires_at {
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -15,7 +15,7 @@
 
 use crate::relay_fleet::Fleet;
 use crate::relay_fleet::SHORT_PROMPT;
-use crate::relay_fleet::served;
+use crate::relay_fleet::count_served;
 
 /// Load before a server starts to leave.
 const WARM_UP: Duration = Duration::from_millis(500);
@@ -40,13 +40,13 @@
     extra: &str,
 ) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.press(path, extra, WARM_UP).await;
+    fleet.call_all(path, extra, WARM_UP).await;
     fleet.store.set_mode(Mode::Silent);
     let leaving = fleet.busiest();
     leaving.say_leaving(Some("1"));
     let since = Instant::now();
 
-    let answers = fleet.press(path, extra, OBSERVATION_TIME).await;
+    let answers = fleet.call_all(path, extra, OBSERVATION_TIME).await;
 
     let late = late_calls(leaving, since);
     assert_eq!(
@@ -56,7 +56,7 @@
         fleet.logs()
     );
     assert_eq!(
-        served(&answers),
+        count_served(&answers),
         answers.len(),
         "other servers can serve all calls"
     );
@@ -84,9 +84,9 @@
     for server in &fleet.servers {
         server.say_leaving(Some("1"));
     }
-    fleet.press("/again/a", "", WARM_UP).await;
+    fleet.call_all("/again/a", "", WARM_UP).await;
 
-    let answers = fleet.press("/again/a", "", WARM_UP).await;
+    let answers = fleet.call_all("/again/a", "", WARM_UP).await;
 
     for (answer, took) in answers {
         assert_eq!(answer.status, 503, "{answer:?}; {}", fleet.logs());
@@ -115,7 +115,7 @@
     let server = &fleet.servers[0];
     server.crash_by(Crashes::by("", Duration::from_millis(300), &fleet.store));
     server.say_leaving(Some("1"));
-    fleet.press("/again/a", "", WARM_UP).await;
+    fleet.call_all("/again/a", "", WARM_UP).await;
 
     server.crash();
 
@@ -141,7 +141,7 @@
     let leaving = fleet.servers[0].clone();
     leaving.say_leaving(Some("1"));
     while !leaving.seen().iter().any(|seen| seen.ran) {
-        fleet.press("/again/a", "", WARM_UP).await;
+        fleet.call_all("/again/a", "", WARM_UP).await;
     }
     fleet.store.set_mode(Mode::Silent);
     let seeds = [fleet.boxes[0].ip];
@@ -150,7 +150,7 @@
     fleet.boxes = vec![late];
     let since = Instant::now();
 
-    let answers = fleet.press("/again/a", "", OBSERVATION_TIME).await;
+    let answers = fleet.call_all("/again/a", "", OBSERVATION_TIME).await;
 
     let times = leaving.seen().into_iter().filter_map(|seen| seen.at);
     assert_eq!(
@@ -159,7 +159,7 @@
         "{}",
         fleet.logs()
     );
-    assert_eq!(served(&answers), answers.len());
+    assert_eq!(count_served(&answers), answers.len());
 }
 
 #[tokio::test]
@@ -168,10 +168,10 @@
     for malformed in ["0", "", "yes", "11"] {
         fleet.servers[0].say_leaving(Some(malformed));
 
-        let answers = fleet.press("/again/a", "", WARM_UP).await;
+        let answers = fleet.call_all("/again/a", "", WARM_UP).await;
 
         assert_eq!(
-            served(&answers),
+            count_served(&answers),
             answers.len(),
             "{malformed:?}: {}",
             fleet.logs()
@@ -200,7 +200,7 @@
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
 
-    let answers = fleet.press("/again/a", "", WARM_UP).await;
+    let answers = fleet.call_all("/again/a", "", WARM_UP).await;
 
-    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
+    assert_eq!(count_served(&answers), answers.len(), "{}", fleet.logs());
 }
--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -9,11 +9,11 @@
 use badgerferry_standin::server::Behaviour;
 use badgerferry_standin::server::Server;
 
+use crate::relay_fleet::CALL_INTERVAL;
+use crate::relay_fleet::CALL_TIMEOUT;
 use crate::relay_fleet::Fleet;
-use crate::relay_fleet::HELD;
-use crate::relay_fleet::PAUSE;
 use crate::relay_fleet::SHORT_PROMPT;
-use crate::relay_fleet::served;
+use crate::relay_fleet::count_served;
 
 /// Time after which a newly stated limit must be enforced.
 const ENFORCEMENT_DELAY: Duration = Duration::from_secs(1);
@@ -37,13 +37,13 @@
 
 async fn assert_limit_of_one_server_holds(boxes: usize, service: &str, path: &str, extra: &str) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.press(path, extra, ENFORCEMENT_DELAY).await;
+    fleet.call_all(path, extra, ENFORCEMENT_DELAY).await;
     let busiest = fleet.busiest();
     busiest.name_limit(Some("1"));
-    fleet.press(path, extra, ENFORCEMENT_DELAY).await;
+    fleet.call_all(path, extra, ENFORCEMENT_DELAY).await;
     let from = Instant::now();
 
-    let answers = fleet.press(path, extra, Duration::from_secs(6)).await;
+    let answers = fleet.call_all(path, extra, Duration::from_secs(6)).await;
 
     let max_arrivals = max_in_window(busiest, from);
     assert!(
@@ -52,7 +52,7 @@
         fleet.logs()
     );
     assert_eq!(
-        served(&answers),
+        count_served(&answers),
         answers.len(),
         "other servers can serve all calls"
     );
@@ -80,11 +80,11 @@
     for server in &fleet.servers {
         server.name_limit(Some("4"));
     }
-    fleet.press("/again/a", "", ENFORCEMENT_DELAY * 2).await;
+    fleet.call_all("/again/a", "", ENFORCEMENT_DELAY * 2).await;
     let from = Instant::now();
     let duration = Duration::from_secs(8);
 
-    let answers = fleet.press("/again/a", "", duration).await;
+    let answers = fleet.call_all("/again/a", "", duration).await;
 
     for server in &fleet.servers {
         let max_arrivals = max_in_window(server, from);
@@ -95,9 +95,9 @@
         );
     }
     let capacity = limit * fleet.servers.len() as f64 * duration.as_secs_f64();
-    let served = served(&answers);
+    let count_served = count_served(&answers);
     assert!(
-        served as f64 >= 0.9 * capacity,
+        count_served as f64 >= 0.9 * capacity,
         "{served} of {capacity} served"
     );
     let refused = answers.iter().filter(|(answer, _)| answer.status != 200);
@@ -114,13 +114,13 @@
     let fleet = Fleet::start(3, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.name_limit(Some("2"));
-    fleet.press("/again/a", "", ENFORCEMENT_DELAY).await;
+    fleet.call_all("/again/a", "", ENFORCEMENT_DELAY).await;
     server.name_limit(None);
 
     for relay_box in &fleet.boxes {
         let limit_lifted = async || {
             fleet
-                .press("/again/a", "", Duration::from_millis(100))
+                .call_all("/again/a", "", Duration::from_millis(100))
                 .await;
             relay_box.log().contains("server names no limit any more")
         };
@@ -130,9 +130,9 @@
         }
         assert!(is_lifted, "{}", relay_box.log());
     }
-    let answers = fleet.press("/again/a", "", Duration::from_secs(1)).await;
+    let answers = fleet.call_all("/again/a", "", Duration::from_secs(1)).await;
 
-    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
+    assert_eq!(count_served(&answers), answers.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
@@ -143,10 +143,15 @@
         server.name_limit(Some(bad));
 
         let answers = fleet
-            .press("/again/a", "", Duration::from_millis(300))
+            .call_all("/again/a", "", Duration::from_millis(300))
             .await;
 
-        assert_eq!(served(&answers), answers.len(), "{bad:?}: {}", fleet.logs());
+        assert_eq!(
+            count_served(&answers),
+            answers.len(),
+            "{bad:?}: {}",
+            fleet.logs()
+        );
     }
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
@@ -161,7 +166,7 @@
     let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     server.name_limit(Some("3"));
-    fleet.press("/again/a", "", ENFORCEMENT_DELAY).await;
+    fleet.call_all("/again/a", "", ENFORCEMENT_DELAY).await;
     let front = fleet.boxes[0].front();
     let duration = Duration::from_secs(8);
     let until = Instant::now() + duration;
@@ -173,19 +178,23 @@
             let sent = Instant::now();
             let answer = Caller::once(front, &request).await.unwrap_or_default();
             let took = sent.elapsed();
-            assert!(took < HELD, "{took:?}: {answer:?}; {}", fleet.logs());
+            assert!(
+                took < CALL_TIMEOUT,
+                "{took:?}: {answer:?}; {}",
+                fleet.logs()
+            );
             if answer.status == 200 {
                 started.push(answer);
             }
             if started.len() == 4 || Instant::now() >= until {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         started
     };
 
-    let (started, _others) = tokio::join!(streams, fleet.press("/again/a", "", duration));
+    let (started, _others) = tokio::join!(streams, fleet.call_all("/again/a", "", duration));
 
     assert!(!started.is_empty(), "no stream began; {}", fleet.logs());
     for answer in started {
--- a/daemon/tests/test_relay_shedding.rs
+++ b/daemon/tests/test_relay_shedding.rs
@@ -12,7 +12,7 @@
 
 use crate::relay_fleet::Fleet;
 use crate::relay_fleet::SHORT_PROMPT;
-use crate::relay_fleet::served;
+use crate::relay_fleet::count_served;
 
 /// Load before a server starts to shed.
 const WARM_UP: Duration = Duration::from_millis(500);
@@ -52,7 +52,7 @@
     extra: &str,
 ) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.press(path, extra, WARM_UP).await;
+    fleet.call_all(path, extra, WARM_UP).await;
     let mut servers: Vec<&Server> = fleet.servers.iter().collect();
     servers.sort_by_key(|server| std::cmp::Reverse(server.seen().len()));
     servers.truncate(shedding);
@@ -60,7 +60,7 @@
         server.shed(Some(PAUSE_TEXT));
     }
 
-    let answers = fleet.press(path, extra, OBSERVATION_TIME).await;
+    let answers = fleet.call_all(path, extra, OBSERVATION_TIME).await;
 
     for server in servers {
         let max_calls = max_calls_in_pause(server);
@@ -72,7 +72,7 @@
         );
     }
     assert_eq!(
-        served(&answers),
+        count_served(&answers),
         answers.len(),
         "other servers can serve all calls"
     );
@@ -100,9 +100,9 @@
         server.shed(Some(PAUSE_TEXT));
     }
     // Within this time each server rejects a call of each box.
-    fleet.press("/again/a", "", IN_FLIGHT_TIME).await;
+    fleet.call_all("/again/a", "", IN_FLIGHT_TIME).await;
 
-    let answers = fleet.press("/again/a", "", Duration::from_secs(1)).await;
+    let answers = fleet.call_all("/again/a", "", Duration::from_secs(1)).await;
 
     for (answer, took) in &answers {
         assert_eq!(answer.status, 503, "{answer:?}");
@@ -124,8 +124,8 @@
         server.shed(None);
     }
     tokio::time::sleep(PAUSE).await;
-    let answers = fleet.press("/again/a", "", WARM_UP).await;
-    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
+    let answers = fleet.call_all("/again/a", "", WARM_UP).await;
+    assert_eq!(count_served(&answers), answers.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
@@ -153,14 +153,14 @@
     let server = &fleet.servers[0];
     server.shed(Some("0.5"));
 
-    let answers = fleet.press("/again/a", "", Duration::from_secs(4)).await;
+    let answers = fleet.call_all("/again/a", "", Duration::from_secs(4)).await;
 
     let rejected = server.seen().len();
     assert!(
         (2..=9).contains(&rejected),
         "{rejected} calls to the shedding server"
     );
-    assert_eq!(served(&answers), answers.len(), "{}", fleet.logs());
+    assert_eq!(count_served(&answers), answers.len(), "{}", fleet.logs());
 }
 
 #[tokio::test]
@@ -177,10 +177,10 @@
     for text in malformed {
         fleet.servers[0].shed(Some(text));
 
-        let answers = fleet.press("/again/a", "", WARM_UP).await;
+        let answers = fleet.call_all("/again/a", "", WARM_UP).await;
 
         assert_eq!(
-            served(&answers),
+            count_served(&answers),
             answers.len(),
             "{text:?}: {}",
             fleet.logs()
@@ -200,7 +200,7 @@
     };
     shedding.shed(Some("30"));
     while shedding.seen().is_empty() {
-        fleet.press("/again/a", "", WARM_UP).await;
+        fleet.call_all("/again/a", "", WARM_UP).await;
     }
     let calls_before = shedding.seen().len();
     others[0].usually(Behaviour::BreakAfter(2));
