--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -95,9 +95,9 @@
         );
     }
     let capacity = limit * fleet.servers.len() as f64 * duration.as_secs_f64();
-    let count_served = count_served(&answers);
+    let served = count_served(&answers);
     assert!(
-        count_served as f64 >= 0.9 * capacity,
+        served as f64 >= 0.9 * capacity,
         "{served} of {capacity} served"
     );
     let refused = answers.iter().filter(|(answer, _)| answer.status != 200);
