--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -119,7 +119,7 @@
         hall: info.hall.clone(),
         kind: info.kind,
         serves,
-        takes_work: view.takes_work(now),
+        takes_work: view.accepts_work(now),
         report_age_ms: view.report_age(now).map(|age| age.as_millis() as u64),
         queued_tokens: report.queued.iter().sum(),
         running: report.running,
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -11,8 +11,8 @@
 use badgerferry_edges::peer::PeerListener;
 use badgerferry_lib::membership::BoxRow;
 use badgerferry_lib::membership::DemandRow;
-use badgerferry_lib::membership::EXCHANGE_EVERY;
-use badgerferry_lib::membership::MAX_DEMAND;
+use badgerferry_lib::membership::GOSSIP_INTERVAL;
+use badgerferry_lib::membership::MAX_DEMAND_ROWS;
 use badgerferry_lib::peer_wire;
 use badgerferry_lib::peer_wire::MAX_FRAME_BYTES;
 use badgerferry_lib::peer_wire::PeerMessage;
@@ -53,12 +53,12 @@
 /// Exchanges until the process ends.
 pub async fn run(traffic: &Arc<Traffic>) {
     loop {
-        if let Some(address) = draw_partner(traffic) {
+        if let Some(address) = pick_gossip_peer(traffic) {
             exchange(traffic, address).await;
         }
         keep_up(traffic);
         let has_settings = traffic.settings.load().is_some();
-        let pause = if has_settings { EXCHANGE_EVERY } else { HURRY };
+        let pause = if has_settings { GOSSIP_INTERVAL } else { HURRY };
         // Spread, so that boxes that started together do not stay in step.
         let spread = rand::rng().random_range(0.75..1.25);
         tokio::time::sleep(pause.mul_f64(spread)).await;
@@ -66,11 +66,11 @@
 }
 
 /// A box of the list, or of this box's own file while the list can't be read.
-fn draw_partner(traffic: &Traffic) -> Option<String> {
+fn pick_gossip_peer(traffic: &Traffic) -> Option<String> {
     let membership = lock(&traffic.membership);
     let mut rng = rand::rng();
     let drawn = membership
-        .draw_partner(&mut rng)
+        .pick_gossip_peer(&mut rng)
         .map(|info| info.peer_address.clone());
     drawn.or_else(|| {
         traffic
@@ -130,12 +130,12 @@
 fn own_row(traffic: &Traffic) -> BoxRow {
     let revision = lock(&traffic.follow).revision();
     let leaving = traffic.leaving.load(Ordering::SeqCst);
-    lock(&traffic.membership).beat(leaving, revision)
+    lock(&traffic.membership).advance_heartbeat(leaving, revision)
 }
 
 fn own_demand(traffic: &Traffic) -> Vec<DemandRow> {
     let now = traffic.clock.now();
-    let rows = traffic.dispatcher().limits.own_demand(now, MAX_DEMAND);
+    let rows = traffic.dispatcher().limits.own_demand(now, MAX_DEMAND_ROWS);
     let row = |(workspace, tokens): (_, f64)| DemandRow {
         workspace,
         tokens_per_s: tokens as u32,
@@ -167,7 +167,7 @@
     };
     let (head, checkpoint) = settings_for(traffic, &asker, wants_checkpoint);
     let from = own_row(traffic);
-    let answer = PeerMessage::Answer {
+    let answer = PeerMessage::Response {
         rows: lock(&traffic.membership).rows_for(&asker.hall),
         demand: own_demand(traffic),
         head,
@@ -207,7 +207,7 @@
 
 /// Takes an answer; tells whether the checkpoint behind its head is needed.
 fn take(traffic: &Traffic, answer: PeerMessage) -> bool {
-    let PeerMessage::Answer {
+    let PeerMessage::Response {
         from,
         rows,
         demand,
@@ -233,7 +233,7 @@
     let now = traffic.clock.now();
     let (serving, others, peers) = {
         let mut membership = lock(&traffic.membership);
-        membership.forget_gone(now);
+        membership.remove_expired(now);
         let peers = membership.boxes().map(|(name, info, known)| PeerStatus {
             name: name.clone(),
             hall: known
@@ -249,7 +249,7 @@
         let peers = peers.collect();
         (
             membership.serving_boxes(now),
-            membership.others_demand(now),
+            membership.peer_demand(now),
             peers,
         )
     };
--- a/daemon/src/placement_control.rs
+++ b/daemon/src/placement_control.rs
@@ -7,11 +7,11 @@
 use badgerferry_edges::platform::Platform;
 use badgerferry_lib::engine_wire::Order;
 use badgerferry_lib::lease::Lease;
-use badgerferry_lib::placement::Placement;
+use badgerferry_lib::placement::DesiredPlacement;
+use badgerferry_lib::placement::LeaseTerm;
+use badgerferry_lib::placement::ObservedEngine;
+use badgerferry_lib::placement::PlacementController;
 use badgerferry_lib::placement::PlacementOrder;
-use badgerferry_lib::placement::SeenEngine;
-use badgerferry_lib::placement::Tenure;
-use badgerferry_lib::placement::Wanted;
 use badgerferry_lib::platform_wire::LeaseRequest;
 use badgerferry_lib::server_view::ServerKind;
 use badgerferry_lib::settings_view::PlacementSettings;
@@ -27,7 +27,7 @@
 pub async fn run(traffic: &Arc<Traffic>) {
     let name = format!("placement/{}", traffic.config.hall);
     let mut lease = Lease::new(Duration::from_secs(10));
-    let mut placement = Placement::default();
+    let mut placement = PlacementController::default();
     loop {
         if let Some(settings) = wanted_settings(traffic) {
             lease.set_ttl(settings.lease_ttl);
@@ -48,7 +48,7 @@
 
 async fn keep_lease(traffic: &Traffic, name: &str, lease: &mut Lease) {
     let asked_at = traffic.clock.now();
-    if !lease.wants_to_ask(asked_at) {
+    if !lease.is_request_due(asked_at) {
         return;
     }
     let asked = LeaseRequest {
@@ -62,7 +62,7 @@
     }
     let held = lease.fence(asked_at);
     let now = traffic.clock.now();
-    lease.on_answer(asked_at, now, answer);
+    lease.on_response(asked_at, now, answer);
     match (held, lease.fence(now)) {
         (None, Some(fence)) => tracing::info!(name, fence, "lease taken"),
         (Some(fence), None) => tracing::warn!(name, fence, "lease lost"),
@@ -73,33 +73,33 @@
 async fn give_orders(
     traffic: &Traffic,
     lease: &Lease,
-    placement: &mut Placement,
+    placement: &mut PlacementController,
     settings: &PlacementSettings,
 ) {
     let now = traffic.clock.now();
     let (Some(since), Some(fence)) = (lease.held_since(now), lease.fence(now)) else {
         return;
     };
-    let tenure = Tenure { fence, since };
-    let wanted = Wanted {
+    let tenure = LeaseTerm { fence, since };
+    let wanted = DesiredPlacement {
         copies: settings.copies.clone(),
         hysteresis: settings.hysteresis,
         loads_per_min: settings.loads_per_min,
     };
     let seen = seen_engines(traffic);
-    for order in placement.round(now, tenure, &wanted, &seen) {
+    for order in placement.reconcile(now, tenure, &wanted, &seen) {
         // Asked again for each order: the clock may have gone past the lease's safe part.
         let Some(fence) = lease.fence(traffic.clock.now()) else {
             tracing::warn!(server = %order.server, "order not given: the lease is over");
             return;
         };
         if give(traffic, fence, &order).await {
-            placement.on_taken(fence, &order.server);
+            placement.on_order_accepted(fence, &order.server);
         }
     }
 }
 
-fn seen_engines(traffic: &Traffic) -> Vec<SeenEngine> {
+fn seen_engines(traffic: &Traffic) -> Vec<ObservedEngine> {
     let now = traffic.clock.now();
     let dispatcher = traffic.dispatcher();
     let views = dispatcher.servers().iter().filter(|view| {
@@ -107,9 +107,9 @@
         info.kind == ServerKind::Engine
             && info.hall == traffic.config.hall
             && view.report().is_some()
-            && view.takes_work(now)
+            && view.accepts_work(now)
     });
-    let seen = views.map(|view| SeenEngine {
+    let seen = views.map(|view| ObservedEngine {
         name: view.info().name.clone(),
         models: view
             .report()
@@ -143,7 +143,7 @@
 
 fn tell_status(traffic: &Traffic, lease: &Lease) {
     let now = traffic.clock.now();
-    let status = match (lease.fence(now), lease.other()) {
+    let status = match (lease.fence(now), lease.other_holder()) {
         (Some(fence), _) => Some(LeaseStatus {
             holder: traffic.owner.name.to_string(),
             fence,
--- a/daemon/tests/test_boxes.rs
+++ b/daemon/tests/test_boxes.rs
@@ -262,7 +262,7 @@
         hall: badgerferry_lib::ids::HallName::new("hall-a"),
         incarnation: badgerferry_lib::ids::Incarnation::draw(rng),
         generation: 1,
-        beat: 1,
+        heartbeat: 1,
         leaving: false,
         revision: badgerferry_lib::ids::Revision(99),
     };
--- a/edges/src/engine.rs
+++ b/edges/src/engine.rs
@@ -8,9 +8,9 @@
 use badgerferry_lib::engine_wire::PrefillRequest;
 use badgerferry_lib::engine_wire::ReleaseRequest;
 use badgerferry_lib::engine_wire::RenewRequest;
-use badgerferry_lib::engine_wire::ReportAnswer;
+use badgerferry_lib::engine_wire::ReportResponse;
 use badgerferry_lib::engine_wire::ReserveRequest;
-use badgerferry_lib::engine_wire::ServerFault;
+use badgerferry_lib::engine_wire::ServerErrorBody;
 use badgerferry_lib::stream_join::Frame;
 use http_body_util::BodyExt;
 use http_body_util::Full;
@@ -78,8 +78,10 @@
     ) -> impl Future<Output = Result<(), CallError>> + Send;
 
     /// Asks how the engine stands.
-    fn report(&self, address: &str)
-    -> impl Future<Output = Result<ReportAnswer, CallError>> + Send;
+    fn report(
+        &self,
+        address: &str,
+    ) -> impl Future<Output = Result<ReportResponse, CallError>> + Send;
 
     /// Gives a fenced order.
     fn order(
@@ -168,7 +170,7 @@
         Ok(body) => body.to_bytes(),
         Err(cause) => return SendError::lost(address, &cause),
     };
-    match serde_json::from_slice::<ServerFault>(&bytes) {
+    match serde_json::from_slice::<ServerErrorBody>(&bytes) {
         Ok(fault) if fault.not_started => SendError::NotStarted {
             address: address.to_owned(),
             message: fault.message,
@@ -224,7 +226,7 @@
         self.link.post(address, "/v1/renew", asked).await.map(drop)
     }
 
-    async fn report(&self, address: &str) -> Result<ReportAnswer, CallError> {
+    async fn report(&self, address: &str) -> Result<ReportResponse, CallError> {
         self.link.get(address, "/v1/report").await
     }
 
--- a/edges/src/platform.rs
+++ b/edges/src/platform.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use badgerferry_lib::platform_wire::BoxList;
-use badgerferry_lib::platform_wire::LeaseAnswer;
 use badgerferry_lib::platform_wire::LeaseRequest;
+use badgerferry_lib::platform_wire::LeaseResponse;
 use badgerferry_lib::platform_wire::VERSION_HEADER;
 use badgerferry_lib::settings_commit::NoAnswer;
 use badgerferry_lib::settings_commit::SwapAnswer;
@@ -58,7 +58,7 @@
     fn lease(
         &self,
         asked: &LeaseRequest,
-    ) -> impl Future<Output = Result<LeaseAnswer, NoAnswer>> + Send;
+    ) -> impl Future<Output = Result<LeaseResponse, NoAnswer>> + Send;
 
     /// The list of boxes and backend servers.
     fn boxes(&self) -> impl Future<Output = Result<BoxList, NoAnswer>> + Send;
@@ -177,7 +177,7 @@
         understood(parse(&self.address, &answer))
     }
 
-    async fn lease(&self, asked: &LeaseRequest) -> Result<LeaseAnswer, NoAnswer> {
+    async fn lease(&self, asked: &LeaseRequest) -> Result<LeaseResponse, NoAnswer> {
         let answer = understood(self.link.post(&self.address, "/v1/lease", asked).await)?;
         understood(parse(&self.address, &answer))
     }
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -19,14 +19,14 @@
 pub use crate::decision::Load;
 pub use crate::decision::Start;
 use crate::exchange::PlacementEnd;
-use crate::fleet::Fleet;
 use crate::ids::HallName;
 use crate::ids::ModelName;
 use crate::ids::RequestId;
 use crate::ids::ServerName;
 use crate::ids::WorkspaceName;
-use crate::long_lane;
-use crate::long_lane::Demand;
+use crate::long_prompt_engines;
+use crate::long_prompt_engines::PromptDemand;
+use crate::model_servers::ModelServers;
 use crate::outcome::RefusalReason;
 use crate::request::Placement;
 use crate::request::PrefixHash;
@@ -38,7 +38,7 @@
 use crate::routing::Policy;
 use crate::routing::RoutingContext;
 use crate::server_view::EngineReport;
-use crate::server_view::OwnWork;
+use crate::server_view::SentRequest;
 use crate::server_view::ServerInfo;
 use crate::server_view::ServerView;
 use crate::service_time::ServiceTime;
@@ -76,7 +76,7 @@
     queues: BTreeMap<QueueKey, WaitQueue>,
     active: BTreeMap<RequestId, Active>,
     avoid: BTreeMap<RequestId, Vec<ServerName>>,
-    demand: BTreeMap<ModelName, Demand>,
+    demand: BTreeMap<ModelName, PromptDemand>,
     service_times: BTreeMap<ModelName, ServiceTime>,
     /// Limits of workspaces; the control side sets the boxes and their demand.
     pub limits: WorkspaceLimits,
@@ -176,7 +176,7 @@
     /// Takes an engine's word that it cached a prefix; a hint that may be late.
     pub fn on_cached(&mut self, name: &ServerName, prefix: PrefixHash, tokens: u64) {
         if let Some(&index) = self.by_name.get(name) {
-            self.servers[index].cached(prefix, tokens);
+            self.servers[index].record_prefix(prefix, tokens);
         }
     }
 
@@ -200,7 +200,7 @@
         self.retries.earn(self.settings.retry_percent);
         let demand = self.demand.entry(key.model.clone()).or_default();
         let now_s = now.as_micros() as f64 / 1e6;
-        demand.count(now_s, request.prompt_tokens, key.long);
+        demand.record(now_s, request.prompt_tokens, key.long);
         self.queues.entry(key.clone()).or_default().push(request);
         self.drain(now, &key, &fleet, rng)
     }
@@ -240,7 +240,7 @@
         };
         for name in active.placement.servers() {
             if let Some(&index) = self.by_name.get(name) {
-                self.servers[index].started(now, id);
+                self.servers[index].record_first_token(now, id);
             }
         }
     }
@@ -253,7 +253,7 @@
                 continue;
             };
             let server = &mut self.servers[index];
-            server.ended(id);
+            server.record_end(id);
             match end {
                 PlacementEnd::Whole { .. } => server.breaker.on_success(),
                 PlacementEnd::Failed(failed) if failed == name => server.breaker.on_failure(
@@ -261,7 +261,7 @@
                     self.settings.breaker_failures,
                     self.settings.breaker_open,
                 ),
-                PlacementEnd::NoRoom(full) if full == name => server.had_no_room(now),
+                PlacementEnd::NoRoom(full) if full == name => server.record_memory_full(now),
                 PlacementEnd::Failed(_) | PlacementEnd::NoRoom(_) | PlacementEnd::Neutral => {
                     server.breaker.on_nothing_learned(now);
                 }
@@ -322,7 +322,7 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        fleet: &Fleet,
+        fleet: &ModelServers,
         request: &Request,
         limit: HallLimit,
     ) -> Result<(), (RefusalReason, Duration)> {
@@ -363,8 +363,8 @@
     }
 
     /// The servers of a model as they stand, worked out once for a decision.
-    fn fleet(&self, now: Time, model: &ModelName) -> Fleet {
-        Fleet::new(now, &self.servers, model, &self.hall, self.boxes)
+    fn fleet(&self, now: Time, model: &ModelName) -> ModelServers {
+        ModelServers::new(now, &self.servers, model, &self.hall, self.boxes)
     }
 
     fn times(&self, model: &ModelName) -> ServiceTime {
@@ -372,16 +372,18 @@
     }
 
     /// Time that a new request waits here, as expected from the queue and its drain.
-    fn expected_wait(&self, key: &QueueKey, fleet: &Fleet, request: &Request) -> Duration {
+    fn expected_wait(&self, key: &QueueKey, fleet: &ModelServers, request: &Request) -> Duration {
         let Some(queue) = self.queues.get(key).filter(|queue| !queue.is_empty()) else {
             return Duration::ZERO;
         };
         let ahead = queue.tokens_ahead(&request.workspace, request.weight);
-        let rate = self.times(&key.model).drain_rate(key.long, fleet.own_rate);
+        let rate = self
+            .times(&key.model)
+            .drain_rate(key.long, fleet.box_prefill_rate);
         Duration::from_secs_f64(ahead as f64 / rate.max(1.0))
     }
 
-    fn give_up_late(&mut self, now: Time, key: &QueueKey, fleet: &Fleet) -> Vec<Decision> {
+    fn give_up_late(&mut self, now: Time, key: &QueueKey, fleet: &ModelServers) -> Vec<Decision> {
         if self.policy != Policy::Cost {
             return Vec::new();
         }
@@ -391,7 +393,7 @@
         };
         let late =
             queue.take_where(|request| now + times.expect(request, fleet.pace) >= request.deadline);
-        let rate = times.drain_rate(key.long, fleet.own_rate);
+        let rate = times.drain_rate(key.long, fleet.box_prefill_rate);
         let retry_after = Duration::from_secs_f64(queue.tokens() as f64 / rate.max(1.0));
         late.into_iter()
             .map(|request| Decision::Refuse {
@@ -406,7 +408,7 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        fleet: &Fleet,
+        fleet: &ModelServers,
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
         let mut decisions = Vec::new();
@@ -427,7 +429,7 @@
         }
         let backlog = self.queues.get(key).is_some_and(|queue| !queue.is_empty());
         let times = self.service_times.entry(key.model.clone()).or_default();
-        times.set_backlog(now, key.long, backlog, fleet.own_rate);
+        times.set_backlog(now, key.long, backlog, fleet.box_prefill_rate);
         decisions
     }
 
@@ -436,7 +438,7 @@
         now: Time,
         request: &Request,
         long: bool,
-        fleet: &Fleet,
+        fleet: &ModelServers,
         rng: &mut impl Rng,
     ) -> Option<Start> {
         let mut usable = fleet.serving.clone();
@@ -448,7 +450,7 @@
             }
         }
         let wanted = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && wanted > fleet.most_memory {
+        if request.prompt_tokens > 0 && wanted > fleet.max_memory {
             return self.place_group(now, request, &usable);
         }
         match self.policy {
@@ -456,7 +458,7 @@
             Policy::Cost => self.place_short(now, request, &mut usable, rng),
             plain => {
                 let chosen =
-                    routing::choose_plain(plain, &self.servers, &usable, &mut self.turn, rng)?;
+                    routing::choose_baseline(plain, &self.servers, &usable, &mut self.turn, rng)?;
                 Some(self.start_at(now, request, chosen, Vec::new()))
             }
         }
@@ -484,7 +486,7 @@
         if choice.cost.wait > self.settings.queue {
             return None;
         }
-        Some(self.start_at(now, request, choice.index, choice.weighed))
+        Some(self.start_at(now, request, choice.index, choice.candidates))
     }
 
     fn place_long(
@@ -499,12 +501,12 @@
             .lane(request, usable)
             .into_iter()
             .filter(|&index| self.is_free_for_long(now, index))
-            .filter(|&index| long_lane::long_room(&self.servers[index]) >= wanted)
+            .filter(|&index| long_prompt_engines::free_long_memory(&self.servers[index]) >= wanted)
             .collect();
         let rank = request.priority.rank(true);
         let cx = self.context(now, free.len());
         let choice = routing::choose(cx, &self.servers, &mut free, request, rank, rng)?;
-        Some(self.start_at(now, request, choice.index, choice.weighed))
+        Some(self.start_at(now, request, choice.index, choice.candidates))
     }
 
     /// The engines that long prompts of this model use, in lane order.
@@ -512,19 +514,19 @@
         let model = &request.model;
         let mut lane = usable.to_vec();
         lane.sort_by_cached_key(|&index| {
-            long_lane::lane_position(model, &self.servers[index].info().name)
+            long_prompt_engines::rendezvous_hash(model, &self.servers[index].info().name)
         });
         let demand = self.demand.get(model).copied().unwrap_or_default();
-        let size = demand.lane_size(lane.len(), self.settings.long_share_percent);
+        let size = demand.long_engine_count(lane.len(), self.settings.long_share_percent);
         let wanted = request.prompt_tokens + request.max_output;
         let views = lane.iter().map(|&index| &self.servers[index]);
-        lane.truncate(size.max(long_lane::group_size(views, wanted)));
+        lane.truncate(size.max(long_prompt_engines::engines_needed(views, wanted)));
         lane
     }
 
     fn is_free_for_long(&self, now: Time, index: usize) -> bool {
         let server = &self.servers[index];
-        server.prefill_time(server.long_queued(now)) <= self.settings.queue
+        server.prefill_time(server.queued_long_tokens(now)) <= self.settings.queue
     }
 
     fn place_group(&self, now: Time, request: &Request, usable: &[usize]) -> Option<Start> {
@@ -536,7 +538,7 @@
             .filter(|&index| self.is_free_for_long(now, index))
             .map(|index| &self.servers[index])
             .collect();
-        let shares = long_lane::plan_group(&free, request.prompt_tokens, wanted)?;
+        let shares = long_prompt_engines::plan_group(&free, request.prompt_tokens, wanted)?;
         let prefill = free.first()?.prefill_time(request.prompt_tokens);
         Some(Start {
             request: request.id,
@@ -577,7 +579,7 @@
             Placement::Group(shares) => shares.clone(),
         };
         for share in parts {
-            let work = OwnWork {
+            let work = SentRequest {
                 rank,
                 prefill: share.prompt,
                 memory: share.tokens,
@@ -586,7 +588,7 @@
                 started_at: None,
             };
             if let Some(&index) = self.by_name.get(&share.server) {
-                self.servers[index].sent(request.id, work);
+                self.servers[index].record_sent(request.id, work);
             }
         }
         let avoid = self.avoid.remove(&request.id).unwrap_or_default();
--- a/lib/src/engine_wire.rs
+++ b/lib/src/engine_wire.rs
@@ -114,7 +114,7 @@
 
 /// A report and its age.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct ReportResponse {
     /// The report.
     pub report: EngineReport,
     /// How old it is, in milliseconds.
@@ -123,7 +123,7 @@
 
 /// An error from a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerFault {
+pub struct ServerErrorBody {
     /// Whether the server says that it did not start the work.
     #[serde(default)]
     pub not_started: bool,
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use crate::platform_wire::LeaseAnswer;
+use crate::platform_wire::LeaseResponse;
 use crate::settings_commit::NoAnswer;
 use crate::time::Time;
 
@@ -30,7 +30,7 @@
     ttl: Duration,
     held: Option<Held>,
     next_ask: Time,
-    other: Option<LeaseAnswer>,
+    other: Option<LeaseResponse>,
 }
 
 impl Lease {
@@ -55,12 +55,17 @@
     }
 
     /// Whether it is time to ask for it or to renew it.
-    pub fn wants_to_ask(&self, now: Time) -> bool {
+    pub fn is_request_due(&self, now: Time) -> bool {
         now >= self.next_ask
     }
 
     /// Takes the platform's answer to a request that was sent at `asked_at`.
-    pub fn on_answer(&mut self, asked_at: Time, now: Time, answer: Result<LeaseAnswer, NoAnswer>) {
+    pub fn on_response(
+        &mut self,
+        asked_at: Time,
+        now: Time,
+        answer: Result<LeaseResponse, NoAnswer>,
+    ) {
         self.next_ask = now + self.ttl / RENEWALS;
         match answer {
             Ok(answer) if answer.granted => {
@@ -96,7 +101,7 @@
     }
 
     /// The other holder, as told last.
-    pub const fn other(&self) -> Option<&LeaseAnswer> {
+    pub const fn other_holder(&self) -> Option<&LeaseResponse> {
         self.other.as_ref()
     }
 }
--- a/lib/src/long_lane.rs
+++ b/lib/src/long_prompt_engines.rs
@@ -28,7 +28,7 @@
 /// # Panics
 ///
 /// Never: a digest has more than eight bytes.
-pub fn lane_position(model: &ModelName, server: &ServerName) -> u64 {
+pub fn rendezvous_hash(model: &ModelName, server: &ServerName) -> u64 {
     let mut hash = Sha256::new();
     hash.update(model.as_str());
     hash.update([0]);
@@ -39,15 +39,15 @@
 
 /// Decaying count of prompt tokens asked for, long and short.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Demand {
+pub struct PromptDemand {
     long: f64,
     short: f64,
     at_s: f64,
 }
 
-impl Demand {
+impl PromptDemand {
     /// Counts a prompt.
-    pub fn count(&mut self, now_s: f64, tokens: u64, long: bool) {
+    pub fn record(&mut self, now_s: f64, tokens: u64, long: bool) {
         let kept = 0.5_f64.powf((now_s - self.at_s).max(0.0) / DEMAND_HALF_LIFE_S);
         self.at_s = now_s;
         self.long *= kept;
@@ -60,7 +60,7 @@
     }
 
     /// Engines of `total` that long prompts may use, at most `most_percent` of them.
-    pub fn lane_size(&self, total: usize, most_percent: u64) -> usize {
+    pub fn long_engine_count(&self, total: usize, most_percent: u64) -> usize {
         let all = self.long + self.short;
         if total == 0 || self.long <= 0.0 {
             return 0;
@@ -77,7 +77,7 @@
 }
 
 /// How many of the engines, from the first on, hold this many tokens.
-pub fn group_size<'a>(engines: impl Iterator<Item = &'a ServerView>, tokens: u64) -> usize {
+pub fn engines_needed<'a>(engines: impl Iterator<Item = &'a ServerView>, tokens: u64) -> usize {
     let mut left = tokens;
     let mut count = 0;
     for engine in engines {
@@ -91,8 +91,8 @@
 }
 
 /// Tokens of an engine's memory that another long prompt may take now.
-pub fn long_room(server: &ServerView) -> u64 {
-    if server.is_known_full() {
+pub fn free_long_memory(server: &ServerView) -> u64 {
+    if server.is_memory_full() {
         return 0;
     }
     let kept = server.memory_total() - usable_memory(server);
@@ -108,7 +108,7 @@
     let mut left = whole;
     let mut shares = Vec::new();
     for server in candidates {
-        let held = long_room(server).min(left);
+        let held = free_long_memory(server).min(left);
         if held > 0 {
             left -= held;
             shares.push(Share {
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -24,14 +24,14 @@
 use crate::time::Time;
 
 /// Time between two exchanges that a box begins.
-pub const EXCHANGE_EVERY: Duration = Duration::from_secs(2);
+pub const GOSSIP_INTERVAL: Duration = Duration::from_secs(2);
 /// Silence after which a box is no longer counted as live: some twenty exchanges, enough
-/// for news to cross a hall of 39 boxes at [`MAX_ROWS`] rows each.
-pub const SILENT_AFTER: Duration = Duration::from_secs(40);
+/// for news to cross a hall of 39 boxes at [`MAX_GOSSIP_ROWS`] rows each.
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_secs(40);
 /// Rows of other boxes in one message; bounds the bytes, whatever the hall's size.
-pub const MAX_ROWS: usize = 8;
+pub const MAX_GOSSIP_ROWS: usize = 8;
 /// Workspaces in one message's demand, the busiest first.
-pub const MAX_DEMAND: usize = 8;
+pub const MAX_DEMAND_ROWS: usize = 8;
 /// Part of the exchanges that go to another data hall.
 const OTHER_HALL_PART: f64 = 0.25;
 
@@ -47,7 +47,7 @@
     /// Grows from life to life.
     pub generation: u64,
     /// Grows within a life.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Whether it takes no new work.
     pub leaving: bool,
     /// The settings in force there.
@@ -97,7 +97,7 @@
                 hall,
                 incarnation,
                 generation,
-                beat: 0,
+                heartbeat: 0,
                 leaving: false,
                 revision: Revision(0),
             },
@@ -117,8 +117,8 @@
     }
 
     /// Begins an exchange: counts the beat and gives the own row.
-    pub fn beat(&mut self, leaving: bool, revision: Revision) -> BoxRow {
-        self.own.beat += 1;
+    pub fn advance_heartbeat(&mut self, leaving: bool, revision: Revision) -> BoxRow {
+        self.own.heartbeat += 1;
         self.own.leaving = leaving;
         self.own.revision = self.own.revision.max(revision);
         self.own.clone()
@@ -179,7 +179,7 @@
             .collect();
         rows.sort_by_key(|known| std::cmp::Reverse(known.heard_at));
         rows.iter()
-            .take(MAX_ROWS)
+            .take(MAX_GOSSIP_ROWS)
             .map(|known| known.row.clone())
             .collect()
     }
@@ -187,14 +187,14 @@
     /// Whether a box is thought to live.
     pub fn is_live(&self, now: Time, name: &BoxName) -> bool {
         let known = self.known.get(name);
-        known.is_some_and(|known| now.since(known.heard_at) < SILENT_AFTER)
+        known.is_some_and(|known| now.since(known.heard_at) < LIVENESS_TIMEOUT)
     }
 
     /// Boxes of this hall that serve, this one included unless it leaves.
     ///
     /// In its first seconds a box has heard of nobody and believes the list.
     pub fn serving_boxes(&self, now: Time) -> usize {
-        let young = now.since(self.started) < SILENT_AFTER;
+        let young = now.since(self.started) < LIVENESS_TIMEOUT;
         let listed = self.listed.values().filter(|info| {
             let unheard = !self.known.contains_key(&info.name);
             info.hall == self.own.hall
@@ -217,7 +217,7 @@
     }
 
     /// Demand of the hall's other live boxes by workspace, in tokens a second.
-    pub fn others_demand(&self, now: Time) -> BTreeMap<WorkspaceName, f64> {
+    pub fn peer_demand(&self, now: Time) -> BTreeMap<WorkspaceName, f64> {
         let mut sums = BTreeMap::new();
         let live = self
             .known
@@ -232,7 +232,7 @@
     /// Draws a box to exchange with; one in four of another hall, live or not.
     ///
     /// Silent boxes are drawn as well: that is how two sides find each other after a cut.
-    pub fn draw_partner(&self, rng: &mut impl Rng) -> Option<&BoxInfo> {
+    pub fn pick_gossip_peer(&self, rng: &mut impl Rng) -> Option<&BoxInfo> {
         let others = || {
             self.listed
                 .values()
@@ -258,7 +258,7 @@
     }
 
     /// Forgets boxes that are neither listed nor heard of for long.
-    pub fn forget_gone(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         const FORGET_AFTER: Duration = Duration::from_mins(10);
         let listed = &self.listed;
         self.known.retain(|name, known| {
@@ -269,7 +269,7 @@
 
 fn is_newer(row: &BoxRow, than: &BoxRow) -> bool {
     if row.incarnation == than.incarnation {
-        return (row.generation, row.beat) > (than.generation, than.beat);
+        return (row.generation, row.heartbeat) > (than.generation, than.heartbeat);
     }
     (row.generation, row.incarnation) > (than.generation, than.incarnation)
 }
--- a/lib/src/fleet.rs
+++ b/lib/src/model_servers.rs
@@ -2,27 +2,27 @@
 
 use crate::ids::HallName;
 use crate::ids::ModelName;
-use crate::long_lane;
+use crate::long_prompt_engines;
 use crate::server_view::ServerView;
 use crate::service_time::Pace;
 use crate::time::Time;
 
 /// The servers of a model at one instant.
 #[derive(Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct ModelServers {
     /// Indices of those that take work.
     pub(crate) serving: Vec<usize>,
     /// How fast they work.
     pub(crate) pace: Pace,
     /// Prompt tokens a second of the hall's own, over its boxes.
-    pub(crate) own_rate: f64,
+    pub(crate) box_prefill_rate: f64,
     /// Memory that long prompts may take, at all of them.
     pub(crate) usable_memory: u64,
     /// The same, at the largest.
-    pub(crate) most_memory: u64,
+    pub(crate) max_memory: u64,
 }
 
-impl Fleet {
+impl ModelServers {
     /// Works it out; `boxes` share the servers of `hall`.
     pub(crate) fn new(
         now: Time,
@@ -32,17 +32,17 @@
         boxes: usize,
     ) -> Self {
         let is_usable =
-            |&index: &usize| servers[index].takes_work(now) && servers[index].serves(model);
+            |&index: &usize| servers[index].accepts_work(now) && servers[index].serves(model);
         let serving: Vec<usize> = (0..servers.len()).filter(is_usable).collect();
         let views = || serving.iter().map(|&index| &servers[index]);
         let own = views().filter(|server| server.info().hall == *hall);
-        let own_rate: f64 = own.map(|server| server.prefill_rate() as f64).sum();
+        let box_prefill_rate: f64 = own.map(|server| server.prefill_rate() as f64).sum();
         Self {
             pace: Pace::of(views()),
-            own_rate: own_rate / boxes as f64,
-            usable_memory: views().map(long_lane::usable_memory).sum(),
-            most_memory: views()
-                .map(long_lane::usable_memory)
+            box_prefill_rate: box_prefill_rate / boxes as f64,
+            usable_memory: views().map(long_prompt_engines::usable_memory).sum(),
+            max_memory: views()
+                .map(long_prompt_engines::usable_memory)
                 .max()
                 .unwrap_or_default(),
             serving,
--- a/lib/src/peer_wire.rs
+++ b/lib/src/peer_wire.rs
@@ -18,13 +18,13 @@
 pub const KEY_BYTES: usize = 32;
 /// Largest frame: a checkpoint of a megabyte and a head.
 pub const MAX_FRAME_BYTES: usize = 1_200_000;
-/// The version that this library writes; it reads every one from [`OLDEST`] on.
+/// The version that this library writes; it reads every one from [`MIN_VERSION`] on.
 pub const VERSION: u16 = 1;
 /// The oldest version that is still read, for rolling restarts.
-pub const OLDEST: u16 = 1;
-const MARK: [u8; 2] = *b"bf";
+pub const MIN_VERSION: u16 = 1;
+const MAGIC: [u8; 2] = *b"bf";
 const MAC_BYTES: usize = 32;
-const HEAD_BYTES: usize = MARK.len() + size_of::<u16>();
+const HEADER_BYTES: usize = MAGIC.len() + size_of::<u16>();
 
 /// A message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
         wants_checkpoint: bool,
     },
     /// Answers it.
-    Answer {
+    Response {
         /// The answerer.
         from: BoxRow,
         /// Boxes of the hall that the answerer heard of.
@@ -59,7 +59,7 @@
     /// The sender.
     pub const fn from(&self) -> &BoxRow {
         match self {
-            Self::Hello { from, .. } | Self::Answer { from, .. } => from,
+            Self::Hello { from, .. } | Self::Response { from, .. } => from,
         }
     }
 
@@ -74,26 +74,26 @@
 pub enum FrameError {
     /// Too short, too long, or without the mark.
     #[error("not a frame")]
-    Shape,
+    Malformed,
     /// A version that is not read.
     #[error("version {0} is not read")]
     Version(u16),
     /// Made without the key, or changed on the way.
     #[error("the MAC does not match")]
-    Mac,
+    MacMismatch,
     /// The content is no message.
     #[error("the content is no message")]
-    Content,
+    InvalidContent,
 }
 
 impl FrameError {
     /// Stable label for metrics.
     pub const fn label(self) -> &'static str {
         match self {
-            Self::Shape => "shape",
+            Self::Malformed => "shape",
             Self::Version(_) => "version",
-            Self::Mac => "mac",
-            Self::Content => "content",
+            Self::MacMismatch => "mac",
+            Self::InvalidContent => "content",
         }
     }
 }
@@ -110,7 +110,7 @@
 ///
 /// Never: messages are plain data.
 pub fn seal(key: &[u8; KEY_BYTES], message: &PeerMessage) -> Vec<u8> {
-    let mut frame = MARK.to_vec();
+    let mut frame = MAGIC.to_vec();
     frame.extend_from_slice(&VERSION.to_be_bytes());
     let content = postcard::to_stdvec(message).expect("plain data always encodes");
     frame.extend_from_slice(&content);
@@ -125,17 +125,17 @@
 ///
 /// It is not whole, of an unknown version, or made without the key.
 pub fn open(key: &[u8; KEY_BYTES], frame: &[u8]) -> Result<PeerMessage, FrameError> {
-    let sound = (HEAD_BYTES + MAC_BYTES..=MAX_FRAME_BYTES).contains(&frame.len());
-    if !sound || frame[..MARK.len()] != MARK {
-        return Err(FrameError::Shape);
+    let sound = (HEADER_BYTES + MAC_BYTES..=MAX_FRAME_BYTES).contains(&frame.len());
+    if !sound || frame[..MAGIC.len()] != MAGIC {
+        return Err(FrameError::Malformed);
     }
     let (signed, tag) = frame.split_at(frame.len() - MAC_BYTES);
     mac(key, signed)
         .verify_slice(tag)
-        .map_err(|_differs| FrameError::Mac)?;
+        .map_err(|_differs| FrameError::MacMismatch)?;
     let version = u16::from_be_bytes([signed[2], signed[3]]);
-    if !(OLDEST..=VERSION).contains(&version) {
+    if !(MIN_VERSION..=VERSION).contains(&version) {
         return Err(FrameError::Version(version));
     }
-    postcard::from_bytes(&signed[HEAD_BYTES..]).map_err(|_no_message| FrameError::Content)
+    postcard::from_bytes(&signed[HEADER_BYTES..]).map_err(|_no_message| FrameError::InvalidContent)
 }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -15,7 +15,7 @@
 use crate::engine_wire::OrderAction;
 use crate::ids::ModelName;
 use crate::ids::ServerName;
-use crate::long_lane::lane_position;
+use crate::long_prompt_engines::rendezvous_hash;
 use crate::time::Time;
 
 /// Time after which an order that shows no effect is given again.
@@ -25,7 +25,7 @@
 
 /// An engine as it reports itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenEngine {
+pub struct ObservedEngine {
     /// The engine.
     pub name: ServerName,
     /// Models loaded.
@@ -36,7 +36,7 @@
 
 /// What is wanted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredPlacement {
     /// Engines wanted with each model; models that are not named are left alone.
     pub copies: BTreeMap<ModelName, u64>,
     /// How long a difference must last.
@@ -47,7 +47,7 @@
 
 /// One holder's time with the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tenure {
+pub struct LeaseTerm {
     /// Its fencing number.
     pub fence: u64,
     /// When it began.
@@ -56,7 +56,7 @@
 
 /// Why an order is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum OrderReason {
     /// The engine has not seen this holder's number yet.
     NewHolder,
     /// Fewer engines have the model than are wanted.
@@ -75,7 +75,7 @@
     },
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for OrderReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NewHolder => f.write_str("it has not seen this holder's number"),
@@ -95,12 +95,12 @@
     /// What to do.
     pub action: OrderAction,
     /// Why.
-    pub reason: Reason,
+    pub reason: OrderReason,
 }
 
 /// The controller's state, on the box that holds the lease.
 #[derive(Debug, Default)]
-pub struct Placement {
+pub struct PlacementController {
     differs_since: BTreeMap<ModelName, Time>,
     given: BTreeMap<ServerName, (OrderAction, Time)>,
     last_load: Option<Time>,
@@ -108,21 +108,21 @@
     fenced: BTreeSet<ServerName>,
 }
 
-impl Placement {
+impl PlacementController {
     /// Records that an engine took an order: from here on it refuses earlier holders' orders.
-    pub fn on_taken(&mut self, fence: u64, server: &ServerName) {
+    pub fn on_order_accepted(&mut self, fence: u64, server: &ServerName) {
         if fence == self.fence {
             self.fenced.insert(server.clone());
         }
     }
 
     /// Compares and gives the orders of this round.
-    pub fn round(
+    pub fn reconcile(
         &mut self,
         now: Time,
-        tenure: Tenure,
-        wanted: &Wanted,
-        seen: &[SeenEngine],
+        tenure: LeaseTerm,
+        wanted: &DesiredPlacement,
+        seen: &[ObservedEngine],
     ) -> Vec<PlacementOrder> {
         if tenure.fence != self.fence {
             self.fence = tenure.fence;
@@ -141,10 +141,10 @@
                 continue;
             }
             let order = if have < want {
-                let reason = Reason::TooFew { have, want };
+                let reason = OrderReason::TooFew { have, want };
                 self.load(now, tenure.since, wanted, seen, model, reason)
             } else {
-                let reason = Reason::TooMany { have, want };
+                let reason = OrderReason::TooMany { have, want };
                 self.unload(now, wanted, seen, model, reason)
             };
             orders.extend(order);
@@ -154,21 +154,21 @@
 
     /// Orders that do nothing but tell engines of this holder's number. An order of an earlier
     /// holder that is still on its way is refused from then on.
-    fn fence_engines(&self, seen: &[SeenEngine]) -> Vec<PlacementOrder> {
+    fn fence_engines(&self, seen: &[ObservedEngine]) -> Vec<PlacementOrder> {
         let unfenced = seen
             .iter()
             .filter(|engine| !self.fenced.contains(&engine.name));
-        let order = |engine: &SeenEngine| PlacementOrder {
+        let order = |engine: &ObservedEngine| PlacementOrder {
             server: engine.name.clone(),
             action: OrderAction::Fence,
-            reason: Reason::NewHolder,
+            reason: OrderReason::NewHolder,
         };
         unfenced.map(order).collect()
     }
 
     /// Engines that have a model, counting orders that are under way.
-    fn copies(&self, model: &ModelName, seen: &[SeenEngine]) -> u64 {
-        let has = |engine: &&SeenEngine| match self.given.get(&engine.name) {
+    fn copies(&self, model: &ModelName, seen: &[ObservedEngine]) -> u64 {
+        let has = |engine: &&ObservedEngine| match self.given.get(&engine.name) {
             Some((OrderAction::Load { model: ordered }, _)) if ordered == model => true,
             Some((OrderAction::Unload { model: ordered }, _)) if ordered == model => false,
             _ => engine.models.contains(model),
@@ -176,7 +176,7 @@
         seen.iter().filter(has).count() as u64
     }
 
-    fn forget_done(&mut self, now: Time, seen: &[SeenEngine]) {
+    fn forget_done(&mut self, now: Time, seen: &[ObservedEngine]) {
         self.given.retain(|name, (action, at)| {
             let engine = seen.iter().find(|engine| engine.name == *name);
             let done = engine.is_none_or(|engine| match action {
@@ -192,10 +192,10 @@
         &mut self,
         now: Time,
         held_since: Time,
-        wanted: &Wanted,
-        seen: &[SeenEngine],
+        wanted: &DesiredPlacement,
+        seen: &[ObservedEngine],
         model: &ModelName,
-        reason: Reason,
+        reason: OrderReason,
     ) -> Option<PlacementOrder> {
         let space = Duration::from_mins(1).div_f64(wanted.loads_per_min.max(1) as f64);
         let from = self
@@ -211,7 +211,7 @@
             (
                 engine.models.len(),
                 engine.running,
-                lane_position(model, &engine.name),
+                rendezvous_hash(model, &engine.name),
             )
         })?;
         self.last_load = Some(now);
@@ -224,10 +224,10 @@
     fn unload(
         &mut self,
         now: Time,
-        wanted: &Wanted,
-        seen: &[SeenEngine],
+        wanted: &DesiredPlacement,
+        seen: &[ObservedEngine],
         model: &ModelName,
-        reason: Reason,
+        reason: OrderReason,
     ) -> Option<PlacementOrder> {
         if wanted.copies.get(model) == Some(&0) && !self.has_heir(model, wanted, seen) {
             return None;
@@ -235,7 +235,7 @@
         let holders = seen.iter().filter(|engine| engine.models.contains(model));
         let free = holders.filter(|engine| !self.given.contains_key(&engine.name));
         let chosen = free.min_by_key(|engine| {
-            let position = lane_position(model, &engine.name);
+            let position = rendezvous_hash(model, &engine.name);
             (engine.running, std::cmp::Reverse(position))
         })?;
         let action = OrderAction::Unload {
@@ -247,13 +247,18 @@
     /// Whether the model's copies may go: no other version of it is wanted, or one that is
     /// wanted is loaded in full, on engines that refuse earlier holders' orders. Until then
     /// the old copies serve.
-    fn has_heir(&self, model: &ModelName, wanted: &Wanted, seen: &[SeenEngine]) -> bool {
+    fn has_heir(
+        &self,
+        model: &ModelName,
+        wanted: &DesiredPlacement,
+        seen: &[ObservedEngine],
+    ) -> bool {
         let heirs = wanted
             .copies
             .iter()
             .filter(|(other, want)| *other != model && base(other) == base(model) && **want > 0);
         let mut loaded = heirs.map(|(other, want)| {
-            let has = |engine: &&SeenEngine| {
+            let has = |engine: &&ObservedEngine| {
                 let leaves = matches!(
                     self.given.get(&engine.name),
                     Some((OrderAction::Unload { model }, _)) if model == other
@@ -274,7 +279,7 @@
         now: Time,
         server: ServerName,
         action: OrderAction,
-        reason: Reason,
+        reason: OrderReason,
     ) -> PlacementOrder {
         self.given.insert(server.clone(), (action.clone(), now));
         PlacementOrder {
--- a/lib/src/platform_wire.rs
+++ b/lib/src/platform_wire.rs
@@ -16,7 +16,7 @@
 
 /// Answer to a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WriteAnswer {
+pub struct WriteResponse {
     /// The key's version now: the new one, or the one that was in the way.
     pub version: u64,
 }
@@ -34,7 +34,7 @@
 
 /// Answer to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     /// Whether the asker holds it now.
     pub granted: bool,
     /// Who holds it.
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -61,7 +61,7 @@
     /// The prompt's own prefill, less what is cached.
     pub prefill: Duration,
     /// Requests that generate there, and want of memory.
-    pub crowd: Duration,
+    pub contention: Duration,
     /// The way to another data hall.
     pub trip: Duration,
 }
@@ -69,7 +69,7 @@
 impl Cost {
     /// The whole.
     pub fn total(&self) -> Duration {
-        self.wait + self.prefill + self.crowd + self.trip
+        self.wait + self.prefill + self.contention + self.trip
     }
 }
 
@@ -92,7 +92,7 @@
             millis(self.cost.total()),
             millis(self.cost.wait),
             millis(self.cost.prefill),
-            millis(self.cost.crowd),
+            millis(self.cost.contention),
             millis(self.cost.trip),
         )
     }
@@ -106,7 +106,7 @@
     /// The chosen one's cost.
     pub cost: Cost,
     /// Every candidate drawn.
-    pub weighed: Vec<Candidate>,
+    pub candidates: Vec<Candidate>,
 }
 
 /// What a choice depends on besides the servers.
@@ -130,14 +130,14 @@
     };
     let wants = request.prompt_tokens + request.max_output;
     let lacks_memory = request.prompt_tokens > 0 && server.memory_free() < wants;
-    let crowd = CROWD_PER_REQUEST * server.running() as u32;
+    let contention = CROWD_PER_REQUEST * server.running() as u32;
     Cost {
-        wait: server.wait(cx.now, rank),
+        wait: server.queue_wait(cx.now, rank),
         prefill: server.prefill_time(request.prompt_tokens - cached),
-        crowd: if lacks_memory {
-            crowd + NO_MEMORY
+        contention: if lacks_memory {
+            contention + NO_MEMORY
         } else {
-            crowd
+            contention
         },
         trip: if server.info().hall == *cx.hall {
             Duration::ZERO
@@ -158,10 +158,10 @@
 ) -> Option<Choice> {
     let drawn = draw(usable, cx.samples, rng);
     let mut best: Option<(usize, Cost)> = None;
-    let mut weighed = Vec::with_capacity(drawn.len());
+    let mut candidates = Vec::with_capacity(drawn.len());
     for &index in drawn {
         let found = cost(cx, &servers[index], request, rank);
-        weighed.push(Candidate {
+        candidates.push(Candidate {
             server: servers[index].info().name.clone(),
             cost: found,
         });
@@ -172,7 +172,7 @@
     best.map(|(index, cost)| Choice {
         index,
         cost,
-        weighed,
+        candidates,
     })
 }
 
@@ -187,7 +187,7 @@
 }
 
 /// Chooses by one of the plain policies.
-pub fn choose_plain(
+pub fn choose_baseline(
     policy: Policy,
     servers: &[ServerView],
     usable: &[usize],
--- a/lib/src/server_view.rs
+++ b/lib/src/server_view.rs
@@ -86,7 +86,7 @@
 
 /// Work that this box sent to the server.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnWork {
+pub struct SentRequest {
     /// Its rank at the server.
     pub rank: Rank,
     /// Prompt tokens to prefill.
@@ -106,7 +106,7 @@
 pub struct ServerView {
     info: ServerInfo,
     seen: Option<Seen>,
-    own: BTreeMap<RequestId, OwnWork>,
+    own: BTreeMap<RequestId, SentRequest>,
     prefixes: VecDeque<(PrefixHash, u64)>,
     no_room_at: Option<Time>,
     /// Whether the server rests after failures.
@@ -163,7 +163,7 @@
     }
 
     /// Whether new work may go there at all.
-    pub fn takes_work(&self, now: Time) -> bool {
+    pub fn accepts_work(&self, now: Time) -> bool {
         let says_leaving = self.report().is_some_and(|report| report.leaving);
         !self.info.leaving && !says_leaving && self.breaker.admits(now)
     }
@@ -179,20 +179,20 @@
     }
 
     /// Records work sent.
-    pub fn sent(&mut self, request: RequestId, work: OwnWork) {
+    pub fn record_sent(&mut self, request: RequestId, work: SentRequest) {
         self.own.insert(request, work);
         self.breaker.on_dispatch();
     }
 
     /// Records the first token of own work.
-    pub fn started(&mut self, now: Time, request: RequestId) {
+    pub fn record_first_token(&mut self, now: Time, request: RequestId) {
         if let Some(work) = self.own.get_mut(&request) {
             work.started_at.get_or_insert(now);
         }
     }
 
     /// Forgets own work that ended.
-    pub fn ended(&mut self, request: RequestId) -> Option<OwnWork> {
+    pub fn record_end(&mut self, request: RequestId) -> Option<SentRequest> {
         self.own.remove(&request)
     }
 
@@ -209,7 +209,7 @@
         }
     }
 
-    fn unseen(&self) -> impl Iterator<Item = &OwnWork> {
+    fn unseen(&self) -> impl Iterator<Item = &SentRequest> {
         let taken_at = self.seen.as_ref().map_or(Time::ZERO, |seen| seen.taken_at);
         self.own
             .values()
@@ -232,7 +232,7 @@
     }
 
     /// Prompt tokens of long prompts that the engine has still to prefill.
-    pub fn long_queued(&self, now: Time) -> u64 {
+    pub fn queued_long_tokens(&self, now: Time) -> u64 {
         let reported: u64 = self.report().map_or(0, |report| {
             [2, 3, 5].iter().map(|&rank| report.queued[rank]).sum()
         });
@@ -247,7 +247,7 @@
     }
 
     /// Time that the tokens ahead of this rank take.
-    pub fn wait(&self, now: Time, rank: Rank) -> Duration {
+    pub fn queue_wait(&self, now: Time, rank: Rank) -> Duration {
         self.prefill_time(self.queued_ahead(now, rank))
     }
 
@@ -268,12 +268,12 @@
     }
 
     /// Records that the server had no room for a reservation; newer news than its report.
-    pub const fn had_no_room(&mut self, now: Time) {
+    pub const fn record_memory_full(&mut self, now: Time) {
         self.no_room_at = Some(now);
     }
 
     /// Whether the server said that it has no room since it made its last report.
-    pub fn is_known_full(&self) -> bool {
+    pub fn is_memory_full(&self) -> bool {
         let taken_at = self.seen.as_ref().map_or(Time::ZERO, |seen| seen.taken_at);
         self.no_room_at.is_some_and(|at| at >= taken_at)
     }
@@ -290,7 +290,7 @@
     }
 
     /// Remembers that the engine has this prefix in its cache.
-    pub fn cached(&mut self, prefix: PrefixHash, tokens: u64) {
+    pub fn record_prefix(&mut self, prefix: PrefixHash, tokens: u64) {
         self.prefixes.retain(|(known, _)| *known != prefix);
         self.prefixes.push_back((prefix, tokens));
         if self.prefixes.len() > MOST_PREFIXES {
--- a/lib/tests/test_scenarios.rs
+++ b/lib/tests/test_scenarios.rs
@@ -15,7 +15,7 @@
 use badgerferry_lib::lease::Lease;
 use badgerferry_lib::outcome::Outcome;
 use badgerferry_lib::outcome::RefusalReason;
-use badgerferry_lib::platform_wire::LeaseAnswer;
+use badgerferry_lib::platform_wire::LeaseResponse;
 use badgerferry_lib::request::Placement;
 use badgerferry_lib::request::Share;
 use badgerferry_lib::settings_commit::NoAnswer;
@@ -222,10 +222,10 @@
     });
 }
 
-fn lease_answer(case: &TestCase) -> Result<LeaseAnswer, NoAnswer> {
+fn lease_answer(case: &TestCase) -> Result<LeaseResponse, NoAnswer> {
     match arg(case, "granted") {
         None => Err(NoAnswer),
-        Some(granted) => Ok(LeaseAnswer {
+        Some(granted) => Ok(LeaseResponse {
             granted: granted == "yes",
             holder: arg(case, "holder").unwrap_or("me").to_owned(),
             fence: millis(case, "fence"),
@@ -243,7 +243,7 @@
                 "lease" => lease = Lease::new(Duration::from_millis(millis(case, "ttl"))),
                 "answer" => {
                     let asked_at = Time::from_millis(millis(case, "asked"));
-                    lease.on_answer(asked_at, now, lease_answer(case));
+                    lease.on_response(asked_at, now, lease_answer(case));
                 }
                 "look" => {}
                 other => panic!("no such directive: {other}"),
@@ -252,7 +252,7 @@
                 Some(fence) => format!("may order under {fence}"),
                 None => "may not order".to_owned(),
             };
-            let ask = if lease.wants_to_ask(now) {
+            let ask = if lease.is_request_due(now) {
                 ", asks"
             } else {
                 ""
--- a/testutils/src/bin/standin-engine.rs
+++ b/testutils/src/bin/standin-engine.rs
@@ -18,9 +18,9 @@
 use badgerferry_lib::engine_wire::PrefillRequest;
 use badgerferry_lib::engine_wire::ReleaseRequest;
 use badgerferry_lib::engine_wire::RenewRequest;
-use badgerferry_lib::engine_wire::ReportAnswer;
+use badgerferry_lib::engine_wire::ReportResponse;
 use badgerferry_lib::engine_wire::ReserveRequest;
-use badgerferry_lib::engine_wire::ServerFault;
+use badgerferry_lib::engine_wire::ServerErrorBody;
 use badgerferry_lib::ids::AttemptId;
 use badgerferry_lib::ids::ModelName;
 use badgerferry_lib::priority::Rank;
@@ -189,7 +189,7 @@
 }
 
 fn not_started(message: &str) -> Response {
-    let fault = ServerFault {
+    let fault = ServerErrorBody {
         not_started: true,
         message: message.to_owned(),
     };
@@ -378,7 +378,7 @@
         }
         let mut report = inner.reported.1.clone();
         report.leaving = inner.faults.leaving;
-        ReportAnswer {
+        ReportResponse {
             report,
             age_ms: inner.reported.0.elapsed().as_millis() as u64,
         }
--- a/testutils/src/bin/standin-platform.rs
+++ b/testutils/src/bin/standin-platform.rs
@@ -11,7 +11,7 @@
 use badgerferry_lib::platform_wire::BoxList;
 use badgerferry_lib::platform_wire::LeaseRequest;
 use badgerferry_lib::platform_wire::VERSION_HEADER;
-use badgerferry_lib::platform_wire::WriteAnswer;
+use badgerferry_lib::platform_wire::WriteResponse;
 use badgerferry_lib::settings_commit::Versioned;
 use badgerferry_lib::time::Time;
 use badgerferry_testutils::fake_platform::FakePlatform;
@@ -201,9 +201,9 @@
         return down();
     }
     match done {
-        Ok(version) => json_answer(StatusCode::OK, &WriteAnswer { version }),
+        Ok(version) => json_answer(StatusCode::OK, &WriteResponse { version }),
         Err(WriteRefusal::Conflict(version)) => {
-            json_answer(StatusCode::CONFLICT, &WriteAnswer { version })
+            json_answer(StatusCode::CONFLICT, &WriteResponse { version })
         }
         Err(WriteRefusal::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE.into_response(),
     }
--- a/testutils/src/bin/standin-service.rs
+++ b/testutils/src/bin/standin-service.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use argh::FromArgs;
-use badgerferry_lib::engine_wire::ServerFault;
+use badgerferry_lib::engine_wire::ServerErrorBody;
 use badgerferry_testutils::http;
 use badgerferry_testutils::http::bad_request;
 use badgerferry_testutils::http::body;
@@ -69,7 +69,7 @@
     let body = req.bytes().await?;
     let faults = standin.with(|inner| inner.faults);
     if faults.refuse {
-        let fault = ServerFault {
+        let fault = ServerErrorBody {
             not_started: true,
             message: "busy".to_owned(),
         };
--- a/testutils/src/fake_platform.rs
+++ b/testutils/src/fake_platform.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use badgerferry_lib::platform_wire::BoxList;
-use badgerferry_lib::platform_wire::LeaseAnswer;
 use badgerferry_lib::platform_wire::LeaseRequest;
+use badgerferry_lib::platform_wire::LeaseResponse;
 use badgerferry_lib::settings_commit::Version;
 use badgerferry_lib::settings_commit::Versioned;
 use badgerferry_lib::settings_head::MAX_VALUE_BYTES;
@@ -154,7 +154,7 @@
     }
 
     /// Grants, renews or ends a lease.
-    pub fn lease(&mut self, now: Time, asked: &LeaseRequest) -> LeaseAnswer {
+    pub fn lease(&mut self, now: Time, asked: &LeaseRequest) -> LeaseResponse {
         self.calls.writes += 1;
         let expires = now + Duration::from_millis(asked.ttl_ms);
         let current = self
@@ -163,7 +163,7 @@
             .filter(|lease| lease.expires > now);
         let lease = match current {
             Some(lease) if lease.holder != asked.holder => {
-                return LeaseAnswer {
+                return LeaseResponse {
                     granted: false,
                     holder: lease.holder.clone(),
                     fence: lease.fence,
@@ -182,7 +182,7 @@
                 }
             }
         };
-        let answer = LeaseAnswer {
+        let answer = LeaseResponse {
             granted: asked.ttl_ms > 0,
             holder: lease.holder.clone(),
             fence: lease.fence,
--- a/testutils/src/seeded_leases.rs
+++ b/testutils/src/seeded_leases.rs
@@ -16,13 +16,13 @@
 use badgerferry_lib::ids::ModelName;
 use badgerferry_lib::ids::ServerName;
 use badgerferry_lib::lease::Lease;
-use badgerferry_lib::placement::Placement;
+use badgerferry_lib::placement::DesiredPlacement;
+use badgerferry_lib::placement::LeaseTerm;
+use badgerferry_lib::placement::ObservedEngine;
+use badgerferry_lib::placement::PlacementController;
 use badgerferry_lib::placement::PlacementOrder;
-use badgerferry_lib::placement::SeenEngine;
-use badgerferry_lib::placement::Tenure;
-use badgerferry_lib::placement::Wanted;
-use badgerferry_lib::platform_wire::LeaseAnswer;
 use badgerferry_lib::platform_wire::LeaseRequest;
+use badgerferry_lib::platform_wire::LeaseResponse;
 use badgerferry_lib::settings_commit::NoAnswer;
 use badgerferry_lib::time::Time;
 use rand::Rng;
@@ -76,7 +76,7 @@
     /// A lease request reaches the platform.
     Ask(usize, Time, bool),
     /// The answer reaches the box.
-    Answer(usize, Time, Result<LeaseAnswer, NoAnswer>),
+    Answer(usize, Time, Result<LeaseResponse, NoAnswer>),
     /// An order reaches an engine.
     Order(usize, usize, u64, OrderAction),
     /// An engine restarts empty.
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 struct BoxState {
     lease: Lease,
-    placement: Placement,
+    placement: PlacementController,
     asking: bool,
     frozen: Vec<(Time, Time)>,
 }
@@ -139,7 +139,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let boxes = (0..rng.random_range(2..=4)).map(|_| BoxState {
             lease: Lease::new(TTL),
-            placement: Placement::default(),
+            placement: PlacementController::default(),
             asking: false,
             frozen: spans(&mut rng, 3, 40_000),
         });
@@ -206,7 +206,7 @@
         now.map(|(_, to)| *to).max()
     }
 
-    fn wanted(&self) -> Wanted {
+    fn wanted(&self) -> DesiredPlacement {
         // The version goes to and fro while faults last, and ends as the new one.
         let turns = self.now.since(Time::ZERO).as_secs() / VERSION_TURN.as_secs();
         let changed = turns % 2 == 1 || self.now >= Time::ZERO + FAULTS_END;
@@ -216,7 +216,7 @@
             [(OLD, 2), (NEW, 0)]
         };
         let copies = copies.map(|(model, count)| (ModelName::new(model), count));
-        Wanted {
+        DesiredPlacement {
             copies: copies.into(),
             hysteresis: Duration::from_secs(3),
             loads_per_min: LOADS_PER_MIN,
@@ -230,7 +230,7 @@
         }
         self.after(ROUND, What::Round(index));
         let now = self.now;
-        if self.boxes[index].lease.wants_to_ask(now) && !self.boxes[index].asking {
+        if self.boxes[index].lease.is_request_due(now) && !self.boxes[index].asking {
             self.boxes[index].asking = true;
             self.send_ask(index);
         }
@@ -243,7 +243,7 @@
         let orders =
             self.boxes[index]
                 .placement
-                .round(now, Tenure { fence, since }, &wanted, &seen);
+                .reconcile(now, LeaseTerm { fence, since }, &wanted, &seen);
         for order in orders {
             if let Some(fence) = self.boxes[index].lease.fence(now) {
                 self.give(index, fence, order);
@@ -251,8 +251,8 @@
         }
     }
 
-    fn seen(&self) -> Vec<SeenEngine> {
-        let engine = |(index, engine): (usize, &FakeEngine)| SeenEngine {
+    fn seen(&self) -> Vec<ObservedEngine> {
+        let engine = |(index, engine): (usize, &FakeEngine)| ObservedEngine {
             name: engine_name(index),
             models: engine.models().iter().cloned().collect(),
             running: 0,
@@ -292,14 +292,14 @@
         }
     }
 
-    fn answer(&mut self, index: usize, asked_at: Time, answer: Result<LeaseAnswer, NoAnswer>) {
+    fn answer(&mut self, index: usize, asked_at: Time, answer: Result<LeaseResponse, NoAnswer>) {
         if let Some(thaws) = self.thaws(index) {
             let span = self.now.until(thaws);
             return self.after(span, What::Answer(index, asked_at, answer));
         }
         let boxx = &mut self.boxes[index];
         boxx.asking = false;
-        boxx.lease.on_answer(asked_at, self.now, answer);
+        boxx.lease.on_response(asked_at, self.now, answer);
         if let Some(fence) = boxx
             .lease
             .fence(self.now)
@@ -358,7 +358,7 @@
             return;
         }
         let placement = &mut self.boxes[holder].placement;
-        placement.on_taken(fence, &engine_name(engine));
+        placement.on_order_accepted(fence, &engine_name(engine));
         assert!(
             fence >= self.taken[engine],
             "an old order took effect at engine {engine}"
