--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -585,7 +585,7 @@
                 memory: share.tokens,
                 long,
                 sent_at: now,
-                started_at: None,
+                first_token_at: None,
             };
             if let Some(&index) = self.by_name.get(&share.server) {
                 self.servers[index].record_sent(request.id, work);
--- a/lib/src/long_prompt_engines.rs
+++ b/lib/src/long_prompt_engines.rs
@@ -1,11 +1,10 @@
-//! Where long prompts run, and how one larger than an engine's memory is split.
+//! Selection of engines for long prompts, and splitting of prompts that exceed one engine.
 //!
-//! Long prompts keep to the first engines of a fixed order (rendezvous hash of model
-//! and engine), as many as their share of the demand needs, so that the other engines
-//! stay free for short calls. Every box computes the same order without a word between
-//! them; they may differ in the count, and then one lane contains the other. Groups take
-//! engines from the back of the lane and single long prompts from the front, so that
-//! the two meet only when the lane is full.
+//! Long prompts run only on the first engines in order of a rendezvous hash of model and
+//! engine, as many as their share of the demand needs; the other engines stay free for short
+//! calls. All boxes compute the same order without communication. If their counts differ, the
+//! larger set contains the smaller. Engine groups are taken from the end of the set and single
+//! long prompts from its start, so that they compete only when the set is full.
 
 use sha2::Digest;
 use sha2::Sha256;
@@ -15,15 +14,15 @@
 use crate::request::Share;
 use crate::server_view::ServerView;
 
-/// Part of an engine's memory that long prompts together may take; the rest stays free for
-/// short calls, which would otherwise wait for a long one's end.
+/// Share of an engine's memory available to all its long prompts together, in percent. The rest
+/// is kept for short calls, which would otherwise wait until a long prompt ends.
 pub const LONG_MEMORY_PERCENT: u64 = 85;
-/// Half-life of the demand that the lane's size follows, in seconds.
+/// Half-life of the demand that determines the number of engines for long prompts.
 const DEMAND_HALF_LIFE_S: f64 = 60.0;
-/// Room above the long prompts' share of demand, so that the lane itself does not queue.
-const LANE_HEADROOM: f64 = 1.4;
+/// Factor of capacity over the long prompts' share of demand; avoids queues on their engines.
+const LONG_ENGINE_HEADROOM: f64 = 1.4;
 
-/// Position of an engine in a model's lane order.
+/// Rendezvous hash of a model and an engine; long prompts prefer engines with low values.
 ///
 /// # Panics
 ///
@@ -37,7 +36,7 @@
     u64::from_be_bytes(digest[..8].try_into().expect("eight bytes of a digest"))
 }
 
-/// Decaying count of prompt tokens asked for, long and short.
+/// Exponentially decaying counts of requested prompt tokens, by long and short prompts.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct PromptDemand {
     long: f64,
@@ -46,12 +45,12 @@
 }
 
 impl PromptDemand {
-    /// Counts a prompt.
+    /// Adds a prompt of `tokens` tokens.
     pub fn record(&mut self, now_s: f64, tokens: u64, long: bool) {
-        let kept = 0.5_f64.powf((now_s - self.at_s).max(0.0) / DEMAND_HALF_LIFE_S);
+        let decay = 0.5_f64.powf((now_s - self.at_s).max(0.0) / DEMAND_HALF_LIFE_S);
         self.at_s = now_s;
-        self.long *= kept;
-        self.short *= kept;
+        self.long *= decay;
+        self.short *= decay;
         if long {
             self.long += tokens as f64;
         } else {
@@ -59,73 +58,75 @@
         }
     }
 
-    /// Engines of `total` that long prompts may use, at most `most_percent` of them.
-    pub fn long_engine_count(&self, total: usize, most_percent: u64) -> usize {
-        let all = self.long + self.short;
+    /// Number of engines out of `total` that long prompts may use, at most `max_percent` of them
+    /// but at least one if there is demand for long prompts and `total` is not zero.
+    pub fn long_engine_count(&self, total: usize, max_percent: u64) -> usize {
+        let demand = self.long + self.short;
         if total == 0 || self.long <= 0.0 {
             return 0;
         }
-        let wanted = (total as f64 * self.long / all * LANE_HEADROOM).ceil() as usize;
-        let most = (total as u64 * most_percent / 100).max(1) as usize;
-        wanted.clamp(1, most)
+        let wanted = (total as f64 * self.long / demand * LONG_ENGINE_HEADROOM).ceil() as usize;
+        let max = (total as u64 * max_percent / 100).max(1) as usize;
+        wanted.clamp(1, max)
     }
 }
 
-/// Tokens of an engine's memory that a long prompt may take.
+/// Memory of an engine available to long prompts, in tokens.
 pub fn usable_memory(server: &ServerView) -> u64 {
     server.memory_total() * LONG_MEMORY_PERCENT / 100
 }
 
-/// How many of the engines, from the first on, hold this many tokens.
+/// Number of engines, from the first on, whose usable memory together holds `tokens`; all of
+/// them if it does not suffice.
 pub fn engines_needed<'a>(engines: impl Iterator<Item = &'a ServerView>, tokens: u64) -> usize {
-    let mut left = tokens;
+    let mut remaining = tokens;
     let mut count = 0;
     for engine in engines {
-        if left == 0 {
+        if remaining == 0 {
             break;
         }
-        left = left.saturating_sub(usable_memory(engine));
+        remaining = remaining.saturating_sub(usable_memory(engine));
         count += 1;
     }
     count
 }
 
-/// Tokens of an engine's memory that another long prompt may take now.
+/// Memory of an engine that another long prompt may take now, in tokens.
 pub fn free_long_memory(server: &ServerView) -> u64 {
     if server.is_memory_full() {
         return 0;
     }
-    let kept = server.memory_total() - usable_memory(server);
-    server.memory_free().saturating_sub(kept)
+    let reserved = server.memory_total() - usable_memory(server);
+    server.memory_free().saturating_sub(reserved)
 }
 
-/// Splits a prompt over engines in order of preference; none if they do not suffice.
+/// Splits a prompt over engines in order of preference; `None` if their memory is insufficient.
 ///
-/// `whole` is the memory for the prompt and its answer, in tokens. The shares come out in
-/// the order in which every box reserves them, by name, so that two groups meet at their
+/// `total` is the memory for the prompt and its output, in tokens. The shares are sorted by
+/// server name. Every box reserves them in this order, so that two groups conflict at their
 /// first common engine and at no other.
-pub fn plan_group(candidates: &[&ServerView], prompt: u64, whole: u64) -> Option<Vec<Share>> {
-    let mut left = whole;
+pub fn plan_group(candidates: &[&ServerView], prompt: u64, total: u64) -> Option<Vec<Share>> {
+    let mut remaining = total;
     let mut shares = Vec::new();
     for server in candidates {
-        let held = free_long_memory(server).min(left);
-        if held > 0 {
-            left -= held;
+        let taken = free_long_memory(server).min(remaining);
+        if taken > 0 {
+            remaining -= taken;
             shares.push(Share {
                 server: server.info().name.clone(),
-                tokens: held,
+                tokens: taken,
                 prompt: 0,
             });
         }
     }
-    if left > 0 {
+    if remaining > 0 {
         return None;
     }
     shares.sort_by(|a, b| a.server.cmp(&b.server));
-    let mut prompt_left = prompt;
+    let mut prompt_remaining = prompt;
     for share in &mut shares {
-        share.prompt = share.tokens.min(prompt_left);
-        prompt_left -= share.prompt;
+        share.prompt = share.tokens.min(prompt_remaining);
+        prompt_remaining -= share.prompt;
     }
     Some(shares)
 }
--- a/lib/src/model_servers.rs
+++ b/lib/src/model_servers.rs
@@ -1,4 +1,4 @@
-//! The servers of one model at one instant, as a decision sees them.
+//! Snapshot of the servers of one model, as input of a routing decision.
 
 use crate::ids::HallName;
 use crate::ids::ModelName;
@@ -7,23 +7,23 @@
 use crate::service_time::Pace;
 use crate::time::Time;
 
-/// The servers of a model at one instant.
+/// Servers of a model that accept work, and their combined capacity at one instant.
 #[derive(Debug)]
 pub(crate) struct ModelServers {
-    /// Indices of those that take work.
+    /// Indices of the servers that serve the model and accept work.
     pub(crate) serving: Vec<usize>,
-    /// How fast they work.
+    /// Service speed of these servers.
     pub(crate) pace: Pace,
-    /// Prompt tokens a second of the hall's own, over its boxes.
+    /// Prefill rate of the servers in the hall divided by its boxes, in tokens per second.
     pub(crate) box_prefill_rate: f64,
-    /// Memory that long prompts may take, at all of them.
+    /// Memory that long prompts may use on all servers together, in tokens.
     pub(crate) usable_memory: u64,
-    /// The same, at the largest.
+    /// Memory that long prompts may use on the largest server, in tokens.
     pub(crate) max_memory: u64,
 }
 
 impl ModelServers {
-    /// Works it out; `boxes` share the servers of `hall`.
+    /// Computes the snapshot; `boxes` is the number of boxes that share the servers of `hall`.
     pub(crate) fn new(
         now: Time,
         servers: &[ServerView],
@@ -35,11 +35,11 @@
             |&index: &usize| servers[index].accepts_work(now) && servers[index].serves(model);
         let serving: Vec<usize> = (0..servers.len()).filter(is_usable).collect();
         let views = || serving.iter().map(|&index| &servers[index]);
-        let own = views().filter(|server| server.info().hall == *hall);
-        let box_prefill_rate: f64 = own.map(|server| server.prefill_rate() as f64).sum();
+        let local = views().filter(|server| server.info().hall == *hall);
+        let hall_prefill_rate: f64 = local.map(|server| server.prefill_rate() as f64).sum();
         Self {
             pace: Pace::of(views()),
-            box_prefill_rate: box_prefill_rate / boxes as f64,
+            box_prefill_rate: hall_prefill_rate / boxes as f64,
             usable_memory: views().map(long_prompt_engines::usable_memory).sum(),
             max_memory: views()
                 .map(long_prompt_engines::usable_memory)
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -1,11 +1,11 @@
-//! Chooses a server for a request on stale knowledge.
+//! Selects a server for a request, based on stale load reports.
 //!
-//! A few candidates are drawn at random, so that boxes with the same stale reports do
-//! not all choose the same one, and the cheapest of them is taken. The cost of a
-//! candidate is the time until the request's first token there: the queue ahead of its
-//! rank, its own prefill less what the engine has cached, and the trip to another data
-//! hall. The plain policies are kept as baselines to measure against; a daemon always
-//! uses [`Policy::Cost`]. Ways weighed: `docs/design/routing.md`.
+//! The candidate with the lowest cost out of a few random ones is selected. Random sampling
+//! keeps boxes with the same stale reports from all selecting the same server. The cost is the
+//! estimated time to the request's first token: the queue ahead of its rank, its own prefill
+//! without the cached prefix, contention at the server, and the trip to another data hall. The
+//! other policies are baselines for measurements; a daemon always uses [`Policy::Cost`].
+//! Alternatives: `docs/design/routing.md`.
 
 use std::fmt;
 use std::time::Duration;
@@ -19,29 +19,29 @@
 use crate::server_view::ServerView;
 use crate::time::Time;
 
-/// What each request that generates adds to the time of a new one; spreads long answers.
-const CROWD_PER_REQUEST: Duration = Duration::from_micros(300);
-/// What a candidate without room in memory costs more; it would make the request wait there.
-const NO_MEMORY: Duration = Duration::from_secs(2);
+/// Cost per request that is generating at the server; spreads long outputs over servers.
+const CONTENTION_PER_REQUEST: Duration = Duration::from_micros(300);
+/// Additional cost of a server without enough free memory, where the request would have to wait.
+const MEMORY_SHORTAGE: Duration = Duration::from_secs(2);
 
-/// How servers are chosen.
+/// Policy for the selection of a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Least time to first token among a few drawn; what the daemon uses.
+    /// Lowest estimated time to first token among a few random candidates; used by the daemon.
     #[default]
     Cost,
-    /// One after the other.
+    /// Each server in turn.
     RoundRobin,
-    /// Fewest own requests in flight.
+    /// Fewest requests of this box in flight.
     LeastRequests,
-    /// Least reported queue.
+    /// Shortest reported queue.
     LeastReported,
-    /// The one of two drawn with fewer own requests in flight.
+    /// Of two random servers, the one with fewer requests of this box in flight.
     TwoChoices,
 }
 
 impl Policy {
-    /// Name for tables.
+    /// Name of the policy in tables of results.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Cost => "cost",
@@ -53,32 +53,32 @@
     }
 }
 
-/// What a candidate costs, as time until the first token.
+/// Cost of a candidate, as estimated time to the first token.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Cost {
-    /// The queue ahead.
+    /// Prefill time of the queue ahead.
     pub wait: Duration,
-    /// The prompt's own prefill, less what is cached.
+    /// Prefill time of the prompt without its cached prefix.
     pub prefill: Duration,
-    /// Requests that generate there, and want of memory.
+    /// Cost of requests that are generating there, and of insufficient memory.
     pub contention: Duration,
-    /// The way to another data hall.
+    /// Cost of using another data hall.
     pub trip: Duration,
 }
 
 impl Cost {
-    /// The whole.
+    /// Sum of all components.
     pub fn total(&self) -> Duration {
         self.wait + self.prefill + self.contention + self.trip
     }
 }
 
-/// A candidate that was weighed.
+/// Server that was considered, with its cost.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// The server.
+    /// Name of the server.
     pub server: ServerName,
-    /// What it would cost.
+    /// Estimated cost of the request there.
     pub cost: Cost,
 }
 
@@ -98,44 +98,44 @@
     }
 }
 
-/// A chosen server and what was weighed.
+/// Selected server, and all candidates.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// Index of the chosen server in the caller's list.
+    /// Index of the selected server in the caller's list.
     pub index: usize,
-    /// The chosen one's cost.
+    /// Cost of the selected server.
     pub cost: Cost,
-    /// Every candidate drawn.
+    /// All candidates, including the selected one.
     pub candidates: Vec<Candidate>,
 }
 
-/// What a choice depends on besides the servers.
+/// Parameters of a selection other than the servers.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingContext<'a> {
-    /// The present.
+    /// Current time.
     pub now: Time,
-    /// This box's data hall.
+    /// Data hall of this box.
     pub hall: &'a HallName,
-    /// Servers drawn.
+    /// Number of random candidates.
     pub samples: usize,
-    /// What another hall must be better by.
+    /// Cost added to servers of another data hall.
     pub hall_trip: Duration,
 }
 
-/// Works out what a request costs at a server.
+/// Estimates the cost of a request at a server.
 pub fn cost(cx: RoutingContext<'_>, server: &ServerView, request: &Request, rank: Rank) -> Cost {
     let cached = match request.prefix {
         Some(prefix) => server.cached_tokens(prefix).min(request.prompt_tokens),
         None => 0,
     };
-    let wants = request.prompt_tokens + request.max_output;
-    let lacks_memory = request.prompt_tokens > 0 && server.memory_free() < wants;
-    let contention = CROWD_PER_REQUEST * server.running() as u32;
+    let needed_memory = request.prompt_tokens + request.max_output;
+    let lacks_memory = request.prompt_tokens > 0 && server.memory_free() < needed_memory;
+    let contention = CONTENTION_PER_REQUEST * server.running() as u32;
     Cost {
         wait: server.queue_wait(cx.now, rank),
         prefill: server.prefill_time(request.prompt_tokens - cached),
         contention: if lacks_memory {
-            contention + NO_MEMORY
+            contention + MEMORY_SHORTAGE
         } else {
             contention
         },
@@ -147,7 +147,7 @@
     }
 }
 
-/// Draws candidates from `usable` (indices into `servers`) and takes the cheapest.
+/// Selects the cheapest of a few random candidates from `usable` (indices into `servers`).
 pub fn choose(
     cx: RoutingContext<'_>,
     servers: &[ServerView],
@@ -156,17 +156,17 @@
     rank: Rank,
     rng: &mut impl Rng,
 ) -> Option<Choice> {
-    let drawn = draw(usable, cx.samples, rng);
+    let sampled = sample(usable, cx.samples, rng);
     let mut best: Option<(usize, Cost)> = None;
-    let mut candidates = Vec::with_capacity(drawn.len());
-    for &index in drawn {
-        let found = cost(cx, &servers[index], request, rank);
+    let mut candidates = Vec::with_capacity(sampled.len());
+    for &index in sampled {
+        let estimate = cost(cx, &servers[index], request, rank);
         candidates.push(Candidate {
             server: servers[index].info().name.clone(),
-            cost: found,
+            cost: estimate,
         });
-        if best.is_none_or(|(_, least)| found.total() < least.total()) {
-            best = Some((index, found));
+        if best.is_none_or(|(_, lowest)| estimate.total() < lowest.total()) {
+            best = Some((index, estimate));
         }
     }
     best.map(|(index, cost)| Choice {
@@ -176,22 +176,22 @@
     })
 }
 
-/// Moves `count` randomly drawn entries to the front and returns them.
-fn draw<'a>(usable: &'a mut [usize], count: usize, rng: &mut impl Rng) -> &'a [usize] {
+/// Moves `count` random entries to the front and returns them.
+fn sample<'a>(usable: &'a mut [usize], count: usize, rng: &mut impl Rng) -> &'a [usize] {
     let count = count.min(usable.len());
-    for at in 0..count {
-        let other = rng.random_range(at..usable.len());
-        usable.swap(at, other);
+    for index in 0..count {
+        let other = rng.random_range(index..usable.len());
+        usable.swap(index, other);
     }
     &usable[..count]
 }
 
-/// Chooses by one of the plain policies.
+/// Selects a server by a baseline policy; `cursor` is the position of the round robin.
 pub fn choose_baseline(
     policy: Policy,
     servers: &[ServerView],
     usable: &[usize],
-    turn: &mut usize,
+    cursor: &mut usize,
     rng: &mut impl Rng,
 ) -> Option<usize> {
     if usable.is_empty() {
@@ -200,15 +200,15 @@
     let in_flight = |index: &usize| servers[*index].in_flight();
     match policy {
         Policy::Cost | Policy::RoundRobin => {
-            *turn += 1;
-            Some(usable[*turn % usable.len()])
+            *cursor += 1;
+            Some(usable[*cursor % usable.len()])
         }
         Policy::LeastRequests => {
-            // Ties broken at random, or every idle box would begin with the first server.
-            let least = usable.iter().map(in_flight).min()?;
+            // Break ties at random; otherwise every idle box would start with the first server.
+            let lowest = usable.iter().map(in_flight).min()?;
             let ties: Vec<_> = usable
                 .iter()
-                .filter(|index| in_flight(index) == least)
+                .filter(|index| in_flight(index) == lowest)
                 .collect();
             Some(*ties[rng.random_range(0..ties.len())])
         }
@@ -217,10 +217,10 @@
                 let report = servers[index].report();
                 report.map_or(0, |report| report.queued.iter().sum::<u64>())
             };
-            let least = usable.iter().map(|&index| queued(index)).min()?;
+            let lowest = usable.iter().map(|&index| queued(index)).min()?;
             let ties: Vec<_> = usable
                 .iter()
-                .filter(|&&index| queued(index) == least)
+                .filter(|&&index| queued(index) == lowest)
                 .collect();
             Some(*ties[rng.random_range(0..ties.len())])
         }
--- a/lib/src/server_view.rs
+++ b/lib/src/server_view.rs
@@ -1,8 +1,8 @@
-//! What one box knows of a backend server: its lagged report and the box's own work.
+//! One box's view of a backend server: its delayed report and the requests of this box.
 //!
-//! A report says how the server stood some time ago. The box corrects it by what it
-//! knows better: work that it sent since, work whose first token it has seen, and the
-//! time that the server has had to work its queue off.
+//! A report describes the server at an earlier time. The box corrects it by requests that it
+//! has sent since, by first tokens that it has received, and by the prefill that the server can
+//! have done since the report.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -21,33 +21,34 @@
 use crate::request::PrefixHash;
 use crate::time::Time;
 
-/// Prefixes remembered per engine; an engine's cache holds a few hundred long ones.
-const MOST_PREFIXES: usize = 256;
-/// Prefill rate assumed before a report, in tokens a second.
-const UNREPORTED_PREFILL_RATE: u64 = 10_000;
+/// Maximum number of prefixes recorded per engine; an engine's cache holds a few hundred long
+/// ones.
+const MAX_CACHED_PREFIXES: usize = 256;
+/// Prefill rate assumed without a report, in tokens per second.
+const DEFAULT_PREFILL_RATE: u64 = 10_000;
 
-/// What a backend server is.
+/// Kind of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerKind {
-    /// A model engine.
+    /// Model engine.
     Engine,
-    /// A plain service.
+    /// Plain service without a model.
     Service,
 }
 
-/// A backend server as the platform's list names it.
+/// Entry of a backend server in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerInfo {
-    /// Its name.
+    /// Name of the server.
     pub name: ServerName,
-    /// Its data hall.
+    /// Data hall of the server.
     pub hall: HallName,
-    /// What it is.
+    /// Engine or plain service.
     pub kind: ServerKind,
-    /// Where it listens, as `ip:port`.
+    /// Listen address, as `ip:port`.
     pub address: String,
-    /// For a plain service, the pool it belongs to.
+    /// Pool of a plain service; `None` for engines.
     #[serde(default)]
     pub pool: Option<ModelName>,
     /// Whether it takes no new work.
@@ -55,120 +56,125 @@
     pub leaving: bool,
 }
 
-/// How an engine says that it stands.
+/// State of an engine as reported by itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Models that are loaded.
+    /// Loaded models.
     pub models: Vec<ModelName>,
-    /// Prompt tokens not yet prefilled, by rank.
+    /// Prompt tokens waiting for prefill, by rank.
     pub queued: [u64; RANKS],
-    /// Requests that generate.
+    /// Number of requests that are generating.
     pub running: u32,
-    /// Memory for KV, in tokens.
+    /// Capacity of KV memory, in tokens.
     pub memory_total: u64,
-    /// Memory held, in tokens.
+    /// KV memory in use, in tokens.
     pub memory_used: u64,
-    /// Prompt tokens prefilled a second when nothing else is done.
+    /// Prefill rate of the otherwise idle engine, in tokens per second.
     pub prefill_rate: u64,
-    /// Time between tokens of one answer, in microseconds.
+    /// Time between two tokens of one output, in microseconds.
     pub token_interval_us: u64,
     /// Whether it takes no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A report and when the server made it, on the reader's clock.
+/// Report with the time at which the server created it, on this box's clock.
 #[derive(Debug, Clone)]
-struct Seen {
+struct ReceivedReport {
     report: EngineReport,
-    taken_at: Time,
+    reported_at: Time,
 }
 
-/// Work that this box sent to the server.
+/// Request that this box sent to the server.
 #[derive(Debug, Clone, Copy)]
 pub struct SentRequest {
-    /// Its rank at the server.
+    /// Scheduling rank at the server.
     pub rank: Rank,
-    /// Prompt tokens to prefill.
+    /// Number of prompt tokens to prefill.
     pub prefill: u64,
-    /// Memory it takes, in tokens.
+    /// Memory that the request occupies, in tokens.
     pub memory: u64,
-    /// Whether its prompt is long.
+    /// Whether the prompt is long.
     pub long: bool,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent_at: Time,
-    /// When its first token came.
-    pub started_at: Option<Time>,
+    /// Time at which the first token was received.
+    pub first_token_at: Option<Time>,
 }
 
-/// One server as this box sees it.
+/// View of one server.
 #[derive(Debug)]
 pub struct ServerView {
     info: ServerInfo,
-    seen: Option<Seen>,
-    own: BTreeMap<RequestId, SentRequest>,
+    latest_report: Option<ReceivedReport>,
+    requests: BTreeMap<RequestId, SentRequest>,
     prefixes: VecDeque<(PrefixHash, u64)>,
-    no_room_at: Option<Time>,
-    /// Whether the server rests after failures.
+    memory_full_at: Option<Time>,
+    /// Circuit breaker that excludes the server after failures.
     pub breaker: Breaker,
 }
 
 impl ServerView {
-    /// A server that has not reported yet.
+    /// Creates a view without a report.
     pub const fn new(info: ServerInfo) -> Self {
         Self {
             info,
-            seen: None,
-            own: BTreeMap::new(),
+            latest_report: None,
+            requests: BTreeMap::new(),
             prefixes: VecDeque::new(),
-            no_room_at: None,
+            memory_full_at: None,
             breaker: Breaker::Closed,
         }
     }
 
-    /// The platform's entry.
+    /// Entry in the platform's list.
     pub const fn info(&self) -> &ServerInfo {
         &self.info
     }
 
-    /// Takes a newer entry of the platform's list.
+    /// Replaces the entry of the platform's list.
     pub fn set_info(&mut self, info: ServerInfo) {
         self.info = info;
     }
 
-    /// Gives it no new work from now on: the list no longer has it.
+    /// Stops new requests to a server that is no longer listed.
     pub const fn set_leaving(&mut self) {
         self.info.leaving = true;
     }
 
-    /// Takes a report; an older one than the last is ignored.
-    pub fn set_report(&mut self, report: EngineReport, taken_at: Time) {
-        let newer = self
-            .seen
+    /// Stores a report unless it is older than the current one.
+    pub fn set_report(&mut self, report: EngineReport, reported_at: Time) {
+        let is_newer = self
+            .latest_report
             .as_ref()
-            .is_none_or(|seen| taken_at >= seen.taken_at);
-        if newer {
-            self.seen = Some(Seen { report, taken_at });
+            .is_none_or(|latest| reported_at >= latest.reported_at);
+        if is_newer {
+            self.latest_report = Some(ReceivedReport {
+                report,
+                reported_at,
+            });
         }
     }
 
-    /// The last report.
+    /// Latest report.
     pub fn report(&self) -> Option<&EngineReport> {
-        self.seen.as_ref().map(|seen| &seen.report)
+        self.latest_report.as_ref().map(|latest| &latest.report)
     }
 
-    /// Age of the last report.
+    /// Age of the latest report.
     pub fn report_age(&self, now: Time) -> Option<Duration> {
-        self.seen.as_ref().map(|seen| now.since(seen.taken_at))
+        self.latest_report
+            .as_ref()
+            .map(|latest| now.since(latest.reported_at))
     }
 
-    /// Whether new work may go there at all.
+    /// Whether new requests may be sent: the server is not leaving and its breaker admits them.
     pub fn accepts_work(&self, now: Time) -> bool {
-        let says_leaving = self.report().is_some_and(|report| report.leaving);
-        !self.info.leaving && !says_leaving && self.breaker.admits(now)
+        let reports_leaving = self.report().is_some_and(|report| report.leaving);
+        !self.info.leaving && !reports_leaving && self.breaker.admits(now)
     }
 
-    /// Whether it serves this model, or belongs to this service pool.
+    /// Whether the engine has this model loaded, or the service belongs to this pool.
     pub fn serves(&self, model: &ModelName) -> bool {
         match self.info.kind {
             ServerKind::Service => self.info.pool.as_ref() == Some(model),
@@ -178,127 +184,133 @@
         }
     }
 
-    /// Records work sent.
-    pub fn record_sent(&mut self, request: RequestId, work: SentRequest) {
-        self.own.insert(request, work);
+    /// Records a request that was sent.
+    pub fn record_sent(&mut self, request: RequestId, sent: SentRequest) {
+        self.requests.insert(request, sent);
         self.breaker.on_dispatch();
     }
 
-    /// Records the first token of own work.
+    /// Records the first token of a request.
     pub fn record_first_token(&mut self, now: Time, request: RequestId) {
-        if let Some(work) = self.own.get_mut(&request) {
-            work.started_at.get_or_insert(now);
+        if let Some(sent) = self.requests.get_mut(&request) {
+            sent.first_token_at.get_or_insert(now);
         }
     }
 
-    /// Forgets own work that ended.
+    /// Removes a request that ended.
     pub fn record_end(&mut self, request: RequestId) -> Option<SentRequest> {
-        self.own.remove(&request)
+        self.requests.remove(&request)
     }
 
-    /// Own requests in flight.
+    /// Number of requests of this box in flight.
     pub fn in_flight(&self) -> usize {
-        self.own.len()
+        self.requests.len()
     }
 
-    /// Prompt tokens prefilled a second.
+    /// Reported prefill rate in tokens per second, or a default without a report.
     pub fn prefill_rate(&self) -> u64 {
         match self.report() {
             Some(report) if report.prefill_rate > 0 => report.prefill_rate,
-            _ => UNREPORTED_PREFILL_RATE,
+            _ => DEFAULT_PREFILL_RATE,
         }
     }
 
-    fn unseen(&self) -> impl Iterator<Item = &SentRequest> {
-        let taken_at = self.seen.as_ref().map_or(Time::ZERO, |seen| seen.taken_at);
-        self.own
+    fn sent_since_report(&self) -> impl Iterator<Item = &SentRequest> {
+        let reported_at = self
+            .latest_report
+            .as_ref()
+            .map_or(Time::ZERO, |latest| latest.reported_at);
+        self.requests
             .values()
-            .filter(move |work| work.sent_at >= taken_at)
+            .filter(move |request| request.sent_at >= reported_at)
     }
 
-    /// Prompt tokens ahead of new work of this rank.
+    /// Estimated prompt tokens ahead of a new request of this rank.
     pub fn queued_ahead(&self, now: Time, rank: Rank) -> u64 {
         let reported: u64 = self
             .report()
             .map_or(0, |report| report.queued[..=rank.index()].iter().sum());
         let age = self.report_age(now).unwrap_or_default();
-        let worked_off = (age.as_secs_f64() * self.prefill_rate() as f64) as u64;
-        let own: u64 = self
-            .unseen()
-            .filter(|work| work.started_at.is_none() && work.rank <= rank)
-            .map(|work| work.prefill)
+        let prefilled = (age.as_secs_f64() * self.prefill_rate() as f64) as u64;
+        let sent: u64 = self
+            .sent_since_report()
+            .filter(|request| request.first_token_at.is_none() && request.rank <= rank)
+            .map(|request| request.prefill)
             .sum();
-        reported.saturating_sub(worked_off) + own
+        reported.saturating_sub(prefilled) + sent
     }
 
-    /// Prompt tokens of long prompts that the engine has still to prefill.
+    /// Estimated prompt tokens of long prompts waiting for prefill.
     pub fn queued_long_tokens(&self, now: Time) -> u64 {
         let reported: u64 = self.report().map_or(0, |report| {
             [2, 3, 5].iter().map(|&rank| report.queued[rank]).sum()
         });
         let age = self.report_age(now).unwrap_or_default();
-        let worked_off = (age.as_secs_f64() * self.prefill_rate() as f64) as u64;
-        let own: u64 = self
-            .unseen()
-            .filter(|work| work.started_at.is_none() && work.long)
-            .map(|work| work.prefill)
+        let prefilled = (age.as_secs_f64() * self.prefill_rate() as f64) as u64;
+        let sent: u64 = self
+            .sent_since_report()
+            .filter(|request| request.first_token_at.is_none() && request.long)
+            .map(|request| request.prefill)
             .sum();
-        reported.saturating_sub(worked_off) + own
+        reported.saturating_sub(prefilled) + sent
     }
 
-    /// Time that the tokens ahead of this rank take.
+    /// Estimated prefill time of the tokens ahead of a new request of this rank.
     pub fn queue_wait(&self, now: Time, rank: Rank) -> Duration {
         self.prefill_time(self.queued_ahead(now, rank))
     }
 
-    /// Time to prefill this many tokens.
+    /// Time to prefill `tokens` at the current prefill rate.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_micros(tokens * 1_000_000 / self.prefill_rate())
     }
 
-    /// Memory left, in tokens.
+    /// Estimated free memory, in tokens; zero without a report.
     pub fn memory_free(&self) -> u64 {
-        let own: u64 = self.unseen().map(|work| work.memory).sum();
+        let sent: u64 = self.sent_since_report().map(|request| request.memory).sum();
         self.report().map_or(0, |report| {
             report
                 .memory_total
                 .saturating_sub(report.memory_used)
-                .saturating_sub(own)
+                .saturating_sub(sent)
         })
     }
 
-    /// Records that the server had no room for a reservation; newer news than its report.
+    /// Records that the server refused a reservation for lack of memory; supersedes its report.
     pub const fn record_memory_full(&mut self, now: Time) {
-        self.no_room_at = Some(now);
+        self.memory_full_at = Some(now);
     }
 
-    /// Whether the server said that it has no room since it made its last report.
+    /// Whether the server refused a reservation for lack of memory since its latest report.
     pub fn is_memory_full(&self) -> bool {
-        let taken_at = self.seen.as_ref().map_or(Time::ZERO, |seen| seen.taken_at);
-        self.no_room_at.is_some_and(|at| at >= taken_at)
+        let reported_at = self
+            .latest_report
+            .as_ref()
+            .map_or(Time::ZERO, |latest| latest.reported_at);
+        self.memory_full_at.is_some_and(|at| at >= reported_at)
     }
 
-    /// All memory, in tokens.
+    /// Reported memory capacity, in tokens; zero without a report.
     pub fn memory_total(&self) -> u64 {
         self.report().map_or(0, |report| report.memory_total)
     }
 
-    /// Requests that generate, as reported, and own ones since.
+    /// Number of generating requests: those reported, and those that this box sent since.
     pub fn running(&self) -> u64 {
         let reported = self.report().map_or(0, |report| u64::from(report.running));
-        reported + self.unseen().count() as u64
+        reported + self.sent_since_report().count() as u64
     }
 
-    /// Remembers that the engine has this prefix in its cache.
+    /// Records that the engine has cached this prefix; evicts the oldest record above the limit.
     pub fn record_prefix(&mut self, prefix: PrefixHash, tokens: u64) {
         self.prefixes.retain(|(known, _)| *known != prefix);
         self.prefixes.push_back((prefix, tokens));
-        if self.prefixes.len() > MOST_PREFIXES {
+        if self.prefixes.len() > MAX_CACHED_PREFIXES {
             self.prefixes.pop_front();
         }
     }
 
-    /// Prompt tokens that the engine need not prefill again, as far as is known.
+    /// Number of prompt tokens with this prefix that the engine is known to have cached.
     pub fn cached_tokens(&self, prefix: PrefixHash) -> u64 {
         self.prefixes
             .iter()
