--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -1,10 +1,9 @@
-//! Holding a lease so that its holder never acts outside it.
+//! Client side of a lease: the holder never acts after its lease may have expired.
 //!
-//! The lease is believed only for its safe part: from before the request that renewed it
-//! was sent, by the holder's own monotonic clock, and short of the whole by a margin for
-//! clocks that run unlike. A holder that was frozen reads the clock when it wakes and finds
-//! that the safe part is over. Each change of holder has a greater fencing number, which
-//! every order carries.
+//! Validity is measured from the time at which the renewal request was sent, on the holder's
+//! own monotonic clock, and ends before the TTL by a margin for clock rate differences. A
+//! holder that was suspended reads the clock when it resumes and finds its lease expired. The
+//! fencing token grows with each change of holder, and every order carries it.
 
 use std::time::Duration;
 
@@ -12,96 +11,97 @@
 use crate::settings_commit::NoAnswer;
 use crate::time::Time;
 
-/// Part of the lease's life that is not used.
-const MARGIN: f64 = 0.2;
-/// Renewals within a life, so that one answer may be lost.
-const RENEWALS: u32 = 3;
+/// Fraction of the TTL at its end that the holder does not use.
+const EXPIRY_MARGIN: f64 = 0.2;
+/// Renewals per TTL; the lease survives the loss of one response.
+const RENEWALS_PER_TTL: u32 = 3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Held {
+struct HeldLease {
     fence: u64,
-    safe_until: Time,
+    valid_until: Time,
     since: Time,
 }
 
-/// One box's part in a lease.
+/// State of a lease on one box, whether or not the box holds it.
 #[derive(Debug)]
 pub struct Lease {
     ttl: Duration,
-    held: Option<Held>,
-    next_ask: Time,
-    other: Option<LeaseResponse>,
+    held: Option<HeldLease>,
+    next_request_at: Time,
+    other_holder: Option<LeaseResponse>,
 }
 
 impl Lease {
-    /// A lease that is not held.
+    /// Creates a lease that is not held.
     pub const fn new(ttl: Duration) -> Self {
         Self {
             ttl,
             held: None,
-            next_ask: Time::ZERO,
-            other: None,
+            next_request_at: Time::ZERO,
+            other_holder: None,
         }
     }
 
-    /// Sets the life to ask for from now on.
+    /// Sets the TTL of subsequent requests.
     pub const fn set_ttl(&mut self, ttl: Duration) {
         self.ttl = ttl;
     }
 
-    /// The life to ask for.
+    /// TTL to request.
     pub const fn ttl(&self) -> Duration {
         self.ttl
     }
 
-    /// Whether it is time to ask for it or to renew it.
+    /// Whether a request to acquire or renew the lease is due.
     pub fn is_request_due(&self, now: Time) -> bool {
-        now >= self.next_ask
+        now >= self.next_request_at
     }
 
-    /// Takes the platform's answer to a request that was sent at `asked_at`.
+    /// Handles the platform's response to a request that was sent at `requested_at`.
     pub fn on_response(
         &mut self,
-        asked_at: Time,
+        requested_at: Time,
         now: Time,
-        answer: Result<LeaseResponse, NoAnswer>,
+        response: Result<LeaseResponse, NoAnswer>,
     ) {
-        self.next_ask = now + self.ttl / RENEWALS;
-        match answer {
-            Ok(answer) if answer.granted => {
-                let same = self.held.filter(|held| held.fence == answer.fence);
-                self.held = Some(Held {
-                    fence: answer.fence,
-                    safe_until: asked_at + self.ttl.mul_f64(1.0 - MARGIN),
+        self.next_request_at = now + self.ttl / RENEWALS_PER_TTL;
+        match response {
+            Ok(response) if response.granted => {
+                let same = self.held.filter(|held| held.fence == response.fence);
+                self.held = Some(HeldLease {
+                    fence: response.fence,
+                    valid_until: requested_at + self.ttl.mul_f64(1.0 - EXPIRY_MARGIN),
                     since: same.map_or(now, |held| held.since),
                 });
-                self.other = None;
+                self.other_holder = None;
             }
-            Ok(answer) => {
+            Ok(response) => {
                 self.held = None;
-                self.other = Some(answer);
-                // Boxes that only stand by need not ask as often as the holder renews.
-                self.next_ask = now + self.ttl;
+                self.other_holder = Some(response);
+                // A standby box requests the lease less often than the holder renews it.
+                self.next_request_at = now + self.ttl;
             }
-            // Perhaps renewed, perhaps not: the safe part known before stays as it is.
+            // The renewal may or may not have succeeded: the previous expiry remains in force.
             Err(NoAnswer) => {}
         }
     }
 
-    /// The fencing number under which orders may be given now.
+    /// Fencing token under which orders may be given now; `None` if the lease is not in force.
     pub fn fence(&self, now: Time) -> Option<u64> {
-        let held = self.held.filter(|held| now < held.safe_until);
+        let held = self.held.filter(|held| now < held.valid_until);
         held.map(|held| held.fence)
     }
 
-    /// Since when the lease is held without a break.
+    /// Time since which the lease has been held without a change of holder; `None` if it is not
+    /// in force.
     pub fn held_since(&self, now: Time) -> Option<Time> {
-        let held = self.held.filter(|held| now < held.safe_until);
+        let held = self.held.filter(|held| now < held.valid_until);
         held.map(|held| held.since)
     }
 
-    /// The other holder, as told last.
+    /// Last response that named another holder, unless the lease was granted since.
     pub const fn other_holder(&self) -> Option<&LeaseResponse> {
-        self.other.as_ref()
+        self.other_holder.as_ref()
     }
 }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,11 +1,11 @@
-//! Which engines hold which models: wanted state, seen state, and orders that join them.
+//! Controller for the placement of models on engines.
 //!
-//! Level-triggered: each round compares what the settings want with what the engines
-//! report, and gives at most one order per engine. An order that was lost shows as a
-//! difference that is still there, and is given again. A difference must last before
-//! anything is done, so that a report that flickers moves nothing. Loads are spaced evenly
-//! over the weight store's minute, and a new holder of the lease waits one space before
-//! its first, so that the rate holds across a change of holder too.
+//! Level-triggered: each reconciliation compares the desired state from the settings with the
+//! state that engines report, and issues at most one load or unload per engine. The difference
+//! that a lost order leaves behind causes another order. A difference must persist before the
+//! controller acts, so that flapping reports have no effect. Loads are spaced evenly to respect
+//! the rate limit of the weight store. A new holder of the lease waits one interval before its
+//! first load, so that the rate limit also holds across a change of holder.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,55 +18,55 @@
 use crate::long_prompt_engines::rendezvous_hash;
 use crate::time::Time;
 
-/// Time after which an order that shows no effect is given again.
-const REPEAT_AFTER: Duration = Duration::from_secs(30);
-/// Mark between a model's name and its version.
-const VERSION_MARK: char = '@';
+/// Time after which an order without visible effect is issued again.
+const ORDER_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// Separates the name of a model from its version.
+const VERSION_SEPARATOR: char = '@';
 
-/// An engine as it reports itself.
+/// Reported state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedEngine {
-    /// The engine.
+    /// Name of the engine.
     pub name: ServerName,
-    /// Models loaded.
+    /// Loaded models.
     pub models: BTreeSet<ModelName>,
-    /// Requests that generate there.
+    /// Number of requests that are generating.
     pub running: u64,
 }
 
-/// What is wanted.
+/// Desired placement in a hall.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DesiredPlacement {
-    /// Engines wanted with each model; models that are not named are left alone.
+    /// Desired number of engines per model; models without an entry are not changed.
     pub copies: BTreeMap<ModelName, u64>,
-    /// How long a difference must last.
+    /// Time for which a difference must persist before the controller acts.
     pub hysteresis: Duration,
-    /// Loads from the weight store a minute.
+    /// Maximum number of loads from the weight store per minute.
     pub loads_per_min: u64,
 }
 
-/// One holder's time with the lease.
+/// Uninterrupted period in which one box holds the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTerm {
-    /// Its fencing number.
+    /// Fencing token of the lease.
     pub fence: u64,
-    /// When it began.
+    /// Start of the period.
     pub since: Time,
 }
 
-/// Why an order is given.
+/// Reason for an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReason {
-    /// The engine has not seen this holder's number yet.
+    /// The engine has not accepted an order with this holder's fencing token yet.
     NewHolder,
-    /// Fewer engines have the model than are wanted.
+    /// Fewer engines than desired have the model.
     TooFew {
         /// Engines that have it.
         have: u64,
         /// Engines wanted.
         want: u64,
     },
-    /// More engines have the model than are wanted.
+    /// More engines than desired have the model.
     TooMany {
         /// Engines that have it.
         have: u64,
@@ -87,75 +87,75 @@
     }
 }
 
-/// An order to give.
+/// Order for one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementOrder {
-    /// To which engine.
+    /// Engine that receives the order.
     pub server: ServerName,
-    /// What to do.
+    /// Requested change.
     pub action: OrderAction,
-    /// Why.
+    /// Reason for the order.
     pub reason: OrderReason,
 }
 
-/// The controller's state, on the box that holds the lease.
+/// Placement controller; runs on the box that holds the lease.
 #[derive(Debug, Default)]
 pub struct PlacementController {
-    differs_since: BTreeMap<ModelName, Time>,
-    given: BTreeMap<ServerName, (OrderAction, Time)>,
+    mismatch_since: BTreeMap<ModelName, Time>,
+    pending: BTreeMap<ServerName, (OrderAction, Time)>,
     last_load: Option<Time>,
     fence: u64,
     fenced: BTreeSet<ServerName>,
 }
 
 impl PlacementController {
-    /// Records that an engine took an order: from here on it refuses earlier holders' orders.
+    /// Records that an engine accepted an order; it refuses orders of earlier holders from now on.
     pub fn on_order_accepted(&mut self, fence: u64, server: &ServerName) {
         if fence == self.fence {
             self.fenced.insert(server.clone());
         }
     }
 
-    /// Compares and gives the orders of this round.
+    /// Compares desired and observed state and returns the orders to send.
     pub fn reconcile(
         &mut self,
         now: Time,
-        tenure: LeaseTerm,
-        wanted: &DesiredPlacement,
-        seen: &[ObservedEngine],
+        term: LeaseTerm,
+        desired: &DesiredPlacement,
+        observed: &[ObservedEngine],
     ) -> Vec<PlacementOrder> {
-        if tenure.fence != self.fence {
-            self.fence = tenure.fence;
+        if term.fence != self.fence {
+            self.fence = term.fence;
             self.fenced.clear();
         }
-        self.forget_done(now, seen);
-        let mut orders = self.fence_engines(seen);
-        for (model, &want) in &wanted.copies {
-            let have = self.copies(model, seen);
+        self.remove_completed(now, observed);
+        let mut orders = self.fence_engines(observed);
+        for (model, &want) in &desired.copies {
+            let have = self.copies(model, observed);
             if have == want {
-                self.differs_since.remove(model);
+                self.mismatch_since.remove(model);
                 continue;
             }
-            let since = *self.differs_since.entry(model.clone()).or_insert(now);
-            if now.since(since) < wanted.hysteresis {
+            let since = *self.mismatch_since.entry(model.clone()).or_insert(now);
+            if now.since(since) < desired.hysteresis {
                 continue;
             }
             let order = if have < want {
                 let reason = OrderReason::TooFew { have, want };
-                self.load(now, tenure.since, wanted, seen, model, reason)
+                self.load(now, term.since, desired, observed, model, reason)
             } else {
                 let reason = OrderReason::TooMany { have, want };
-                self.unload(now, wanted, seen, model, reason)
+                self.unload(now, desired, observed, model, reason)
             };
             orders.extend(order);
         }
         orders
     }
 
-    /// Orders that do nothing but tell engines of this holder's number. An order of an earlier
-    /// holder that is still on its way is refused from then on.
-    fn fence_engines(&self, seen: &[ObservedEngine]) -> Vec<PlacementOrder> {
-        let unfenced = seen
+    /// Orders that only announce this holder's fencing token, for engines that have not accepted
+    /// it. Engines then refuse orders of earlier holders that are still in transit.
+    fn fence_engines(&self, observed: &[ObservedEngine]) -> Vec<PlacementOrder> {
+        let unfenced = observed
             .iter()
             .filter(|engine| !self.fenced.contains(&engine.name));
         let order = |engine: &ObservedEngine| PlacementOrder {
@@ -166,25 +166,25 @@
         unfenced.map(order).collect()
     }
 
-    /// Engines that have a model, counting orders that are under way.
-    fn copies(&self, model: &ModelName, seen: &[ObservedEngine]) -> u64 {
-        let has = |engine: &&ObservedEngine| match self.given.get(&engine.name) {
+    /// Number of engines with a model, assuming that pending orders take effect.
+    fn copies(&self, model: &ModelName, observed: &[ObservedEngine]) -> u64 {
+        let has = |engine: &&ObservedEngine| match self.pending.get(&engine.name) {
             Some((OrderAction::Load { model: ordered }, _)) if ordered == model => true,
             Some((OrderAction::Unload { model: ordered }, _)) if ordered == model => false,
             _ => engine.models.contains(model),
         };
-        seen.iter().filter(has).count() as u64
+        observed.iter().filter(has).count() as u64
     }
 
-    fn forget_done(&mut self, now: Time, seen: &[ObservedEngine]) {
-        self.given.retain(|name, (action, at)| {
-            let engine = seen.iter().find(|engine| engine.name == *name);
-            let done = engine.is_none_or(|engine| match action {
+    fn remove_completed(&mut self, now: Time, observed: &[ObservedEngine]) {
+        self.pending.retain(|name, (action, at)| {
+            let engine = observed.iter().find(|engine| engine.name == *name);
+            let is_done = engine.is_none_or(|engine| match action {
                 OrderAction::Fence => true,
                 OrderAction::Load { model } => engine.models.contains(model),
                 OrderAction::Unload { model } => !engine.models.contains(model),
             });
-            !done && now.since(*at) < REPEAT_AFTER
+            !is_done && now.since(*at) < ORDER_RETRY_DELAY
         });
     }
 
@@ -192,22 +192,22 @@
         &mut self,
         now: Time,
         held_since: Time,
-        wanted: &DesiredPlacement,
-        seen: &[ObservedEngine],
+        desired: &DesiredPlacement,
+        observed: &[ObservedEngine],
         model: &ModelName,
         reason: OrderReason,
     ) -> Option<PlacementOrder> {
-        let space = Duration::from_mins(1).div_f64(wanted.loads_per_min.max(1) as f64);
-        let from = self
+        let load_interval = Duration::from_mins(1).div_f64(desired.loads_per_min.max(1) as f64);
+        let interval_start = self
             .last_load
             .map_or(held_since, |last| last.max(held_since));
-        if now.since(from) < space {
+        if now.since(interval_start) < load_interval {
             return None;
         }
-        let free = seen.iter().filter(|engine| {
-            !engine.models.contains(model) && !self.given.contains_key(&engine.name)
+        let free = observed.iter().filter(|engine| {
+            !engine.models.contains(model) && !self.pending.contains_key(&engine.name)
         });
-        let chosen = free.min_by_key(|engine| {
+        let selected = free.min_by_key(|engine| {
             (
                 engine.models.len(),
                 engine.running,
@@ -218,70 +218,72 @@
         let action = OrderAction::Load {
             model: model.clone(),
         };
-        Some(self.give(now, chosen.name.clone(), action, reason))
+        Some(self.issue(now, selected.name.clone(), action, reason))
     }
 
     fn unload(
         &mut self,
         now: Time,
-        wanted: &DesiredPlacement,
-        seen: &[ObservedEngine],
+        desired: &DesiredPlacement,
+        observed: &[ObservedEngine],
         model: &ModelName,
         reason: OrderReason,
     ) -> Option<PlacementOrder> {
-        if wanted.copies.get(model) == Some(&0) && !self.has_heir(model, wanted, seen) {
+        if desired.copies.get(model) == Some(&0) && !self.has_replacement(model, desired, observed)
+        {
             return None;
         }
-        let holders = seen.iter().filter(|engine| engine.models.contains(model));
-        let free = holders.filter(|engine| !self.given.contains_key(&engine.name));
-        let chosen = free.min_by_key(|engine| {
+        let loaded = observed
+            .iter()
+            .filter(|engine| engine.models.contains(model));
+        let free = loaded.filter(|engine| !self.pending.contains_key(&engine.name));
+        let selected = free.min_by_key(|engine| {
             let position = rendezvous_hash(model, &engine.name);
             (engine.running, std::cmp::Reverse(position))
         })?;
         let action = OrderAction::Unload {
             model: model.clone(),
         };
-        Some(self.give(now, chosen.name.clone(), action, reason))
+        Some(self.issue(now, selected.name.clone(), action, reason))
     }
 
-    /// Whether the model's copies may go: no other version of it is wanted, or one that is
-    /// wanted is loaded in full, on engines that refuse earlier holders' orders. Until then
-    /// the old copies serve.
-    fn has_heir(
+    /// Whether the copies of a model may be unloaded: no other version of it is desired, or a
+    /// desired version has all its copies, on engines that refuse orders of earlier holders. Until
+    /// then the old copies keep serving.
+    fn has_replacement(
         &self,
         model: &ModelName,
-        wanted: &DesiredPlacement,
-        seen: &[ObservedEngine],
+        desired: &DesiredPlacement,
+        observed: &[ObservedEngine],
     ) -> bool {
-        let heirs = wanted
-            .copies
-            .iter()
-            .filter(|(other, want)| *other != model && base(other) == base(model) && **want > 0);
-        let mut loaded = heirs.map(|(other, want)| {
+        let replacements = desired.copies.iter().filter(|(other, want)| {
+            *other != model && base_name(other) == base_name(model) && **want > 0
+        });
+        let mut loaded = replacements.map(|(other, want)| {
             let has = |engine: &&ObservedEngine| {
-                let leaves = matches!(
-                    self.given.get(&engine.name),
+                let is_unloading = matches!(
+                    self.pending.get(&engine.name),
                     Some((OrderAction::Unload { model }, _)) if model == other
                 );
-                let fenced = self.fenced.contains(&engine.name);
-                engine.models.contains(other) && fenced && !leaves
+                let is_fenced = self.fenced.contains(&engine.name);
+                engine.models.contains(other) && is_fenced && !is_unloading
             };
-            seen.iter().filter(has).count() as u64 >= *want
+            observed.iter().filter(has).count() as u64 >= *want
         });
         match loaded.next() {
             None => true,
-            Some(first) => first || loaded.any(|full| full),
+            Some(first) => first || loaded.any(|is_loaded| is_loaded),
         }
     }
 
-    fn give(
+    fn issue(
         &mut self,
         now: Time,
         server: ServerName,
         action: OrderAction,
         reason: OrderReason,
     ) -> PlacementOrder {
-        self.given.insert(server.clone(), (action.clone(), now));
+        self.pending.insert(server.clone(), (action.clone(), now));
         PlacementOrder {
             server,
             action,
@@ -290,7 +292,7 @@
     }
 }
 
-fn base(model: &ModelName) -> &str {
+fn base_name(model: &ModelName) -> &str {
     let text = model.as_str();
-    text.split(VERSION_MARK).next().unwrap_or(text)
+    text.split(VERSION_SEPARATOR).next().unwrap_or(text)
 }
--- a/lib/tests/test_lease_seeds.rs
+++ b/lib/tests/test_lease_seeds.rs
@@ -1,6 +1,6 @@
-//! Long seeded runs of leases and placement.
+//! Seeded simulations of leases and placement.
 //!
-//! Any number of seeds: `cargo run --release --bin emulate -- seeds leases --count N`.
+//! To run other numbers of seeds: `cargo run --release --bin emulate -- seeds leases --count N`.
 
 use badgerferry_testutils::seeded_leases;
 use badgerferry_testutils::seeded_leases::LeaseCounts;
@@ -12,16 +12,16 @@
 fn lease_invariants_hold_over_seeds() {
     let mut counts = LeaseCounts::default();
 
-    let (results, broken) = run_seeds(0..SEEDS, seeded_leases::run);
+    let (results, failed_seeds) = run_seeds(0..SEEDS, seeded_leases::run);
     for result in results {
         counts.add(result);
     }
 
     assert!(
-        broken.is_empty(),
-        "seeds that broke an invariant: {broken:?}"
+        failed_seeds.is_empty(),
+        "seeds that violated an invariant: {failed_seeds:?}"
     );
-    // The runs must have provoked what they are for, or they prove nothing.
+    // Guards against simulations that do not exercise changes of holder, fencing and late orders.
     assert!(counts.holders > 2_000, "{counts:?}");
     assert!(counts.orders > 3_000, "{counts:?}");
     assert!(counts.fenced_off > 10, "{counts:?}");
