--- a/lib/benches/decision.rs
+++ b/lib/benches/decision.rs
@@ -1,4 +1,5 @@
-//! Cost of one routing decision against the count of servers, and of the key of a call's work.
+//! Benchmarks of a routing decision by number of servers, and of request fingerprints by body
+//! size.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -101,14 +102,14 @@
     group.finish();
 }
 
-/// What it costs to tell one piece of work from another: 0.25 us without a body, 12 us with 16 KB and 2.9 ms
-/// with 4 MB, on a core with instructions for SHA-256; before, calls had no such key.
+/// Cost of a request fingerprint: 0.25 us without a body, 12 us with 16 KB and 2.9 ms with 4 MB,
+/// on a core with SHA-256 instructions.
 fn request_fingerprint(c: &mut Criterion) {
     let mut group = c.benchmark_group("work_key");
     let workspace = WorkspaceName::new("workspace-1");
     for bytes in [0, 16 << 10, 4 << 20] {
         let body = vec![7; bytes];
-        let parts = FingerprintInput {
+        let input = FingerprintInput {
             method: "POST",
             host: "host.example",
             target: "/stream/a",
@@ -116,7 +117,7 @@
             body: &body,
         };
         group.bench_function(BenchmarkId::from_parameter(bytes), |bencher| {
-            bencher.iter(|| RequestFingerprint::of(black_box(&parts)));
+            bencher.iter(|| RequestFingerprint::of(black_box(&input)));
         });
     }
     group.finish();
--- a/lib/src/engine_wire.rs
+++ b/lib/src/engine_wire.rs
@@ -1,8 +1,8 @@
-//! Messages to and from model engines, as JSON over HTTP; answers stream as JSON lines.
+//! Messages to and from model engines, as JSON over HTTP; output streams as JSON lines.
 //!
-//! What is assumed of engines beyond the brief is listed in `docs/assumptions.md`, each
-//! with what changes if it is wrong. Chiefly: work carries an owner, and an engine frees
-//! what an owner made it hold once the owner has been silent for the time it gave.
+//! `docs/assumptions.md` lists what is assumed of engines and what changes if an assumption
+//! is wrong. The main one: each attempt and reservation has an owner, and an engine frees
+//! what it holds for an owner that has not renewed within the TTL it named.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,146 +14,146 @@
 use crate::priority::Rank;
 use crate::server_view::EngineReport;
 
-/// Whose work an engine holds: one life of one box.
+/// Owner of attempts and reservations at an engine: one incarnation of a box's daemon.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// The box.
+    /// Name of the box.
     pub name: BoxName,
-    /// The life of its daemon.
+    /// Incarnation of its daemon.
     pub incarnation: Incarnation,
 }
 
-/// Starts or resumes an answer.
+/// Starts or resumes a generation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// Names the attempt; every frame repeats it.
+    /// Identifies the attempt; every frame repeats it.
     pub attempt: AttemptId,
-    /// Whose work it is.
+    /// Owner of the attempt.
     pub owner: Owner,
-    /// The model.
+    /// Model that generates.
     pub model: ModelName,
-    /// The prompt; empty if a group holds it.
+    /// Prompt; empty if a group holds it.
     pub prompt: String,
-    /// Tokens of the prompt as estimated; the engine counts its own.
+    /// Estimated number of prompt tokens; the engine counts them itself.
     pub prompt_tokens: u64,
-    /// Most tokens of the whole answer.
+    /// Maximum number of output tokens, including those before `offset`.
     pub max_tokens: u64,
-    /// Order at the engine, from zero for the first.
+    /// Scheduling rank at the engine; zero runs first.
     pub rank: u8,
-    /// Offset of the first token wanted.
+    /// Offset of the first output token to send.
     pub offset: u64,
-    /// What was forwarded before that offset, to be replayed and not sent again.
+    /// Output already forwarded before that offset, to be replayed but not sent again.
     pub emitted: String,
-    /// The reservation that holds the prompt, if a group does.
+    /// Reservation that holds the prompt, if an engine group prefilled it.
     pub group: Option<AttemptId>,
 }
 
 impl GenerateRequest {
-    /// The rank, checked.
+    /// Rank as a validated type.
     pub const fn checked_rank(&self) -> Rank {
         Rank::from_wire(self.rank)
     }
 }
 
-/// Reserves memory for a share of a prompt.
+/// Reserves KV memory for a share of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// The reservation, the same at all members of a group.
+    /// Identifies the reservation, the same at all members of a group.
     pub group: AttemptId,
-    /// Whose it is.
+    /// Owner of the reservation.
     pub owner: Owner,
-    /// Tokens.
+    /// Memory to reserve, in tokens.
     pub tokens: u64,
 }
 
-/// Prefills a share into its reservation; the answer comes when that is done.
+/// Prefills a share into its reservation; the response follows when the prefill is done.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillRequest {
-    /// The reservation.
+    /// Reservation to fill.
     pub group: AttemptId,
-    /// First token of the share within the prompt.
+    /// Offset of the share's first token within the prompt.
     pub from: u64,
-    /// Tokens of the share.
+    /// Number of tokens in the share.
     pub tokens: u64,
-    /// Order at the engine.
+    /// Scheduling rank at the engine; zero runs first.
     pub rank: u8,
-    /// The share's text.
+    /// Text of the share.
     pub text: String,
 }
 
-/// Gives up a reservation.
+/// Releases a reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseRequest {
-    /// The reservation.
+    /// Reservation to release.
     pub group: AttemptId,
 }
 
 /// Stops an attempt and frees its memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelRequest {
-    /// The attempt.
+    /// Attempt to stop.
     pub attempt: AttemptId,
 }
 
-/// Says that an owner lives, for how long to believe it, and what it still holds.
+/// Renews an owner's liveness at an engine and lists what the owner still needs.
 ///
-/// The engine frees whatever else it holds for the owner, unless that is so young that
-/// the owner could not have known of it when it sent this. A cancel or release that was
-/// lost is made good by the next renewal.
+/// The engine frees everything else that it holds for the owner, except items so recent that
+/// the owner could not have listed them. A lost cancel or release thus takes effect with the
+/// next renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewRequest {
-    /// The owner.
+    /// Owner that renews.
     pub owner: Owner,
-    /// Time without renewal after which its work is freed, in milliseconds.
+    /// Time without renewal after which everything of the owner is freed, in milliseconds.
     pub ttl_ms: u64,
-    /// Attempts and reservations that it still wants.
+    /// Attempts and reservations to keep.
     pub keep: Vec<AttemptId>,
-    /// Work younger than this is kept in any case, in milliseconds.
+    /// Age below which unlisted attempts and reservations are kept, in milliseconds.
     pub spare_younger_ms: u64,
 }
 
-/// A report and its age.
+/// Response with an engine's state report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportResponse {
-    /// The report.
+    /// Latest report of the engine.
     pub report: EngineReport,
-    /// How old it is, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// An error from a backend server.
+/// JSON body of an error response from a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerErrorBody {
-    /// Whether the server says that it did not start the work.
+    /// Whether the server states that it did not start the request.
     #[serde(default)]
     pub not_started: bool,
-    /// For people.
+    /// Human-readable description.
     pub message: String,
 }
 
-/// A fenced order to an engine.
+/// Order to an engine, protected by a fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the lease under which it is given.
+    /// Fencing token of the lease under which the order is given.
     pub fence: u64,
-    /// What to do.
+    /// Requested change.
     pub action: OrderAction,
 }
 
-/// What an order asks for.
+/// Change requested by an [`Order`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
 pub enum OrderAction {
-    /// Nothing but to take note of the order's number, and to refuse smaller ones.
+    /// Records the order's fencing token, so that orders with smaller tokens are refused.
     Fence,
-    /// Load a model.
+    /// Loads a model.
     Load {
-        /// The model.
+        /// Model to load.
         model: ModelName,
     },
-    /// Unload a model.
+    /// Unloads a model.
     Unload {
-        /// The model.
+        /// Model to unload.
         model: ModelName,
     },
 }
--- a/lib/src/ids.rs
+++ b/lib/src/ids.rs
@@ -1,8 +1,8 @@
 //! Typed names and identifiers.
 //!
-//! Names that operators write are strings behind a newtype, so that a workspace can
-//! never stand where a server is meant. Identifiers that must be unguessable are 128
-//! random bits, drawn by the caller and passed in.
+//! Names chosen by operators are newtypes over strings, so that the compiler rejects a
+//! workspace name where a server name is expected. Identifiers that must be unguessable are
+//! 128 random bits from a generator that the caller passes in.
 
 use std::fmt;
 use std::str::FromStr;
@@ -19,12 +19,12 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name as written.
+            /// Wraps a name without validation.
             pub fn new(name: impl Into<String>) -> Self {
                 Self(name.into())
             }
 
-            /// The name as written.
+            /// Name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -43,7 +43,7 @@
     BoxName
 );
 name_type!(
-    /// Name of a data hall.
+    /// Name of a data hall: one site with its boxes and servers.
     HallName
 );
 name_type!(
@@ -51,11 +51,11 @@
     ServerName
 );
 name_type!(
-    /// Name of a model or of a plain service's pool.
+    /// Name of a model, or of the pool of a plain service.
     ModelName
 );
 name_type!(
-    /// Name of a workspace.
+    /// Name of a workspace: one customer.
     WorkspaceName
 );
 name_type!(
@@ -70,7 +70,7 @@
         pub struct $name(u128);
 
         impl $name {
-            /// Draws a fresh identifier.
+            /// Generates a random identifier.
             pub fn draw(rng: &mut impl Rng) -> Self {
                 Self(rng.random())
             }
@@ -127,16 +127,16 @@
     EditId
 );
 random_id!(
-    /// Distinguishes one life of a process from the next on the same address.
+    /// Distinguishes a process from its predecessor at the same address.
     Incarnation
 );
 
-/// The text is not 32 hexadecimal digits.
+/// Error for a text that is not 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("expected 32 hexadecimal digits")]
 pub struct ParseIdError;
 
-/// Number of a committed state of the settings tree; grows by one with each edit.
+/// Number of a committed state of the settings tree; each edit increments it by one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -144,7 +144,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The revision that the next edit makes.
+    /// Revision that the next edit creates.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decisions of the badgerferry serving layer, for daemons and for others to embed.
+//! Decision logic of the badgerferry serving layer, used by the daemon and embeddable elsewhere.
 //!
-//! Every part is a state machine without I/O: it takes the present time and an event
-//! and returns typed actions. Clocks, randomness and identity are passed in. The same
-//! code runs in the daemon, in scripted scenarios and in seeded runs.
+//! Every component is a state machine without I/O: it takes the current time and an event and
+//! returns typed actions. Clocks, randomness and identity are passed in. The same code runs in
+//! the daemon, in scripted scenarios and in seeded simulations.
 //!
-//! The parts fall in two halves that touch no file of each other's. The request path:
-//! [`exchange`] carries one request to its [`outcome`], [`dispatcher`] decides for all
-//! requests of a box. State: [`settings_tree`] and its commits, and what follows them.
+//! Two groups of modules are independent of each other. Request path: [`exchange`] carries one
+//! request to its [`outcome`], and [`dispatcher`] schedules all requests of a box. State:
+//! [`settings_tree`], its commits, and the modules that follow them.
 
 pub mod backoff;
 pub mod breaker;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,10 +1,11 @@
-//! Which boxes there are: the platform's list joined with what boxes say of themselves.
+//! Cluster membership: the platform's list combined with gossip between boxes.
 //!
-//! Each box counts a beat up and tells it to a few others, who pass it on within the data
-//! hall. A box is live while news of its beat keeps coming, from whichever side: a cut
-//! between two boxes hides neither from the other while a third reaches both. The list
-//! lags and may flap; it says where a box is reached and that it should exist, never that
-//! it lives. A restart is another incarnation; its rows replace the old life's.
+//! Each box increments a heartbeat counter and gossips it to a few others, which forward it
+//! within the data hall. A box is live while newer heartbeats arrive, directly or through other
+//! boxes: a partition between two boxes hides neither from the other while a third reaches
+//! both. The platform's list lags and may flap; it gives addresses and the expected boxes, but
+//! is no evidence of liveness. A restarted box has a new incarnation, whose rows replace those
+//! of the previous one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,57 +24,57 @@
 use crate::platform_wire::BoxList;
 use crate::time::Time;
 
-/// Time between two exchanges that a box begins.
+/// Interval between the gossip exchanges that a box initiates.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_secs(2);
-/// Silence after which a box is no longer counted as live: some twenty exchanges, enough
-/// for news to cross a hall of 39 boxes at [`MAX_GOSSIP_ROWS`] rows each.
+/// Time without a newer heartbeat after which a box is not live: about twenty exchanges, enough
+/// for an update to reach all of a hall of 39 boxes at [`MAX_GOSSIP_ROWS`] rows per message.
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_secs(40);
-/// Rows of other boxes in one message; bounds the bytes, whatever the hall's size.
+/// Maximum number of other boxes' rows per message; bounds its size for halls of any size.
 pub const MAX_GOSSIP_ROWS: usize = 8;
-/// Workspaces in one message's demand, the busiest first.
+/// Maximum number of workspaces in a message's demand, those of highest demand first.
 pub const MAX_DEMAND_ROWS: usize = 8;
-/// Part of the exchanges that go to another data hall.
-const OTHER_HALL_PART: f64 = 0.25;
+/// Probability that an exchange goes to another data hall.
+const OTHER_HALL_PROBABILITY: f64 = 0.25;
 
-/// What a box says of itself.
+/// State of a box as published by itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxRow {
-    /// Its name.
+    /// Name of the box.
     pub name: BoxName,
-    /// Its data hall.
+    /// Data hall of the box.
     pub hall: HallName,
-    /// Its life.
+    /// Incarnation of its daemon.
     pub incarnation: Incarnation,
-    /// Grows from life to life.
+    /// Increases from one incarnation to the next.
     pub generation: u64,
-    /// Grows within a life.
+    /// Increases within an incarnation.
     pub heartbeat: u64,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// The settings in force there.
+    /// Revision of the settings in force there.
     pub revision: Revision,
 }
 
-/// What a box asks of one workspace's limit, in tokens a second.
+/// Demand of a box on one workspace's limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandRow {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: WorkspaceName,
-    /// Tokens a second.
+    /// Requested tokens per second.
     pub tokens_per_s: u32,
 }
 
-/// A box as another knows it.
+/// Knowledge of one box about another.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownBox {
-    /// Its latest row.
+    /// Latest row of that box.
     pub row: BoxRow,
-    /// When the latest row came.
+    /// Time at which the latest row was received.
     pub heard_at: Time,
     demand: Vec<DemandRow>,
 }
 
-/// One box's view of the others.
+/// Membership view of one box.
 #[derive(Debug)]
 pub struct Membership {
     own: BoxRow,
@@ -83,7 +84,8 @@
 }
 
 impl Membership {
-    /// The view of a box that knows nobody yet; `generation` is best taken from a clock.
+    /// Creates an empty view; `generation` must exceed that of earlier incarnations and is best
+    /// taken from a clock.
     pub const fn new(
         name: BoxName,
         hall: HallName,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Takes the platform's list.
+    /// Replaces the platform's list.
     pub fn on_list(&mut self, list: &BoxList) {
         let rows = list
             .boxes
@@ -116,7 +118,7 @@
         self.listed = rows.collect();
     }
 
-    /// Begins an exchange: counts the beat and gives the own row.
+    /// Increments the heartbeat for an exchange and returns the updated row of this box.
     pub fn advance_heartbeat(&mut self, leaving: bool, revision: Revision) -> BoxRow {
         self.own.heartbeat += 1;
         self.own.leaving = leaving;
@@ -124,12 +126,12 @@
         self.own.clone()
     }
 
-    /// The own row as it stands.
+    /// Current row of this box.
     pub const fn own(&self) -> &BoxRow {
         &self.own
     }
 
-    /// Takes a row that came from the box itself or from another.
+    /// Merges a row that was received from its box or forwarded by another.
     pub fn on_row(&mut self, now: Time, row: BoxRow) {
         if row.name == self.own.name {
             self.refute(&row);
@@ -152,22 +154,24 @@
         }
     }
 
-    /// A row of this box's earlier life that claims to be later is outdone.
+    /// Raises the own generation above a row of an earlier incarnation of this box that would
+    /// otherwise be taken for newer.
     fn refute(&mut self, row: &BoxRow) {
-        let other_life = row.incarnation != self.own.incarnation;
-        if other_life && row.generation >= self.own.generation {
+        let is_other_incarnation = row.incarnation != self.own.incarnation;
+        if is_other_incarnation && row.generation >= self.own.generation {
             self.own.generation = row.generation + 1;
         }
     }
 
-    /// Takes a box's demand, told by itself.
+    /// Replaces the demand of a box, as sent by that box.
     pub fn on_demand(&mut self, name: &BoxName, demand: Vec<DemandRow>) {
         if let Some(known) = self.known.get_mut(name) {
             known.demand = demand;
         }
     }
 
-    /// Rows to tell a box of this hall: those heard of last, as many as fit.
+    /// Rows to send to a box of `hall`: the most recently received, at most [`MAX_GOSSIP_ROWS`];
+    /// none for other halls.
     pub fn rows_for(&self, hall: &HallName) -> Vec<BoxRow> {
         if *hall != self.own.hall {
             return Vec::new();
@@ -184,24 +188,25 @@
             .collect()
     }
 
-    /// Whether a box is thought to live.
+    /// Whether a newer heartbeat of the box arrived within [`LIVENESS_TIMEOUT`].
     pub fn is_live(&self, now: Time, name: &BoxName) -> bool {
         let known = self.known.get(name);
         known.is_some_and(|known| now.since(known.heard_at) < LIVENESS_TIMEOUT)
     }
 
-    /// Boxes of this hall that serve, this one included unless it leaves.
+    /// Number of boxes of this hall that serve, including this one unless it is leaving.
     ///
-    /// In its first seconds a box has heard of nobody and believes the list.
+    /// For the first [`LIVENESS_TIMEOUT`] after its start, a box also counts listed boxes that it
+    /// has not heard of.
     pub fn serving_boxes(&self, now: Time) -> usize {
-        let young = now.since(self.started) < LIVENESS_TIMEOUT;
+        let is_starting = now.since(self.started) < LIVENESS_TIMEOUT;
         let listed = self.listed.values().filter(|info| {
             let unheard = !self.known.contains_key(&info.name);
             info.hall == self.own.hall
                 && info.name != self.own.name
                 && !info.leaving
                 && unheard
-                && young
+                && is_starting
         });
         let heard = self.known.values().filter(|known| {
             let listed_leaving = self
@@ -216,7 +221,7 @@
         listed.count() + heard.count() + usize::from(!self.own.leaving)
     }
 
-    /// Demand of the hall's other live boxes by workspace, in tokens a second.
+    /// Demand of the other live boxes of the hall by workspace, in tokens per second.
     pub fn peer_demand(&self, now: Time) -> BTreeMap<WorkspaceName, f64> {
         let mut sums = BTreeMap::new();
         let live = self
@@ -229,21 +234,22 @@
         sums
     }
 
-    /// Draws a box to exchange with; one in four of another hall, live or not.
+    /// Picks a random box to gossip with; one in four exchanges goes to another hall.
     ///
-    /// Silent boxes are drawn as well: that is how two sides find each other after a cut.
+    /// Boxes that are not live are picked as well, so that both sides reconnect after a network
+    /// partition.
     pub fn pick_gossip_peer(&self, rng: &mut impl Rng) -> Option<&BoxInfo> {
         let others = || {
             self.listed
                 .values()
                 .filter(|info| info.name != self.own.name)
         };
-        let elsewhere = rng.random_bool(OTHER_HALL_PART);
-        let wanted = others().filter(|info| (info.hall != self.own.hall) == elsewhere);
-        wanted.choose(rng).or_else(|| others().choose(rng))
+        let other_hall = rng.random_bool(OTHER_HALL_PROBABILITY);
+        let candidates = others().filter(|info| (info.hall != self.own.hall) == other_hall);
+        candidates.choose(rng).or_else(|| others().choose(rng))
     }
 
-    /// Every box known or listed, with what is known of it.
+    /// All other boxes that are known or listed, with their list entry and their known state.
     pub fn boxes(&self) -> impl Iterator<Item = (&BoxName, Option<&BoxInfo>, Option<&KnownBox>)> {
         let unheard = self
             .listed
@@ -257,12 +263,12 @@
         unheard.chain(heard)
     }
 
-    /// Forgets boxes that are neither listed nor heard of for long.
+    /// Removes boxes that are not listed and from which nothing was heard for ten minutes.
     pub fn remove_expired(&mut self, now: Time) {
-        const FORGET_AFTER: Duration = Duration::from_mins(10);
+        const RETENTION: Duration = Duration::from_mins(10);
         let listed = &self.listed;
         self.known.retain(|name, known| {
-            listed.contains_key(name) || now.since(known.heard_at) < FORGET_AFTER
+            listed.contains_key(name) || now.since(known.heard_at) < RETENTION
         });
     }
 }
--- a/lib/src/peer_wire.rs
+++ b/lib/src/peer_wire.rs
@@ -1,8 +1,9 @@
-//! Messages between boxes: versioned, and authenticated by a keyed MAC.
+//! Messages between boxes: versioned, and authenticated by an HMAC with a shared key.
 //!
-//! A frame is a mark, a version, the message and an HMAC-SHA256 over all of these. A frame
-//! that is not whole, of an unknown version, or made without the key is refused and
-//! counted. A replayed frame does no harm: rows, beats and revisions only go forward.
+//! A frame consists of magic bytes, a version, the message and an HMAC-SHA256 over all of
+//! these. Frames that are malformed, of an unsupported version or not authenticated are
+//! rejected and counted. Replayed frames are harmless: rows, heartbeats and revisions only
+//! increase.
 
 use hmac::Hmac;
 use hmac::Mac;
@@ -14,80 +15,80 @@
 use crate::membership::BoxRow;
 use crate::membership::DemandRow;
 
-/// Bytes of the key that boxes share.
+/// Length of the key that boxes share, in bytes.
 pub const KEY_BYTES: usize = 32;
-/// Largest frame: a checkpoint of a megabyte and a head.
+/// Maximum frame length: a checkpoint of one megabyte and a head.
 pub const MAX_FRAME_BYTES: usize = 1_200_000;
-/// The version that this library writes; it reads every one from [`MIN_VERSION`] on.
+/// Protocol version of written frames; versions from [`MIN_VERSION`] to this one are read.
 pub const VERSION: u16 = 1;
-/// The oldest version that is still read, for rolling restarts.
+/// Oldest protocol version that is still read, for rolling restarts.
 pub const MIN_VERSION: u16 = 1;
 const MAGIC: [u8; 2] = *b"bf";
 const MAC_BYTES: usize = 32;
 const HEADER_BYTES: usize = MAGIC.len() + size_of::<u16>();
 
-/// A message.
+/// Message of a gossip exchange.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Begins an exchange.
+    /// Opens an exchange.
     Hello {
-        /// The sender.
+        /// Row of the sender.
         from: BoxRow,
-        /// Boxes of the hall that the sender heard of.
+        /// Rows of other boxes of the hall.
         rows: Vec<BoxRow>,
-        /// The sender's demand.
+        /// Demand of the sender by workspace.
         demand: Vec<DemandRow>,
-        /// Whether the sender needs the checkpoint behind the head.
+        /// Whether the sender needs the checkpoint that the head refers to.
         wants_checkpoint: bool,
     },
-    /// Answers it.
+    /// Replies to [`Self::Hello`].
     Response {
-        /// The answerer.
+        /// Row of the responder.
         from: BoxRow,
-        /// Boxes of the hall that the answerer heard of.
+        /// Rows of other boxes of the hall.
         rows: Vec<BoxRow>,
-        /// The answerer's demand.
+        /// Demand of the responder by workspace.
         demand: Vec<DemandRow>,
-        /// The stored head, if the asker's revision is older.
+        /// Encoded settings head, if the revision of the other box is older.
         head: Option<Vec<u8>>,
-        /// The checkpoint behind it, if it was wanted.
+        /// Checkpoint that the head refers to, if it was requested.
         checkpoint: Option<Vec<u8>>,
     },
 }
 
 impl PeerMessage {
-    /// The sender.
+    /// Row of the sender.
     pub const fn from(&self) -> &BoxRow {
         match self {
             Self::Hello { from, .. } | Self::Response { from, .. } => from,
         }
     }
 
-    /// The sender's revision.
+    /// Settings revision in force at the sender.
     pub const fn revision(&self) -> Revision {
         self.from().revision
     }
 }
 
-/// Why a frame is refused.
+/// Reason for rejecting a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Too short, too long, or without the mark.
-    #[error("not a frame")]
+    /// Too short, too long, or without the magic bytes.
+    #[error("malformed frame")]
     Malformed,
-    /// A version that is not read.
-    #[error("version {0} is not read")]
+    /// Outside the range of supported versions.
+    #[error("unsupported version {0}")]
     Version(u16),
-    /// Made without the key, or changed on the way.
-    #[error("the MAC does not match")]
+    /// Created with another key, or modified in transit.
+    #[error("MAC mismatch")]
     MacMismatch,
-    /// The content is no message.
-    #[error("the content is no message")]
+    /// Authenticated, but not decodable as a message.
+    #[error("invalid message")]
     InvalidContent,
 }
 
 impl FrameError {
-    /// Stable label for metrics.
+    /// Stable metric label.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Malformed => "shape",
@@ -99,16 +100,16 @@
 }
 
 fn mac(key: &[u8; KEY_BYTES], bytes: &[u8]) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any length of key is taken");
+    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts keys of any length");
     mac.update(bytes);
     mac
 }
 
-/// Makes a frame.
+/// Encodes and authenticates a message.
 ///
 /// # Panics
 ///
-/// Never: messages are plain data.
+/// Never: encoding of plain data cannot fail.
 pub fn seal(key: &[u8; KEY_BYTES], message: &PeerMessage) -> Vec<u8> {
     let mut frame = MAGIC.to_vec();
     frame.extend_from_slice(&VERSION.to_be_bytes());
@@ -119,23 +120,23 @@
     frame
 }
 
-/// Checks a frame and reads its message.
+/// Authenticates a frame and decodes its message.
 ///
 /// # Errors
 ///
-/// It is not whole, of an unknown version, or made without the key.
+/// The frame is malformed, of an unsupported version, or not authenticated with `key`.
 pub fn open(key: &[u8; KEY_BYTES], frame: &[u8]) -> Result<PeerMessage, FrameError> {
-    let sound = (HEADER_BYTES + MAC_BYTES..=MAX_FRAME_BYTES).contains(&frame.len());
-    if !sound || frame[..MAGIC.len()] != MAGIC {
+    let valid_length = (HEADER_BYTES + MAC_BYTES..=MAX_FRAME_BYTES).contains(&frame.len());
+    if !valid_length || frame[..MAGIC.len()] != MAGIC {
         return Err(FrameError::Malformed);
     }
     let (signed, tag) = frame.split_at(frame.len() - MAC_BYTES);
     mac(key, signed)
         .verify_slice(tag)
-        .map_err(|_differs| FrameError::MacMismatch)?;
+        .map_err(|_mismatch| FrameError::MacMismatch)?;
     let version = u16::from_be_bytes([signed[2], signed[3]]);
     if !(MIN_VERSION..=VERSION).contains(&version) {
         return Err(FrameError::Version(version));
     }
-    postcard::from_bytes(&signed[HEADER_BYTES..]).map_err(|_no_message| FrameError::InvalidContent)
+    postcard::from_bytes(&signed[HEADER_BYTES..]).map_err(|_invalid| FrameError::InvalidContent)
 }
--- a/lib/src/platform_wire.rs
+++ b/lib/src/platform_wire.rs
@@ -1,8 +1,8 @@
 //! Messages of the platform's key-value service and box list, as JSON over HTTP.
 //!
-//! Values travel as the raw body with the key's version in [`VERSION_HEADER`]; the rest
-//! is the types below. The users' real protocol may differ: then the daemon's and the
-//! command line's platform client change, and nothing else (`docs/assumptions.md`).
+//! Values are sent as raw bodies with the key's version in [`VERSION_HEADER`]; all other
+//! messages are the types below. If the platform's actual protocol differs, only the platform
+//! clients of the daemon and the command line change (`docs/assumptions.md`).
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,50 +11,50 @@
 use crate::ids::HallName;
 use crate::server_view::ServerInfo;
 
-/// Response header with a key's version.
+/// Response header that carries the version of a key.
 pub const VERSION_HEADER: &str = "x-version";
 
-/// Answer to a write.
+/// Response to a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteResponse {
-    /// The key's version now: the new one, or the one that was in the way.
+    /// Current version of the key: the new one, or on a conflict the one that exists.
     pub version: u64,
 }
 
-/// Asks for a lease, or renews it.
+/// Acquires, renews or releases a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Name of the lease.
     pub name: String,
-    /// Who asks; the same holder renews.
+    /// Name of the requester; a request by the current holder renews the lease.
     pub holder: String,
-    /// Life from now, in milliseconds; zero gives the lease up.
+    /// TTL from now, in milliseconds; zero releases the lease.
     pub ttl_ms: u64,
 }
 
-/// Answer to a lease request.
+/// Response to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Whether the asker holds it now.
+    /// Whether the requester holds the lease now.
     pub granted: bool,
-    /// Who holds it.
+    /// Name of the current holder.
     pub holder: String,
-    /// Fencing number; grows with each change of holder.
+    /// Fencing token; increases with each change of holder.
     pub fence: u64,
 }
 
-/// A box of the system, as the platform lists it.
+/// Entry of a box in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxInfo {
-    /// Its name.
+    /// Name of the box.
     pub name: BoxName,
-    /// Its data hall.
+    /// Data hall of the box.
     pub hall: HallName,
-    /// Where callers and operators reach it, as `ip:port`.
+    /// Address for callers and operators, as `ip:port`.
     pub address: String,
-    /// Where its peers reach it, as `ip:port`.
+    /// Address for other boxes, as `ip:port`.
     pub peer_address: String,
-    /// Whether the owner takes it back.
+    /// Whether the box is being withdrawn by its owner.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -62,8 +62,8 @@
 /// The platform's list of live and leaving boxes and backend servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxList {
-    /// Boxes of the system.
+    /// Boxes that are live or leaving.
     pub boxes: Vec<BoxInfo>,
-    /// Backend servers.
+    /// Backend servers that are live or leaving.
     pub servers: Vec<ServerInfo>,
 }
--- a/lib/src/status_wire.rs
+++ b/lib/src/status_wire.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells of itself at `/status`, read by the command line.
+//! JSON types of a daemon's `/status` response, read by the command line.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,97 +10,98 @@
 use crate::ids::ServerName;
 use crate::server_view::ServerKind;
 
-/// One daemon's state.
+/// State of one daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// The box.
+    /// Name of the box.
     pub name: BoxName,
-    /// Its data hall.
+    /// Data hall of the box.
     pub hall: HallName,
-    /// The daemon's life.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send callers to this box.
     pub ready: bool,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
-    /// Settings in force.
+    /// State of the settings.
     pub settings: SettingsStatus,
-    /// Milliseconds since the platform answered last; none if it never did.
+    /// Time since the platform last responded, in milliseconds; `None` if it never did.
     pub platform_silent_ms: Option<u64>,
-    /// Requests waiting here.
+    /// Number of requests queued on this box.
     pub waiting: usize,
-    /// Requests at servers.
+    /// Number of requests in flight at servers.
     pub active: usize,
-    /// The placement lease of the hall, as far as this box knows.
+    /// Last known state of the hall's placement lease.
     pub lease: Option<LeaseStatus>,
-    /// Peers.
+    /// Other boxes.
     pub peers: Vec<PeerStatus>,
-    /// Backend servers.
+    /// Backend servers known to this box.
     pub servers: Vec<ServerStatus>,
 }
 
 /// Settings in force at a daemon.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SettingsStatus {
-    /// Revision; zero before the first.
+    /// Revision in force; zero before the first.
     pub revision: Revision,
-    /// Milliseconds since the platform confirmed that it is the newest; none if it never did.
+    /// Time since the platform confirmed that the revision is the latest, in milliseconds; `None`
+    /// if it never did.
     pub unconfirmed_ms: Option<u64>,
-    /// Why the newest value can't be used, if it can't.
+    /// Reason why the latest value cannot be used, if so.
     pub fault: Option<String>,
 }
 
-/// The placement lease as a daemon holds it.
+/// Placement lease as seen by a daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// Who holds it.
+    /// Name of the holder.
     pub holder: String,
-    /// Its fencing number.
+    /// Fencing token.
     pub fence: u64,
-    /// Whether this daemon may give orders now.
+    /// Whether this daemon holds the lease and may give orders now.
     pub in_force_here: bool,
 }
 
-/// One peer.
+/// State of another box as seen by a daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The box.
+    /// Name of the other box.
     pub name: BoxName,
-    /// Its data hall.
+    /// Data hall of the other box.
     pub hall: HallName,
-    /// Whether it is thought to live.
+    /// Whether its heartbeats still arrive.
     pub live: bool,
-    /// Whether it is leaving.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// The revision that it last told of.
+    /// Settings revision that it last reported.
     pub revision: Revision,
-    /// Milliseconds since news of it; none if there was none.
+    /// Time since its last newer heartbeat, in milliseconds; `None` if there was none.
     pub silent_ms: Option<u64>,
 }
 
-/// One backend server as a daemon sees it.
+/// State of a backend server as seen by a daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// The server.
+    /// Name of the server.
     pub name: ServerName,
-    /// Its data hall.
+    /// Data hall of the server.
     pub hall: HallName,
-    /// What it is.
+    /// Engine or plain service.
     pub kind: ServerKind,
-    /// Models loaded, or the service's pool.
+    /// Loaded models, or the pool of the service.
     pub serves: Vec<String>,
-    /// Whether it takes new work.
+    /// Whether new requests may be sent to it.
     pub takes_work: bool,
-    /// Age of its last report in milliseconds.
+    /// Age of its latest report, in milliseconds.
     pub report_age_ms: Option<u64>,
-    /// Prompt tokens queued.
+    /// Prompt tokens waiting for prefill.
     pub queued_tokens: u64,
-    /// Requests generating.
+    /// Number of requests that are generating.
     pub running: u32,
-    /// Memory held, in tokens.
+    /// KV memory in use, in tokens.
     pub memory_used: u64,
-    /// Memory, in tokens.
+    /// Capacity of KV memory, in tokens.
     pub memory_total: u64,
-    /// This box's own requests there.
+    /// Number of requests of this box in flight there.
     pub in_flight: usize,
 }
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The library's tests, in one runner.
+//! Integration tests of the library, in one binary.
 
 mod seeded;
 mod server_entry;
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -1,11 +1,11 @@
-//! The pages name only tests that exist.
+//! Checks that the tests named in the documentation exist.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Names in back quotes that look like a test or a scenario.
-fn named(page: &str) -> BTreeSet<String> {
+/// Names in backticks that look like a test or a scenario.
+fn referenced_tests(page: &str) -> BTreeSet<String> {
     let quoted = page.split('`').skip(1).step_by(2);
     let is_test = |name: &&str| {
         name.contains('_')
@@ -16,12 +16,13 @@
     quoted.filter(is_test).map(str::to_owned).collect()
 }
 
-fn collect(folder: &Path, found: &mut BTreeSet<String>) {
-    let entries = fs::read_dir(folder).expect("the folder is there");
+/// Collects the names of functions and files under a folder.
+fn collect_names(folder: &Path, found: &mut BTreeSet<String>) {
+    let entries = fs::read_dir(folder).expect("folder of tests is readable");
     for entry in entries.flatten() {
         let path = entry.path();
         if path.is_dir() {
-            collect(&path, found);
+            collect_names(&path, found);
             continue;
         }
         let stem = path
@@ -40,9 +41,10 @@
 }
 
 #[test]
-fn every_test_that_guarantees_name_exists() {
+fn tests_named_in_guarantees_exist() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-    let page = fs::read_to_string(root.join("docs/guarantees.md")).expect("the page is there");
+    let page = fs::read_to_string(root.join("docs/guarantees.md"))
+        .expect("docs/guarantees.md is readable");
     let mut found = BTreeSet::new();
     for folder in [
         "lib/tests",
@@ -51,14 +53,20 @@
         "edges/tests",
         "platform/tests",
     ] {
-        collect(&root.join(folder), &mut found);
+        collect_names(&root.join(folder), &mut found);
     }
 
-    let missing: Vec<_> = named(&page)
+    let missing: Vec<_> = referenced_tests(&page)
         .into_iter()
         .filter(|name| !found.contains(name))
         .collect();
 
-    assert!(named(&page).len() > 20, "the page names its tests");
-    assert!(missing.is_empty(), "named and not there: {missing:?}");
+    assert!(
+        referenced_tests(&page).len() > 20,
+        "docs/guarantees.md names too few tests"
+    );
+    assert!(
+        missing.is_empty(),
+        "named in docs/guarantees.md but not found: {missing:?}"
+    );
 }
