--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -61,16 +61,16 @@
     NewHolder,
     /// Fewer engines than desired have the model.
     TooFew {
-        /// Engines that have it.
+        /// Number of engines that have it.
         have: u64,
-        /// Engines wanted.
+        /// Desired number of engines.
         want: u64,
     },
     /// More engines than desired have the model.
     TooMany {
-        /// Engines that have it.
+        /// Number of engines that have it.
         have: u64,
-        /// Engines wanted.
+        /// Desired number of engines.
         want: u64,
     },
 }
@@ -238,8 +238,8 @@
             .filter(|engine| engine.models.contains(model));
         let free = loaded.filter(|engine| !self.pending.contains_key(&engine.name));
         let selected = free.min_by_key(|engine| {
-            let position = rendezvous_hash(model, &engine.name);
-            (engine.running, std::cmp::Reverse(position))
+            let hash = rendezvous_hash(model, &engine.name);
+            (engine.running, std::cmp::Reverse(hash))
         })?;
         let action = OrderAction::Unload {
             model: model.clone(),
--- a/lib/src/server_view.rs
+++ b/lib/src/server_view.rs
@@ -51,7 +51,7 @@
     /// Pool of a plain service; `None` for engines.
     #[serde(default)]
     pub pool: Option<ModelName>,
-    /// Whether it takes no new work.
+    /// Whether the server accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -73,7 +73,7 @@
     pub prefill_rate: u64,
     /// Time between two tokens of one output, in microseconds.
     pub token_interval_us: u64,
-    /// Whether it takes no new work.
+    /// Whether the server accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
