--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -20,14 +20,14 @@
 pub use crate::decision::Load;
 pub use crate::decision::Start;
 use crate::exchange::PlacementEnd;
-use crate::fleet::Fleet;
 use crate::ids::HallName;
 use crate::ids::ModelName;
 use crate::ids::RequestId;
 use crate::ids::ServerName;
 use crate::ids::WorkspaceName;
-use crate::long_lane;
-use crate::long_lane::Demand;
+use crate::long_prompt_engines;
+use crate::long_prompt_engines::PromptDemand;
+use crate::model_servers::ModelServers;
 use crate::outcome::RefusalReason;
 use crate::request::Placement;
 use crate::request::PrefixHash;
@@ -39,7 +39,7 @@
 use crate::routing::Policy;
 use crate::routing::RoutingContext;
 use crate::server_view::EngineReport;
-use crate::server_view::OwnWork;
+use crate::server_view::SentRequest;
 use crate::server_view::ServerInfo;
 use crate::server_view::ServerView;
 use crate::service_time::ServiceTime;
@@ -77,7 +77,7 @@
     queues: BTreeMap<QueueKey, WaitQueue>,
     active: BTreeMap<RequestId, Active>,
     avoid: BTreeMap<RequestId, Vec<ServerName>>,
-    demand: BTreeMap<ModelName, Demand>,
+    demand: BTreeMap<ModelName, PromptDemand>,
     service_times: BTreeMap<ModelName, ServiceTime>,
     /// Rate limits of workspaces. The daemon sets the number of boxes and their demand.
     pub limits: WorkspaceLimits,
@@ -178,7 +178,7 @@
     /// Records that an engine has cached a prefix. This is a hint that may be outdated.
     pub fn on_cached(&mut self, name: &ServerName, prefix: PrefixHash, tokens: u64) {
         if let Some(&index) = self.by_name.get(name) {
-            self.servers[index].cached(prefix, tokens);
+            self.servers[index].record_prefix(prefix, tokens);
         }
     }
 
@@ -202,7 +202,7 @@
         self.retries.deposit(self.settings.retry_percent);
         let demand = self.demand.entry(key.model.clone()).or_default();
         let now_s = now.as_micros() as f64 / 1e6;
-        demand.count(now_s, request.prompt_tokens, key.long);
+        demand.record(now_s, request.prompt_tokens, key.long);
         self.queues.entry(key.clone()).or_default().push(request);
         self.drain(now, &key, &model_servers, rng)
     }
@@ -243,7 +243,7 @@
         };
         for name in active.placement.servers() {
             if let Some(&index) = self.by_name.get(name) {
-                self.servers[index].started(now, id);
+                self.servers[index].record_first_token(now, id);
             }
         }
     }
@@ -261,7 +261,7 @@
                 continue;
             };
             let server = &mut self.servers[index];
-            server.ended(id);
+            server.record_end(id);
             match end {
                 PlacementEnd::Whole { .. } => server.breaker.on_success(),
                 PlacementEnd::Failed(failed) if failed == name => server.breaker.on_failure(
@@ -269,7 +269,7 @@
                     self.settings.breaker_failures,
                     self.settings.breaker_open,
                 ),
-                PlacementEnd::NoRoom(full) if full == name => server.had_no_room(now),
+                PlacementEnd::NoRoom(full) if full == name => server.record_memory_full(now),
                 PlacementEnd::Failed(_) | PlacementEnd::NoRoom(_) | PlacementEnd::Neutral => {
                     server.breaker.on_inconclusive(now);
                 }
@@ -331,7 +331,7 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        model_servers: &Fleet,
+        model_servers: &ModelServers,
         request: &Request,
         limit: HallLimit,
     ) -> Result<(), (RefusalReason, Duration)> {
@@ -374,8 +374,8 @@
     }
 
     /// The current state of a model's servers, computed once per decision.
-    fn model_servers(&self, now: Time, model: &ModelName) -> Fleet {
-        Fleet::new(now, &self.servers, model, &self.hall, self.boxes)
+    fn model_servers(&self, now: Time, model: &ModelName) -> ModelServers {
+        ModelServers::new(now, &self.servers, model, &self.hall, self.boxes)
     }
 
     fn times(&self, model: &ModelName) -> ServiceTime {
@@ -383,18 +383,28 @@
     }
 
     /// Expected queueing time of a new request, from the queue and its drain rate.
-    fn expected_wait(&self, key: &QueueKey, model_servers: &Fleet, request: &Request) -> Duration {
+    fn expected_wait(
+        &self,
+        key: &QueueKey,
+        model_servers: &ModelServers,
+        request: &Request,
+    ) -> Duration {
         let Some(queue) = self.queues.get(key).filter(|queue| !queue.is_empty()) else {
             return Duration::ZERO;
         };
         let ahead = queue.tokens_ahead(&request.workspace, request.weight);
         let rate = self
             .times(&key.model)
-            .drain_rate(key.long, model_servers.own_rate);
+            .drain_rate(key.long, model_servers.box_prefill_rate);
         Duration::from_secs_f64(ahead as f64 / rate.max(1.0))
     }
 
-    fn refuse_late(&mut self, now: Time, key: &QueueKey, model_servers: &Fleet) -> Vec<Decision> {
+    fn refuse_late(
+        &mut self,
+        now: Time,
+        key: &QueueKey,
+        model_servers: &ModelServers,
+    ) -> Vec<Decision> {
         if self.policy != Policy::Cost {
             return Vec::new();
         }
@@ -405,7 +415,7 @@
         let late = queue.remove_where(|request| {
             now + times.expected_time(request, model_servers.pace) >= request.deadline
         });
-        let rate = times.drain_rate(key.long, model_servers.own_rate);
+        let rate = times.drain_rate(key.long, model_servers.box_prefill_rate);
         let retry_after = Duration::from_secs_f64(queue.tokens() as f64 / rate.max(1.0));
         late.into_iter()
             .map(|request| Decision::Refuse {
@@ -420,7 +430,7 @@
         &mut self,
         now: Time,
         key: &QueueKey,
-        model_servers: &Fleet,
+        model_servers: &ModelServers,
         rng: &mut impl Rng,
     ) -> Vec<Decision> {
         let mut decisions = Vec::new();
@@ -441,7 +451,7 @@
         }
         let backlog = self.queues.get(key).is_some_and(|queue| !queue.is_empty());
         let times = self.service_times.entry(key.model.clone()).or_default();
-        times.set_backlog(now, key.long, backlog, model_servers.own_rate);
+        times.set_backlog(now, key.long, backlog, model_servers.box_prefill_rate);
         decisions
     }
 
@@ -450,7 +460,7 @@
         now: Time,
         request: &Request,
         long: bool,
-        model_servers: &Fleet,
+        model_servers: &ModelServers,
         rng: &mut impl Rng,
     ) -> Option<Start> {
         let mut usable = model_servers.serving.clone();
@@ -462,14 +472,14 @@
             }
         }
         let needed_tokens = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && needed_tokens > model_servers.most_memory {
+        if request.prompt_tokens > 0 && needed_tokens > model_servers.max_memory {
             return self.place_group(now, request, &usable);
         }
         match self.policy {
             Policy::Cost if long => self.place_long(now, request, &usable, rng),
             Policy::Cost => self.place_short(now, request, &mut usable, rng),
             baseline => {
-                let chosen = routing::choose_plain(
+                let chosen = routing::choose_baseline(
                     baseline,
                     &self.servers,
                     &usable,
@@ -503,7 +513,7 @@
         if choice.cost.wait > self.settings.queue {
             return None;
         }
-        Some(self.start_at(now, request, choice.index, choice.weighed))
+        Some(self.start_at(now, request, choice.index, choice.candidates))
     }
 
     fn place_long(
@@ -518,12 +528,14 @@
             .long_engines(request, usable)
             .into_iter()
             .filter(|&index| self.is_free_for_long(now, index))
-            .filter(|&index| long_lane::long_room(&self.servers[index]) >= needed_tokens)
+            .filter(|&index| {
+                long_prompt_engines::free_long_memory(&self.servers[index]) >= needed_tokens
+            })
             .collect();
         let rank = request.priority.rank(true);
         let cx = self.context(now, free.len());
         let choice = routing::choose(cx, &self.servers, &mut free, request, rank, rng)?;
-        Some(self.start_at(now, request, choice.index, choice.weighed))
+        Some(self.start_at(now, request, choice.index, choice.candidates))
     }
 
     /// The engines that run long prompts of the model, in rendezvous-hash order.
@@ -531,19 +543,19 @@
         let model = &request.model;
         let mut engines = usable.to_vec();
         engines.sort_by_cached_key(|&index| {
-            long_lane::lane_position(model, &self.servers[index].info().name)
+            long_prompt_engines::rendezvous_hash(model, &self.servers[index].info().name)
         });
         let demand = self.demand.get(model).copied().unwrap_or_default();
-        let size = demand.lane_size(engines.len(), self.settings.long_share_percent);
+        let size = demand.long_engine_count(engines.len(), self.settings.long_share_percent);
         let needed_tokens = request.prompt_tokens + request.max_output;
         let views = engines.iter().map(|&index| &self.servers[index]);
-        engines.truncate(size.max(long_lane::group_size(views, needed_tokens)));
+        engines.truncate(size.max(long_prompt_engines::engines_needed(views, needed_tokens)));
         engines
     }
 
     fn is_free_for_long(&self, now: Time, index: usize) -> bool {
         let server = &self.servers[index];
-        server.prefill_time(server.long_queued(now)) <= self.settings.queue
+        server.prefill_time(server.queued_long_tokens(now)) <= self.settings.queue
     }
 
     fn place_group(&self, now: Time, request: &Request, usable: &[usize]) -> Option<Start> {
@@ -555,7 +567,7 @@
             .filter(|&index| self.is_free_for_long(now, index))
             .map(|index| &self.servers[index])
             .collect();
-        let shares = long_lane::plan_group(&free, request.prompt_tokens, needed_tokens)?;
+        let shares = long_prompt_engines::plan_group(&free, request.prompt_tokens, needed_tokens)?;
         let prefill = free.first()?.prefill_time(request.prompt_tokens);
         Some(Start {
             request: request.id,
@@ -596,16 +608,16 @@
             Placement::Group(shares) => shares.clone(),
         };
         for share in shares {
-            let sent_request = OwnWork {
+            let sent_request = SentRequest {
                 rank,
                 prefill: share.prompt,
                 memory: share.tokens,
                 long,
                 sent_at: now,
-                started_at: None,
+                first_token_at: None,
             };
             if let Some(&index) = self.by_name.get(&share.server) {
-                self.servers[index].sent(request.id, sent_request);
+                self.servers[index].record_sent(request.id, sent_request);
             }
         }
         let avoid = self.avoid.remove(&request.id).unwrap_or_default();
