--- a/lib/src/relay/call.rs
+++ b/lib/src/relay/call.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Form of the answer, and whether the call may run more than once.
+/// Form of the response, and whether the call may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CallKind {
     /// A single response.
@@ -13,13 +13,14 @@
     },
     /// A stream of events with increasing ids.
     Stream {
-        /// Whether another server can resume after the last received event.
+        /// Whether another server can resume the stream after the last received event.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether the call is idempotent and may be retried.
+    /// Whether the call may be sent again: a unary call that is idempotent, or a stream that can be
+    /// resumed.
     pub const fn is_repeatable(self) -> bool {
         match self {
             Self::Unary { repeatable } => repeatable,
@@ -27,13 +28,13 @@
         }
     }
 
-    /// Whether the answer is an event stream.
+    /// Whether the response is an event stream.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// Size of a generation, as stated by its caller.
+/// Token counts of a generation, as stated by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSize {
     /// Prompt tokens.
@@ -43,7 +44,7 @@
 }
 
 impl PromptSize {
-    /// Engine memory that the whole generation occupies at its limit, in tokens.
+    /// Engine memory that the generation occupies at its maximum length, in tokens.
     pub const fn memory_tokens(&self) -> u64 {
         self.tokens + self.max_output
     }
--- a/lib/src/relay/engine_load.rs
+++ b/lib/src/relay/engine_load.rs
@@ -1,9 +1,9 @@
 //! Load of every engine, from this box's own calls and from the tables that other boxes gossip.
 //!
 //! Engines report their load late, and querying them is expensive. A box knows its own calls exactly
-//! and frequently sends its whole table to the others. Tables expire, so the load that a failed box
-//! announced does not persist. In a large fleet each other hall is represented by one table with its
-//! total. Routing uses the sum over all tables.
+//! and frequently sends the load of all of them to the other boxes, as one table. Tables expire, so
+//! the load that a failed box announced does not persist. In a large fleet one table with the hall's
+//! total represents each other hall. Routing uses the sum over all tables.
 
 use std::collections::HashMap;
 use std::hash::DefaultHasher;
@@ -20,11 +20,11 @@
 
 /// Time after which a received table expires: at least three maximum gossip intervals.
 pub const TABLE_TTL: Duration = Duration::from_millis(1_500);
-/// A prefill whose end was not observed counts until it is overdue by this multiple of its estimate,
-/// plus [`OVERRUN_SLACK`]. Chunks queued behind others take several times their estimate; no caller
-/// waits longer than this.
+/// A prefill whose end was not observed counts until it is overdue by this multiple of its estimated
+/// time, plus [`OVERRUN_SLACK`]. Chunks queued behind others take several times their estimate; no
+/// caller waits longer than this.
 const OVERRUN_FACTOR: u32 = 10;
-/// Added to the overrun limit for passes that the prefill waits for.
+/// Allowance for engine passes that run before the prefill.
 const OVERRUN_SLACK: Duration = Duration::from_secs(5);
 
 /// Hash of an engine's server name, the same at every box.
@@ -43,13 +43,13 @@
 /// Load of one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Remaining prefill, in milliseconds of this engine's time.
+    /// Remaining prefill, as milliseconds of this engine's time.
     pub prefill_ms: u32,
     /// Long prompts of which it prefills a chunk, counted until the first event shows that all
     /// chunks are done. Engines prefill the most recent chunk first, so a second long prompt would
     /// delay this chunk and with it all others of the first prompt.
     pub long_prefills: u16,
-    /// Short calls that it leads, whether queued, in prefill or in decode.
+    /// Short calls that it leads, whether queued there, in prefill or in decode.
     pub short_calls: u16,
     /// Long calls that it leads.
     pub long_calls: u16,
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineWorkId(u64);
 
-/// Share of a call that one engine executes.
+/// Part of a call that one engine executes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineWork {
     /// Estimated prefill time.
@@ -90,7 +90,7 @@
     pub delay: Duration,
     /// Memory that it takes at the engine, in tokens.
     pub memory_tokens: u64,
-    /// Whether the engine leads the call; otherwise it only prefills a chunk.
+    /// Whether the engine leads the call and decodes its stream; otherwise it only prefills a chunk.
     pub is_lead: bool,
     /// Whether the call counts as long.
     pub is_long: bool,
@@ -102,7 +102,7 @@
     work: EngineWork,
     /// Estimated end of the prefill.
     prefill_ends_at: Time,
-    /// When it no longer counts as in prefill, even if the end was not observed.
+    /// When it stops counting as in prefill, even if the end was not observed.
     expires_at: Time,
     is_prefilling: bool,
 }
@@ -164,7 +164,7 @@
         id
     }
 
-    /// Records the end of the prefill: the first token has arrived.
+    /// Records the end of the prefill, when the first token arrives.
     pub fn prefill_done(&mut self, id: EngineWorkId) {
         if let Some(entry) = self.own.get_mut(&id) {
             entry.is_prefilling = false;
@@ -263,11 +263,11 @@
 }
 
 impl Entry {
-    /// Remaining prefill by the estimate. Once overdue, the time by which it is overdue, up to the
-    /// whole chunk.
+    /// Remaining prefill time by the estimate. Once overdue, it is assumed to take as long again as
+    /// it is overdue.
     ///
-    /// Never more than the chunk itself: chunks queued ahead have entries of their own. Counting
-    /// them again in each entry reported 300 s of prefill for a backlog of 2 s.
+    /// Never more than the whole chunk: chunks queued ahead have entries of their own. Counting them
+    /// in each entry behind them, too, reported 300 s of prefill for a backlog of 2 s.
     fn remaining_prefill(&self, now: Time) -> Duration {
         let overdue = now.since(self.prefill_ends_at);
         let remaining = if overdue.is_zero() {
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -1,5 +1,7 @@
-//! Placement of a generation: the engine that leads it and the engines that prefill chunks of
-//! its prompt.
+//! Placement of a generation: its lead engine and the engines that prefill chunks of its prompt.
+//!
+//! The lead engine receives the call, requests the chunks from the other engines, its helpers, and
+//! decodes the stream.
 //!
 //! An engine works in passes. A pass runs a fixed number of decode steps for all its streams, and
 //! prefill work is added to it, so prefill widens the gaps between events of every stream
@@ -8,7 +10,7 @@
 //! number of these engines follows from the short calls in flight. Long prompts are split into
 //! chunks that the other engines prefill in parallel. Each of these engines serves one long prompt
 //! at a time, since two on one engine delay each other by more than they gain.
-//! Alternatives: see `docs/design/long-reads.md`.
+//! Alternatives considered: see `docs/design/long-reads.md`.
 
 use std::time::Duration;
 
@@ -26,11 +28,11 @@
 use crate::relay::prefill_selector::MAX_EXCLUSIVE_CHUNK;
 use crate::relay::prefill_selector::PrefillSelector;
 
-/// Maximum number of engines that prefill for one call besides its leader, as limited by the
-/// engines.
+/// Maximum number of engines that prefill for one call besides its lead engine; a limit that the
+/// engines impose.
 pub const MAX_HELPERS: usize = 16;
-/// Prefill time on one engine above which a prompt is long: more would make short streams exceed
-/// their gap limit.
+/// Prefill time on a single engine above which a prompt is long: more would make short streams
+/// exceed their gap limit.
 const MAX_SHORT_PREFILL: Duration = Duration::from_millis(200);
 /// Target prefill time of a long prompt's chunk where enough engines are free. Smaller chunks would
 /// prolong a pass on more engines.
@@ -39,20 +41,21 @@
 /// many boxes, provided its chunks stay short enough. Up to [`FRESH_BOXES`] boxes a prompt may take
 /// all free engines; with more, several boxes would choose the same ones.
 const MIN_FREE_ENGINE_FRACTION: f64 = 0.6;
-/// Maximum chunk of a prompt with little time left; more time allows larger chunks. The prompt
-/// waits until enough engines are free for it.
+/// Maximum prefill time of a chunk of a prompt that is due soon; one with more time left may use
+/// larger chunks. The prompt waits until enough engines are free for chunks of this size.
 const BASE_MAX_CHUNK: Duration = Duration::from_millis(600);
 /// Fraction of the time until its first event is due that a prompt's prefill may take; the rest
-/// covers passes and other prefill work. Larger values need fewer free engines at once.
+/// covers passes and other prefill work. With a larger fraction fewer engines must be free at once.
 const PREFILL_TIME_FRACTION: f64 = 0.8;
 /// One in this many engines serves a prompt that all engines together can't prefill in chunks of
 /// [`MAX_EXCLUSIVE_CHUNK`]. It is late in any case; the other engines stay free for other calls.
 const HUGE_PROMPT_ENGINE_DIVISOR: usize = 2;
 /// Target prefill time of a short call's chunk, which keeps the passes of short streams short.
 const SHORT_TARGET_CHUNK: Duration = Duration::from_millis(50);
-/// Assumed remaining prefill time of a long chunk that has exceeded its estimate.
+/// Minimum remaining prefill time that is assumed for an engine with an unfinished long chunk, even
+/// if the chunk has exceeded its estimate.
 const OVERDUE_CHUNK_REMAINDER: Duration = Duration::from_millis(150);
-/// Fraction of an engine's batch that is planned for short calls; the rest absorbs bursts.
+/// Fraction of a reserved engine's batch that is filled with short calls; the rest absorbs bursts.
 const SHORT_BATCH_FRACTION: f64 = 0.75;
 /// Engines reserved for short calls in addition to those that they fill, for simultaneous arrivals.
 const SPARE_SHORT_ENGINES: usize = 1;
@@ -62,16 +65,16 @@
 const USABLE_MEMORY_FRACTION: f64 = 0.95;
 /// Number of boxes up to which load data is fresh, so that most engines are considered.
 const FRESH_BOXES: usize = 10;
-/// Cost of placing a short call outside its reserved engines, as time to the first event.
+/// Cost of placing a short call outside the reserved engines, as time to the first event.
 const UNRESERVED_ENGINE_COST: Duration = Duration::from_millis(60);
 /// Cost of a full batch, as time: the call waits until another ends.
 const FULL_BATCH_COST: Duration = Duration::from_millis(1_500);
-/// Maximum extra cost of a short call's helper over its leader, as time.
+/// Maximum cost of a short call's helper above that of its lead engine, as time.
 const MAX_HELPER_EXTRA_COST: Duration = Duration::from_millis(60);
 /// Cost of a round trip to another data hall, as time.
 const REMOTE_HALL_COST: Duration = Duration::from_millis(2);
-/// Extra cost of an engine that states a limit or sheds load, as time: the few calls that it
-/// accepts are kept for when other engines are full and for prompts that need it.
+/// Cost of an engine that states a call limit or sheds load, as time: the few calls that it accepts
+/// are kept for times when other engines are full and for prompts that need this engine.
 const LIMITED_COST: Duration = Duration::from_millis(250);
 /// Cost of an engine that accepts no calls now, as time: high enough that no call goes there
 /// while another engine accepts calls.
@@ -122,12 +125,12 @@
     /// Rank in this box's own order of engines; the orders differ so that boxes which choose at the
     /// same time choose different engines.
     pub preference: u32,
-    /// Whether the engine accepts calls of this box. It doesn't apply to chunks: the leader
-    /// requests these, and call limits don't count them.
+    /// Whether the engine accepts calls of this box. Doesn't apply to chunks that it prefills for
+    /// others: the lead engine requests these, and call limits don't count them.
     pub availability: Availability,
 }
 
-/// The share of a plan that one engine executes.
+/// The part of a plan that one engine executes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assignment {
     /// Index of the engine in [`EnginePool::engines`].
@@ -143,7 +146,7 @@
 /// The engines available to a plan, and the number of boxes that choose among them.
 #[derive(Debug, Clone, Copy)]
 pub struct EnginePool<'a> {
-    /// Performance model of each engine.
+    /// Performance model that all engines share.
     pub model: &'a EngineModel,
     /// Engines that accept work, in the order that all boxes share.
     pub engines: &'a [EngineState],
@@ -151,24 +154,24 @@
     pub boxes: usize,
 }
 
-/// Latency that a caller expects of a stream, and limits from other streams.
+/// Latency targets of a stream, and limits set by other streams on the same engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencyTargets {
     /// Time until the first event is due.
     pub due_in: Duration,
     /// Maximum gap between events, if the route states one.
     pub max_gap: Option<Duration>,
-    /// Smallest gap limit among the streams that the same engines decode.
+    /// Smallest `max_gap` of all streams that the engines may be decoding, if any is stated.
     pub tightest_gap: Option<Duration>,
-    /// Maximum chunk of a large prompt that can't be on time; it uses as few engines as this chunk
-    /// size allows. `None` for all other prompts.
+    /// Maximum prefill time of a chunk of a large prompt that can't be on time; it uses as few
+    /// engines as chunks of this size allow. `None` for all other prompts.
     pub late_chunk: Option<Duration>,
 }
 
 /// Placement of a generation on engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EnginePlan {
-    /// Assignments to engines; the first is the leader's.
+    /// Assignments to engines; the first is that of the lead engine.
     pub assignments: Vec<Assignment>,
     /// Whether memory must be reserved for all assignments before the call is sent.
     pub reserve_memory: bool,
@@ -179,7 +182,7 @@
 }
 
 impl EnginePlan {
-    /// Load table entry of each assignment; `engines` must be the list that was planned over.
+    /// Load table entry of each assignment; `engines` must be the list that the plan was made for.
     pub fn engine_work(&self, engines: &[EngineState]) -> Vec<EngineWork> {
         let entry = |(index, assignment): (usize, &Assignment)| {
             let pending = Duration::from_millis(engines[assignment.engine].load.prefill_ms.into());
@@ -197,8 +200,8 @@
 
 /// Whether a prompt is prefilled and decoded on the engines for long prompts.
 ///
-/// A stream with a tight gap limit is decoded among the short streams, however long its prompt is.
-/// Only its prefill is spread over the other engines.
+/// A stream with a tight gap limit is decoded on the engines for short calls, however long its
+/// prompt is. Only its prefill is spread over the other engines.
 pub fn is_long(model: &EngineModel, prompt: &PromptSize, max_gap: Option<Duration>) -> bool {
     let tolerates_long_gaps = max_gap.is_none_or(|max_gap| max_gap >= LONG_STREAM_MAX_GAP);
     tolerates_long_gaps && model.prefill_time(prompt.tokens) > MAX_SHORT_PREFILL
@@ -246,7 +249,7 @@
     }
 }
 
-/// Prefill work ahead of a new call. A long chunk that is overdue counts as not yet finished.
+/// Prefill work ahead of a new call. A long chunk counts as unfinished even if it is overdue.
 fn pending_prefill(engine: &EngineState) -> Duration {
     let prefill = Duration::from_millis(u64::from(engine.load.prefill_ms));
     let minimum = match engine.load.long_prefills {
@@ -282,8 +285,8 @@
     }
 }
 
-/// Expected time until an engine has prefilled a short call's prompt, plus the cost to other calls
-/// expressed as time.
+/// Expected time until an engine produces the first event of a short call, without the call's own
+/// prefill, plus the disadvantages of this engine expressed as time.
 fn short_cost(
     model: &EngineModel,
     engine: &EngineState,
@@ -342,8 +345,8 @@
     order.retain(|&index| index != lead);
     let helpers = chunk_count(prefill, SHORT_TARGET_CHUNK).min(MAX_HELPERS + 1) - 1;
     if prefill > MAX_SHORT_PREFILL {
-        // Engines outside the reserved ones prefill it. Reserved engines join where larger chunks
-        // would make their streams exceed the gap limit.
+        // Engines that are not reserved for short calls prefill it. Reserved ones help only if
+        // chunks would otherwise be so large that short streams exceed their gap limit.
         let with_short_streams = ChunkLimits::new(model, targets.tightest_gap).with_short_streams;
         let needed = chunk_count(prefill, with_short_streams).min(MAX_HELPERS + 1) - 1;
         let outside = order
@@ -394,7 +397,7 @@
 
 /// Chooses the cheapest engine of a random sample.
 ///
-/// With more boxes the load data of each is older, so the sample is smaller: otherwise all boxes
+/// With more boxes the load data of each is older, so the sample is smaller; otherwise all boxes
 /// would choose the same engine.
 fn cheapest_of_sample(
     costs: &[Duration],
@@ -419,7 +422,7 @@
     let usable = (model.memory as f64 * USABLE_MEMORY_FRACTION) as u64;
     let reserve_memory = prompt.memory_tokens() > usable;
     let short_engines = short_engines.min(engines.len() - 1);
-    // With reservations the engines' limit on helpers includes the leader.
+    // If memory is reserved, the lead engine itself counts against the engines' limit on helpers.
     let available = (MAX_HELPERS + usize::from(!reserve_memory)).min(engines.len());
     let exceeds_all_engines = prefill / available as u32 > MAX_EXCLUSIVE_CHUNK;
     let max_count = if exceeds_all_engines {
@@ -497,8 +500,8 @@
     }
 }
 
-/// Maximum chunk of a prompt, by the time until its first event is due. The prompt waits until
-/// enough engines are free for it.
+/// Maximum prefill time of a chunk, by the time until the prompt's first event is due. The prompt
+/// waits until enough engines are free for chunks of this size.
 fn deadline_chunk(due_in: Duration) -> Duration {
     match due_in {
         // Already late: it starts only when nothing else waits, and chunk size no longer matters
@@ -512,12 +515,12 @@
 
 /// Fraction of the free engines that one prompt may take.
 ///
-/// It shrinks with the number of boxes, since the load data of each is then older.
+/// Shrinks with the number of boxes, since the load data of each is then older.
 fn free_engine_fraction(boxes: usize) -> f64 {
     (FRESH_BOXES as f64 / boxes.max(1) as f64).clamp(MIN_FREE_ENGINE_FRACTION, 1.0)
 }
 
-/// Number of chunks of at most this prefill time.
+/// Number of chunks that a prefill is split into if each takes at most the time `chunk`.
 fn chunk_count(prefill: Duration, chunk: Duration) -> usize {
     (prefill.as_secs_f64() / chunk.as_secs_f64())
         .ceil()
--- a/lib/src/relay/engine_utilization.rs
+++ b/lib/src/relay/engine_utilization.rs
@@ -1,10 +1,10 @@
 //! Computes engine utilization over time from the call log lines of the boxes.
 //!
-//! One line records when a call was sent to which engines, the prefill time of each chunk and the
-//! time it was queued; others record its first event and its end. From these follows what each
-//! engine did at any time: prefill, blocked by a prompt whose other chunks were not done, only
-//! decode, or idle, and how much of that while prompts were queued. A prefill is assumed to start
-//! when the call is sent and to take the time that follows from the configured engine figures.
+//! One line records when a call was sent to which engines, the prefill time of each chunk and how
+//! long the call was queued; others record its first event and its end. They show what each engine
+//! did at any time: prefill, blocked by a prompt whose other chunks were not done, only decode, or
+//! idle; and how much of each while prompts were queued. A prefill is assumed to start when the call
+//! is sent and to take the time computed from the configured performance model of the engines.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,9 +13,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Sampling interval; a prefill chunk takes at least some tens of milliseconds.
+/// Sampling interval, shorter than a prefill chunk, which takes at least some tens of milliseconds.
 const STEP_MS: u64 = 20;
-/// Length of a row of the report.
+/// Time span of one row of the report.
 const ROW_MS: u64 = 1_000;
 /// Minimum number of calls for an engine's estimate to be reported.
 const MIN_CALLS: usize = 3;
@@ -33,9 +33,9 @@
     pub part_ms: Option<u64>,
     /// Whether the prompt is long. Its engines prefill no other long prompt until its first event.
     pub long: bool,
-    /// Time it was queued for engines, in milliseconds.
+    /// Time for which it was queued until engines were free, in milliseconds.
     pub waited_ms: u64,
-    /// Expected time to its first event, in milliseconds.
+    /// Expected time from now to its first event, in milliseconds.
     pub expected_ms: u64,
 }
 
@@ -69,6 +69,8 @@
 }
 
 impl Attempt {
+    /// When its engines are free for another long prompt: at its first event, or at its end if none
+    /// arrived. If neither was logged, the estimated end of the prefill.
     fn blocked_until(&self) -> u64 {
         let observed = self.first_event_at.or(self.ended_at);
         observed.unwrap_or(self.sent_at + self.chunk_ms)
@@ -116,7 +118,7 @@
 pub struct EngineUtilization {
     /// Prefill.
     pub reads: f64,
-    /// Done with its chunk of a long prompt, but blocked until the prompt's first event.
+    /// Finished with its chunk of a long prompt, but blocked until the prompt's first event.
     pub held: f64,
     /// Only decode.
     pub writes: f64,
@@ -124,7 +126,7 @@
     pub unused: f64,
 }
 
-/// Rounds to three decimals, which exceeds the accuracy of the sampling.
+/// Rounds to three decimals, which is finer than the sampling.
 fn rounded(value: f64) -> f64 {
     (value * 1e3).round() / 1e3
 }
@@ -167,7 +169,7 @@
 pub struct EngineEstimate {
     /// Address of the engine.
     pub engine: String,
-    /// Number of calls of which it had a prefill chunk.
+    /// Number of calls of which it prefilled a chunk.
     pub calls: usize,
     /// Median time to the first event, as a multiple of the estimate.
     pub over_expected: f64,
@@ -190,6 +192,7 @@
 #[derive(Debug, Default)]
 pub struct EngineLog {
     attempts: Vec<Attempt>,
+    /// Index of the latest attempt of each call.
     last_attempts: HashMap<String, usize>,
 }
 
@@ -213,13 +216,13 @@
     }
 
     fn last_attempt(&mut self, call: &str) -> Option<&mut Attempt> {
-        let at = *self.last_attempts.get(call)?;
-        self.attempts.get_mut(at)
+        let index = *self.last_attempts.get(call)?;
+        self.attempts.get_mut(index)
     }
 
     fn record_routed(&mut self, at: u64, line: RoutedLine) {
         let Some(chunk_ms) = line.part_ms else {
-            // A plain call: it has no prefill chunks.
+            // A plain call, for which no engines were planned.
             return;
         };
         if let Some(previous) = self.last_attempt(&line.call) {
@@ -250,7 +253,7 @@
         let names = self.attempts.iter().flat_map(|attempt| &attempt.engines);
         let names: BTreeSet<&str> = names.map(String::as_str).collect();
         let indices: HashMap<&str, usize> = (names.iter().enumerate())
-            .map(|(at, name)| (*name, at))
+            .map(|(index, name)| (*name, index))
             .collect();
         let (seconds, while_waiting) = self.seconds(&indices);
         EngineReport {
--- a/lib/src/relay/gossip_topology.rs
+++ b/lib/src/relay/gossip_topology.rs
@@ -1,12 +1,13 @@
 //! Which boxes gossip their engine load to each other.
 //!
 //! In a small fleet every box gossips with all others and uses the engines of all halls. In a large
-//! fleet this does not scale: each box's view of another is as old as one round over all of them,
-//! and most of the traffic crosses halls. Each hall is then a cell of its own: its boxes gossip
-//! among themselves and prefer the engines of their own hall as long as these suffice. Delegates of
-//! each hall send the hall's total load to the other halls, which is enough to see where engines
-//! are free. No box is essential: the two highest-ranked live boxes act as delegates, and a hall
-//! that is cut off continues with its own engines. See `docs/design/cells.md` for the alternatives.
+//! fleet this does not scale: a box's data about another is as old as one round of datagrams to all
+//! boxes takes, and most of the traffic crosses halls. Each hall is then a cell of its own: its
+//! boxes gossip among themselves and prefer the engines of their own hall as long as these suffice.
+//! Delegates of each hall send the hall's total load to the other halls, which is enough to see
+//! where engines are free. No box is essential: the two highest-ranked live boxes act as delegates,
+//! and a hall that is cut off continues with its own engines. Alternatives considered: see
+//! `docs/design/cells.md`.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,23 +17,25 @@
 use crate::ids::HallName;
 use crate::relay::state_pull::BoxAddresses;
 
-/// Minimum interval between datagrams, per receiving box. Bounds the total traffic. Changes by long
-/// prompts are sent without this delay: they are rare, and boxes that miss them send their own
-/// prompts to the same engines.
+/// Minimum interval between two gossip rounds of a box, for each box that receives its datagrams.
+/// Bounds the total traffic. Changes caused by long prompts are sent at once: they are rare, and
+/// boxes that don't know of them send their own long prompts to the same engines.
 pub const GOSSIP_INTERVAL_PER_BOX: Duration = Duration::from_millis(1);
-/// Maximum interval between datagrams while a long prompt is queued: other boxes yield to it.
+/// Maximum interval between a box's datagrams while a long prompt is queued there, to which other
+/// boxes yield.
 pub const QUEUED_PROMPT_HEARTBEAT: Duration = Duration::from_millis(150);
 /// Maximum interval between datagrams that send the hall's load to other halls.
 pub const MAX_HALL_GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 /// Minimum interval between datagrams that send the hall's load to other halls. Kept short, since
 /// halls that don't see each other's long prompts send them to the same engines.
 pub const MIN_HALL_GOSSIP_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum age of fleet-wide gossip. The age grows by [`GOSSIP_INTERVAL_PER_BOX`] with each
-/// receiver; beyond this limit the totals that halls send each other are fresher.
+/// Maximum age of load data up to which all boxes gossip with each other. The age grows by
+/// [`GOSSIP_INTERVAL_PER_BOX`] with each receiver; beyond this limit the totals that halls send each
+/// other are fresher.
 const MAX_MESH_STALENESS: Duration = MIN_HALL_GOSSIP_INTERVAL;
-/// Boxes of another hall that receive its load in rotation. Each forwards it to its whole hall, so
-/// they share that work, and the hall is reached as long as one of them is live.
-const RECEIVERS_PER_HALL: usize = 4;
+/// Number of boxes of each hall that receive the load of other halls in rotation. Each forwards it to
+/// its whole hall, so they share that work, and the hall is reached as long as one of them is live.
+const TARGETS_PER_HALL: usize = 4;
 
 /// Silence after which a box's entry is removed. A machine that is frozen, cut off or under repair
 /// usually returns earlier; until then it costs its peers an occasional datagram.
@@ -70,8 +73,8 @@
     }
 }
 
-/// Boxes of a hall by rank: most processor time first, then by name. The first ones take on the
-/// tasks that one box does for all.
+/// Boxes of a hall by rank: most processor time first, then by name. The highest-ranked ones take on
+/// the tasks that are done once per hall.
 pub fn ranked_boxes<'a>(boxes: &'a Boxes, hall: &str) -> Vec<&'a BoxAddresses> {
     let mut ranked: Vec<&BoxAddresses> = boxes.values().filter(|info| info.hall == hall).collect();
     ranked.sort_by_key(|info| (Reverse(info.processor), &info.name));
@@ -91,11 +94,12 @@
 pub enum DelegateRole {
     /// Sends changes at once.
     Primary,
-    /// Sends at a fixed interval, in case the primary has failed undetected.
+    /// Sends at a fixed interval, in case the primary has failed and this is not yet detected.
     Backup,
 }
 
-/// Role of box `own` as delegate of its hall, by which boxes of the hall it considers live.
+/// Role of box `own` as delegate of its hall; `None` if it isn't one of the two highest-ranked boxes
+/// that it considers live.
 pub fn delegate_role(
     boxes: &Boxes,
     own: &str,
@@ -113,8 +117,8 @@
     }
 }
 
-/// The highest-ranked live box of a hall or, if none is live, of the next hall by name that has
-/// one. The order wraps around, so each hall has a different sequence.
+/// The highest-ranked live box of a hall or, if it has none, of the next hall that has one. Halls
+/// follow by name, and the first follows the last, so each hall has a sequence of its own.
 pub fn first_live_box<'a>(
     boxes: &'a Boxes,
     own: &str,
@@ -136,29 +140,29 @@
     halls.len()
 }
 
-/// Boxes of the hall whose entries `own` has to remove, having been silent for `BOX_EXPIRY`.
+/// Boxes of its hall that have been silent for `BOX_EXPIRY` and whose entries `own` has to remove.
 ///
-/// Empty unless `own` is the highest-ranked live box of its hall. Also empty if it hears no other
-/// box of its hall: then it is probably cut off itself.
+/// Empty unless `own` ranks highest among the boxes of its hall that have not expired. Also empty if
+/// all other boxes of the hall have expired: then `own` is probably cut off itself.
 pub fn expired_boxes(
     boxes: &Boxes,
     own: &BoxAddresses,
     silent_for: impl Fn(&str) -> Duration,
 ) -> Vec<String> {
-    let is_silent = |info: &&BoxAddresses| silent_for(&info.name) >= BOX_EXPIRY;
+    let is_expired = |info: &&BoxAddresses| silent_for(&info.name) >= BOX_EXPIRY;
     let others = ranked_boxes(boxes, &own.hall).into_iter();
     let others = others.filter(|info| info.name != own.name);
-    let (silent, live): (Vec<_>, Vec<_>) = others.partition(is_silent);
+    let (expired, live): (Vec<_>, Vec<_>) = others.partition(is_expired);
     let ranks_before = |info: &&BoxAddresses| {
         (Reverse(info.processor), &info.name) < (Reverse(own.processor), &own.name)
     };
     if live.is_empty() || live.iter().any(ranks_before) {
         return Vec::new();
     }
-    silent.into_iter().map(|info| info.name.clone()).collect()
+    expired.into_iter().map(|info| info.name.clone()).collect()
 }
 
-/// One receiving box of each other hall, in rotation by `turn`.
+/// One box of each other hall to send this hall's load to. The choice rotates with `turn`.
 pub fn gossip_targets<'a>(boxes: &'a Boxes, own: &HallName, turn: usize) -> Vec<&'a BoxAddresses> {
     let mut halls: Vec<&str> = boxes.values().map(|info| info.hall.as_str()).collect();
     halls.sort_unstable();
@@ -167,7 +171,7 @@
     others
         .filter_map(|hall| {
             let mut ranked = ranked_boxes(boxes, hall);
-            ranked.truncate(RECEIVERS_PER_HALL);
+            ranked.truncate(TARGETS_PER_HALL);
             ranked.get(turn % ranked.len().max(1)).copied()
         })
         .collect()
--- a/lib/src/relay/hall_planner.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -1,8 +1,10 @@
 //! Chooses the hall in which a generation runs.
 //!
-//! Where halls are cells, a box has fresh data about the engines of its own hall, while data about
-//! other halls is some tenths of a second old. A call therefore runs in the own hall if it can be
-//! on time there, and otherwise in one other hall. Alternatives: see `docs/design/cells.md`.
+//! Where halls are cells (see [`gossip_topology`](crate::relay::gossip_topology)), a box has fresh
+//! data about the engines of its own hall, while data about other halls is some tenths of a second
+//! old. A short call therefore runs in the own hall if it can be on time there, and otherwise in the
+//! hall that is expected to be fastest. A long prompt prefers the engines of the own hall but may
+//! use those of several halls. Alternatives considered: see `docs/design/cells.md`.
 
 use std::time::Duration;
 
@@ -19,7 +21,7 @@
 /// Fraction of the time until its first event is due that a short call may be expected to take in
 /// its own hall. The rest is a margin: about half of all calls exceed their estimate.
 const LOCAL_DEADLINE_FRACTION: f64 = 0.5;
-/// Minimum expected gain in time to the first event for leaving the own hall.
+/// Minimum expected gain in time to the first event for which a short call leaves the own hall.
 const MIN_REMOTE_GAIN: Duration = Duration::from_millis(50);
 
 /// The engines that a box may use, by hall.
@@ -29,7 +31,8 @@
     pub pool: EnginePool<'a>,
     /// Hall number of each engine; 0 is the hall of this box.
     pub halls: &'a [usize],
-    /// Whether halls are cells, or all boxes share data about all engines.
+    /// [`GossipScope::Hall`] if halls are cells, [`GossipScope::Fleet`] if all boxes share data about
+    /// all engines.
     pub scope: GossipScope,
 }
 
@@ -64,8 +67,8 @@
         remote.filter(gains).or(local)
     }
 
-    /// Plans a long prompt over the engines of all halls, preferring the own hall. The first
-    /// engines of each hall stay reserved for short calls.
+    /// Plans a long prompt over the engines of all halls, preferring the own hall. In each hall the
+    /// first engines stay reserved for short calls.
     fn plan_across_halls(
         &self,
         prompt: &PromptSize,
--- a/lib/src/relay/hall_reachability.rs
+++ b/lib/src/relay/hall_reachability.rs
@@ -3,7 +3,7 @@
 //! Boxes gossip several times a second, so a network partition between two halls shows as silence of
 //! all boxes in the other hall, long before each box would detect it by failing calls. An answer from
 //! any server there is evidence against a partition: then the boxes have failed, not the link. A box
-//! that hears no other box at all draws no conclusion about halls.
+//! that hears no other box at all treats no hall as silent: it is probably cut off itself.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 
 /// Maximum interval between two datagrams of one box.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Silence tolerated regardless of the number of boxes, since datagrams can be lost or late.
+/// Silence that is tolerated however many boxes a hall has, since datagrams can be lost or late.
 const SILENCE_MARGIN: Duration = Duration::from_millis(250);
-/// A box counts as live if it was heard less than this before the last datagram of its hall.
+/// A box counts as live if it was heard less than this before the last datagram from its hall.
 const LIVE_WINDOW: Duration = Duration::from_millis(1_500);
 /// Time after the last datagram or probe until a call may probe a silent hall. It can be long: boxes
 /// of the hall are heard again as soon as the link is restored.
@@ -49,7 +49,8 @@
 }
 
 impl HallState {
-    /// Silence of all boxes after which the hall counts as silent. Shorter if more boxes are live.
+    /// Time without a datagram from any box after which the hall counts as silent. Shorter if more
+    /// boxes are live.
     fn silence_timeout(&self) -> Duration {
         let is_live = |heard_at: &&Time| self.heard_at.since(**heard_at) < LIVE_WINDOW;
         let boxes = self.boxes.values().filter(is_live).count();
@@ -68,7 +69,8 @@
 #[derive(Debug, Default)]
 pub struct HallReachability {
     halls: HashMap<HallName, HallState>,
-    /// When another box of the own hall was last heard. The own hall never counts as silent.
+    /// When another box of the own hall was last heard, which shows that this box isn't cut off. The
+    /// own hall itself never counts as silent.
     own_hall_heard_at: Option<Time>,
 }
 
--- a/lib/src/relay/load_datagram.rs
+++ b/lib/src/relay/load_datagram.rs
@@ -1,4 +1,4 @@
-//! Datagram by which a box gossips its engine load to other boxes.
+//! Datagram by which a box gossips its engine load and other state to other boxes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -24,12 +24,12 @@
     Hall {
         /// Hall of the sender.
         hall: HallName,
-        /// Whether a box of the receiving hall forwarded it to its peers.
+        /// Whether a box of the receiving hall forwarded it to the others there.
         is_forwarded: bool,
     },
 }
 
-/// Engine load, with the state that the sender has.
+/// Engine load and other gossiped state of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDatagram {
     /// [`FRAME_VERSION`].
@@ -38,27 +38,28 @@
     pub from: String,
     /// Random number drawn at each start of the box.
     pub incarnation: u64,
-    /// Increases with each datagram of an incarnation, separately for each [`LoadSource`].
+    /// Increases with each datagram of an incarnation, counted separately for each [`LoadSource`].
     pub sequence: u64,
     /// Whose load it carries.
     pub source: LoadSource,
-    /// Whether it carries an urgent change, such as of long prompts, which is sent to other halls at
-    /// once.
+    /// Whether it carries an urgent change, such as one by a long prompt; it is then also sent to
+    /// other halls at once.
     pub is_urgent: bool,
-    /// State that the sender has.
+    /// Which state of the store the sender has.
     pub known_state: KnownState,
     /// Whether the store answered the sender recently, so that others may follow it instead of the
     /// store.
     pub follows_store: bool,
     /// Next long prompt in the sender's queue, if any.
     pub queue_head: Option<QueueHead>,
-    /// Servers that were recently named to the sender as being at fault.
+    /// Servers that other servers recently reported to the sender as being at fault.
     pub faults: Vec<EngineKey>,
-    /// Servers that the store recently listed as leaving or gone.
+    /// Servers that recently began to leave or were removed, according to the store.
     pub departures: Vec<EngineKey>,
-    /// Engines that recently reported to be slow, to the sender or to a box of its hall.
+    /// Engines that recently reported that they are slow: to the sender or, if the datagram is for
+    /// other halls, to any box of its hall.
     pub slow_engines: Vec<EngineKey>,
-    /// Suspect requests, during which server processes ended.
+    /// Suspect requests: those that ran when a server process crashed.
     pub suspects: Vec<QuarantineRow>,
     /// Notices of servers about the calls they accept.
     pub notices: NoticeRows,
--- a/lib/src/relay/long_prompt_queue.rs
+++ b/lib/src/relay/long_prompt_queue.rs
@@ -1,19 +1,20 @@
 //! Queue of the long prompts that wait at a box until engines can prefill them soon.
 //!
-//! Engines are sent little more than they can prefill at once, so that the order of waiting prompts
-//! stays open here. Prompts that can be on time go first, the shortest prefill before longer ones,
-//! which puts most prompts on time. Large prompts, whose prefill takes a good part of their time
-//! objective even on as many engines as one prompt may use, go in random order: with
-//! shortest-first, the largest would always be overtaken and never served under overload. The
-//! random rank favours larger prompts, since they can start less often. A prompt that will be late
-//! on any engines goes when nothing else waits, and expires once no engines could answer it in
-//! time. Where engines are few, a large prompt is nearly always late when others wait. There it
-//! keeps its rank and is prefilled on few engines in longer chunks.
+//! Engines are sent little more than they can prefill at once, so the order in which queued prompts
+//! start is decided here. A prompt is on time if its first event arrives by the time it is due.
+//! Prompts that can be on time start first, the shortest prefill before longer ones, so that as many
+//! as possible are on time. Large prompts start in random order: their prefill takes a good part of
+//! their time objective even on as many engines as one prompt may use, so that with
+//! shortest-first the largest would always be overtaken and never served under overload. The random
+//! rank favours larger prompts, since enough engines are free for them less often. A prompt that
+//! will be late on any engines starts when nothing else waits, and expires once no engines could
+//! complete it before its deadline. Where engines are few, a large prompt is nearly always late when
+//! others wait. There it keeps its rank and is prefilled on few engines in longer chunks.
 //!
 //! The order applies across all boxes. Each box announces its first prompt, and a prompt waits
 //! while another box has one ahead of it. Otherwise all boxes would see the same engines become
-//! free and use them at the same moment. Correctness doesn't depend on it: announcements expire
-//! soon, and a prompt that could have started for some time stops yielding.
+//! free and use them at the same moment. Correctness doesn't depend on the announcements: they
+//! expire soon, and a prompt that could have started for some time stops yielding.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,7 +26,7 @@
 use crate::relay::engine_plan::MAX_HELPERS;
 use crate::time::Time;
 
-/// Interval at which a waiting long prompt checks for free engines; shorter than any chunk.
+/// Interval at which a queued prompt checks whether it may start; shorter than any chunk.
 pub const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(8);
 /// Delay before a retry after a failed memory reservation. Each reservation call has a cost, and a
 /// stream that holds memory ends within about a second.
@@ -33,24 +34,24 @@
 /// Maximum number of engines that prefill one prompt.
 const MAX_PREFILL_ENGINES: u32 = MAX_HELPERS as u32 + 1;
 /// A prompt is large if its prefill on [`MAX_PREFILL_ENGINES`] engines takes at least this fraction
-/// of its objective. Large prompts go in random order: first come, first served would make all of
-/// them late in turn.
+/// of its objective. Large prompts start in random order: first come, first served would make each
+/// of them late in turn.
 const LARGE_FRACTION: f64 = 0.07;
 /// The same fraction where engines are few: a large prompt takes most of them and delays all
 /// others.
 const LARGE_FRACTION_FEW_ENGINES: f64 = 0.1;
 /// Number of engines below which they are few: one prompt may use more than half of them.
 const FEW_ENGINES: usize = 2 * MAX_PREFILL_ENGINES as usize;
-/// Exponent of a large prompt's relative prefill time, by which its random rank is divided.
+/// A large prompt's random rank is divided by its relative prefill time to this power.
 const RANK_EXPONENT: f64 = 0.6;
-/// Maximum chunk of a large prompt that is late and keeps its rank, so that few engines need to be
-/// free at once.
+/// Maximum prefill time of a chunk of a large prompt that is late and keeps its rank; long, so that
+/// few engines need to be free at once.
 const MAX_LATE_CHUNK: Duration = Duration::from_millis(3_500);
 /// Minimum time for passes and decoding, in addition to the prefill.
 const MIN_RUN_TIME: Duration = Duration::from_secs(2);
 
-/// Lifetime of another box's announcement: three times the longest interval at which a box with a
-/// waiting prompt sends one.
+/// Lifetime of another box's announcement: three times the maximum interval between the datagrams of
+/// a box with a queued prompt.
 const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(450);
 /// Maximum time that a prompt yields to another box while engines could prefill it.
 ///
@@ -59,7 +60,7 @@
 /// box of the first prompt may be unable to start it for reasons that others don't see. The
 /// announcement of a failed box expires earlier.
 const MAX_YIELD: Duration = Duration::from_secs(1);
-/// Minimum time between a prompt's arrival and its start, so that other boxes learn of it first. A
+/// Minimum time between enqueueing a prompt and its start, so that other boxes learn of it first. A
 /// datagram between halls takes about 1 ms, and up to 10 ms where processors are slow.
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(8);
 
@@ -76,20 +77,20 @@
     pub due: Time,
     /// Time from the caller's first request until the first event is due.
     pub objective: Duration,
-    /// Random rank among large prompts, valid at all boxes; smaller goes first.
+    /// Random rank among large prompts, compared across all boxes; the smallest starts first.
     pub random_rank: u16,
     /// Number of engines of its service.
     pub engines: usize,
     /// Arrival time at this box.
     pub arrived: Time,
-    /// Time by which its answer must be complete.
+    /// Time by which its response must be complete.
     pub deadline: Time,
 }
 
 impl QueuedPrompt {
-    /// Time from which no engines could answer the prompt before its deadline.
+    /// Time from which no engines could complete the response before the deadline.
     ///
-    /// It isn't rejected earlier, since its caller would retry into the same queue.
+    /// The prompt isn't rejected earlier, since its caller would retry into the same queue.
     pub fn expires_at(&self) -> Time {
         let run_time = MIN_RUN_TIME + self.prefill / MAX_PREFILL_ENGINES;
         self.arrived + self.deadline.since(self.arrived).saturating_sub(run_time)
@@ -97,7 +98,7 @@
 
     /// Whether the first event is late even if the maximum number of engines starts now.
     ///
-    /// Such a prompt goes after those that can still be on time.
+    /// Such a prompt starts after those that can still be on time.
     fn will_be_late(&self, now: Time) -> bool {
         now + self.prefill / MAX_PREFILL_ENGINES > self.due
     }
@@ -106,7 +107,7 @@
         self.engines < FEW_ENGINES
     }
 
-    /// Prefill time on a single engine from which the prompt is large.
+    /// Prefill time on a single engine from which a prompt with this objective is large.
     fn large_prefill(&self) -> Duration {
         let fraction = if self.has_few_engines() {
             LARGE_FRACTION_FEW_ENGINES
@@ -121,8 +122,8 @@
         self.has_few_engines() && self.prefill >= self.large_prefill()
     }
 
-    /// Maximum chunk of a prompt that will be late in any case and keeps its rank; `None` if the
-    /// usual limits apply.
+    /// Maximum prefill time of a chunk of a prompt that keeps its rank although it will be late;
+    /// `None` if the usual limits apply.
     fn late_chunk(&self, now: Time) -> Option<Duration> {
         if !self.will_be_late(now) || !self.keeps_rank() {
             return None;
@@ -131,11 +132,12 @@
         Some(MAX_LATE_CHUNK.min(time_to_prefill)).filter(|chunk| !chunk.is_zero())
     }
 
+    /// Announcement of this prompt, which also determines its place in the order.
     fn head(&self, now: Time) -> QueueHead {
         let is_late = self.will_be_late(now) && !self.keeps_rank();
         let large = self.large_prefill();
         let (prefill, random_rank) = match self.prefill {
-            // Late prompts have lost most of their value: the shortest prefill goes first.
+            // Late prompts have lost most of their value: the shortest prefill starts first.
             prefill if is_late || prefill < large => (prefill, 0),
             prefill => (large, weighted_rank(self.random_rank, prefill, large)),
         };
@@ -147,7 +149,8 @@
     }
 }
 
-/// Random rank of a large prompt, reduced (so earlier) with its prefill time.
+/// Random rank of a large prompt, reduced with its prefill time so that larger prompts tend to start
+/// earlier. `large` is the prefill time from which a prompt is large.
 fn weighted_rank(random_rank: u16, prefill: Duration, large: Duration) -> u16 {
     let ratio = prefill.as_secs_f64() / large.as_secs_f64().max(f64::MIN_POSITIVE);
     (f64::from(random_rank) / ratio.powf(RANK_EXPONENT)) as u16
@@ -165,12 +168,12 @@
     pub random_rank: u16,
 }
 
-/// Unsuccessful start attempts of a waiting prompt, by cause: the order or a lack of engines.
+/// Polls at which a queued prompt could not start, by cause: the order or a lack of engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BlockedPolls {
-    /// Attempts at which another prompt was ahead, at this or another box.
+    /// Polls at which another prompt was ahead, at this or another box.
     pub not_first: u32,
-    /// Attempts at which it was first but too few engines could prefill it.
+    /// Polls at which it was first but too few engines could prefill it.
     pub too_few_engines: u32,
 }
 
@@ -189,8 +192,7 @@
 pub enum Turn {
     /// Another prompt of this box is ahead, or other boxes may not know of this one yet.
     Blocked,
-    /// Another box has a prompt ahead of it; it starts only after it has yielded for
-    /// a bounded time.
+    /// Another box has a prompt ahead of it; it starts only after it has yielded for a bounded time.
     Yields,
     /// The prompt is first at all boxes.
     First,
@@ -306,7 +308,8 @@
         }
     }
 
-    /// Returns a plan if the prompt may start and `plan` finds engines; otherwise counts the cause.
+    /// Returns a plan if the prompt may start and `plan` finds engines; otherwise counts the poll as
+    /// blocked.
     pub fn try_start<P>(
         &mut self,
         now: Time,
@@ -332,8 +335,8 @@
         planned
     }
 
-    /// Maximum chunk of a prompt that will be late in any case while others wait; `None` if the
-    /// usual limits apply.
+    /// Maximum prefill time of a chunk of a prompt that keeps its rank although it will be late, if
+    /// other prompts wait; `None` if the usual limits apply.
     pub fn late_chunk(&self, now: Time, ticket: Ticket) -> Option<Duration> {
         let mut announcements = self.boxes.values().chain(self.halls.values());
         let others_wait =
@@ -342,14 +345,14 @@
         entry.prompt.late_chunk(now).filter(|_| others_wait)
     }
 
-    /// Unsuccessful start attempts of a prompt so far.
+    /// Polls at which a prompt could not start so far.
     pub fn blocked_polls(&self, ticket: Ticket) -> BlockedPolls {
         let entry = self.entries.iter().find(|entry| entry.ticket == ticket);
         entry.map(|entry| entry.blocked_polls).unwrap_or_default()
     }
 
-    /// Records whether engines could prefill a yielding prompt. Returns true once it has
-    /// been able to start for the maximum yielding time, after which it starts.
+    /// Records whether engines could prefill a yielding prompt. Returns true once they could at all
+    /// polls within the maximum yielding time; the prompt then starts.
     pub fn yielded_long_enough(&mut self, now: Time, ticket: Ticket, could_start: bool) -> bool {
         let Some(entry) = self.entries.iter_mut().find(|entry| entry.ticket == ticket) else {
             return false;
--- a/lib/src/relay/mod.rs
+++ b/lib/src/relay/mod.rs
@@ -1,7 +1,7 @@
 //! Relaying of calls: server selection, retries and joining of resumed streams.
 //!
 //! A relayed call keeps its method, path, query and body. badgerferry chooses the server,
-//! decides whether to retry and selects the answer that the caller receives. These modules
+//! decides whether to retry and selects the response that the caller receives. These modules
 //! are independent of the platform and of wire formats; adapters decode both into these types.
 
 pub mod attempts;
--- a/lib/src/relay/peer_liveness.rs
+++ b/lib/src/relay/peer_liveness.rs
@@ -1,4 +1,4 @@
-//! Which other boxes are live, and which state each of them has.
+//! Which other boxes are live, and which state of the store each of them has.
 //!
 //! Newer state spreads by pulls, of which a box answers only a few at a time. A box whose pull is
 //! rejected asks another one that announced newer state. More boxes have it by then, so the time
@@ -10,7 +10,7 @@
 use crate::relay::state_pull::KnownState;
 use crate::time::Time;
 
-/// A box that was heard within this time is live: two maximum heartbeat intervals and one lost
+/// A box that was heard within this time is live: two maximum heartbeat intervals, plus one for a lost
 /// datagram.
 pub(crate) const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
--- a/lib/src/relay/prefill_selector.rs
+++ b/lib/src/relay/prefill_selector.rs
@@ -1,8 +1,8 @@
 //! Selection of the engines that prefill a long prompt in parallel.
 //!
-//! All chunks of a prompt have the same size, so the engine with the smallest limit determines it.
-//! The limit of an engine follows from the streams that it decodes: they stall while a chunk is
-//! prefilled in the same pass.
+//! All chunks of a prompt have the same size, so the selected engine with the smallest limit
+//! determines it. The limit of an engine follows from the streams that it decodes: they stall while a
+//! chunk is prefilled in the same pass.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 use crate::relay::engine_plan::EngineModel;
 use crate::relay::engine_plan::EngineState;
 
-/// Gap limit from which a stream may be decoded on engines that prefill long chunks. It covers the
-/// longest chunk, the decode steps of a pass and a second chunk that arrived with the first.
+/// Gap limit from which a stream may be decoded on engines that prefill chunks of long prompts. It
+/// covers the longest chunk there, the decode steps of a pass and a second chunk that arrived with
+/// the first.
 pub(crate) const LONG_STREAM_MAX_GAP: Duration = Duration::from_millis(900);
-/// Maximum chunk of a prompt with enough time, on engines that decode nothing. Large chunks let a
-/// large prompt start with fewer engines free at once.
+/// Maximum prefill time of a chunk on engines that decode nothing, for a prompt with enough time left.
+/// With large chunks fewer engines need to be free at once for a large prompt to start.
 pub(crate) const MAX_EXCLUSIVE_CHUNK: Duration = Duration::from_millis(2_500);
 /// Fraction of the short streams' gap limit that one chunk may use; the rest is for chunks of
 /// other calls that are prefilled in the same pass.
@@ -26,7 +27,7 @@
 /// Maximum prefill time of a chunk at which the streams on the same engine keep their gap limit.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ChunkLimits {
-    /// Limit with any number of streams of the strictest service.
+    /// Limit with any number of streams that have the smallest gap limit.
     pub(crate) with_short_streams: Duration,
     /// Limit with streams of long prompts only.
     with_long_streams: Duration,
@@ -48,7 +49,7 @@
 
 /// Selects the engines that prefill a long prompt in parallel.
 ///
-/// The chunk limit of each engine depends on its streams, so that engines with short calls can take
+/// The maximum chunk of each engine depends on its streams, so that engines with short calls can take
 /// small chunks. This matters most when short calls fill the fleet.
 pub(crate) struct PrefillSelector<'a> {
     pub(crate) model: &'a EngineModel,
@@ -62,14 +63,14 @@
     pub(crate) reserve_memory: bool,
     /// Whether all engines together can't prefill the prompt in chunks of [`MAX_EXCLUSIVE_CHUNK`].
     pub(crate) exceeds_all_engines: bool,
-    /// Maximum chunk on an engine that decodes nothing.
+    /// Maximum prefill time of a chunk on an engine that decodes nothing.
     pub(crate) exclusive_limit: Duration,
-    /// Maximum chunks on engines that decode streams.
+    /// Maximum prefill times of a chunk on engines that decode streams.
     pub(crate) chunk_limits: ChunkLimits,
 }
 
 impl PrefillSelector<'_> {
-    /// Maximum chunk that an engine may prefill.
+    /// Maximum prefill time of a chunk on an engine; zero while it prefills for another long prompt.
     ///
     /// The limit with one short stream is the same as with many: exceeding one stream's gap limit
     /// costs more than a longer chunk gains.
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Number of engines without a long prefill and without short streams, which accept chunks of
-    /// any usual size.
+    /// Number of engines that are not reserved for short calls and have neither a long prefill nor
+    /// short streams; they accept chunks of any usual size.
     pub(crate) fn free(&self) -> usize {
         let engines = 0..self.engines.len();
         engines
@@ -110,31 +111,33 @@
         engine.availability.accepts_calls() && engine.free_memory(self.model) >= share
     }
 
-    /// Position of the first engine that can lead. Engines that state a limit are used only if no
-    /// open engine can lead, and those that shed load only if none of the others can.
-    fn find_lead(&self, able: &[usize]) -> Option<usize> {
+    /// Position in `eligible` of the first engine that can lead. Engines that state a limit are used
+    /// only if no open engine can lead, and those that shed load only if none of the others can.
+    fn find_lead(&self, eligible: &[usize]) -> Option<usize> {
         let first = |availability: Availability| {
             let is_lead = |&index: &usize| {
                 self.engines[index].availability == availability && self.can_lead(index)
             };
-            able.iter().position(is_lead)
+            eligible.iter().position(is_lead)
         };
         first(Availability::Open)
             .or_else(|| first(Availability::Limited))
             .or_else(|| first(Availability::Shedding))
     }
 
-    /// Selects `count` engines that can prefill chunks of this size; the first is the leader.
+    /// Selects `count` engines that can prefill chunks of this size; the first is the lead engine.
+    ///
+    /// Returns `None` if there are too few, or if none of them can lead.
     pub(crate) fn choose(&self, count: usize, chunk: Duration) -> Option<Vec<usize>> {
-        let is_able = |index: &usize| {
+        let is_eligible = |index: &usize| {
             self.max_chunk(*index) >= chunk
                 && (!self.reserve_memory || self.has_room(*index, count))
         };
-        let mut able: Vec<usize> = (0..self.engines.len()).filter(is_able).collect();
-        if able.len() < count {
+        let mut eligible: Vec<usize> = (0..self.engines.len()).filter(is_eligible).collect();
+        if eligible.len() < count {
             return None;
         }
-        able.sort_by_key(|&index| {
+        eligible.sort_by_key(|&index| {
             let engine = &self.engines[index];
             let decodes_short = self.max_chunk(index) <= self.chunk_limits.with_short_streams;
             let has_call_limit = self.reserve_memory && engine.availability != Availability::Open;
@@ -146,10 +149,10 @@
             )
         });
         if !self.reserve_memory {
-            let lead = self.find_lead(&able)?;
-            able[..=lead].rotate_right(1);
+            let lead = self.find_lead(&eligible)?;
+            eligible[..=lead].rotate_right(1);
         }
-        able.truncate(count);
-        Some(able)
+        eligible.truncate(count);
+        Some(eligible)
     }
 }
--- a/lib/src/relay/served_shares.rs
+++ b/lib/src/relay/served_shares.rs
@@ -1,8 +1,8 @@
-//! Share of prompts served, by size within their kind.
+//! Share of prompts served, by their size among the prompts of the same kind.
 //!
 //! The mean over a kind hides starvation of its largest prompts, since these are few. The largest
-//! tenth and the fifth below it are therefore reported separately. A prompt counts as served
-//! whether it was on time or late.
+//! tenth and the fifth of all prompts just below it are therefore reported separately. A prompt
+//! counts as served whether it was on time or late.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Lower of the two groups' served shares, relative to the share of all prompts.
+    /// Lower of the served shares of the two groups of large prompts, relative to the share of all.
     pub const fn lower_relative_share(&self) -> f64 {
         self.relative_largest_tenth()
             .min(self.relative_fifth_beneath())
--- a/lib/src/relay/signed_time.rs
+++ b/lib/src/relay/signed_time.rs
@@ -1,4 +1,4 @@
-//! Times reported by other boxes, which may predate the start of this one.
+//! Times that may lie before the start of this box.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 /// Time on this box's monotonic clock in microseconds, negative before the start of the clock.
 ///
-/// Other boxes report a time as its age, so it may lie before this box started.
+/// Other boxes report when something happened as its age, which may exceed this box's uptime.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SignedTime(i64);
 
--- a/lib/src/relay/slow_engine_tracker.rs
+++ b/lib/src/relay/slow_engine_tracker.rs
@@ -1,11 +1,11 @@
 //! Tracks which engines report that they are slow.
 //!
 //! A slow engine delays every long prompt of which it prefills a chunk, and with it the other engines
-//! of the group. A late first event does not show which of them is the slow one, and streams don't
-//! either, since engines that only prefill chunks produce none. So after a late first event a box
-//! queries each engine for its pace and excludes the slow ones while enough others remain. The result
-//! is gossiped, and one box repeats the query until the engine is back at its usual pace. Without
-//! renewal a report expires.
+//! that prefill the prompt. A late first event does not show which of them is slow, and neither do
+//! the events that follow, since engines that only prefill chunks produce none. So when a first event
+//! is late, a box queries each of the call's engines for its pace and excludes the slow ones while
+//! enough others remain. Reports of slow engines are gossiped, and one box repeats the query until
+//! the engine is back at its usual pace. Without renewal a report expires.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,17 +15,18 @@
 
 /// A first event is late after this multiple of its estimate, plus [`LATE_SLACK`]. Estimates are
 /// exceeded about half of the time; in the simulation, half this factor causes five times as many
-/// queries for a gain of only 0.005.
+/// queries and raises the worth of a run by only 0.005.
 const LATE_FACTOR: u32 = 2;
-/// Allows for an unforeseen pass and for the network latency of the answer.
+/// Allows for a pass that was not foreseen and for the network latency of the response.
 const LATE_SLACK: Duration = Duration::from_millis(300);
 /// Pace, as a multiple of the usual time, from which an engine counts as slow. The slow engines that
 /// users report take about five times as long.
 const SLOW_PACE: f64 = 2.0;
 /// Minimum interval between queries by one box to the same engine; each query has a cost.
 pub const QUERY_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum jitter of a repeated query, as a fraction of [`QUERY_INTERVAL`]. It lets one of the boxes
-/// that queried at the same time go first and inform the others.
+/// Maximum delay that is added at random to [`QUERY_INTERVAL`] before a query is repeated, as a
+/// fraction of it. Of the boxes that queried at the same time, one repeats it first and informs the
+/// others.
 pub const QUERY_JITTER: f64 = 0.25;
 /// How long a report is gossiped; several datagrams are sent in that time.
 const GOSSIP_WINDOW: Duration = Duration::from_millis(500);
@@ -36,7 +37,7 @@
 /// At most one in this many engines is excluded; beyond that the others would be overloaded.
 const ENGINES_PER_EXCLUDED: usize = 3;
 
-/// Time after which a first event that was expected after `expected` is late.
+/// Time after which a first event is late, given its expected time.
 pub fn late_after(expected: Duration) -> Duration {
     expected * LATE_FACTOR + LATE_SLACK
 }
--- a/lib/src/relay/state_pull.rs
+++ b/lib/src/relay/state_pull.rs
@@ -14,7 +14,7 @@
 
 /// Version of the frames between boxes. Frames of other versions are dropped.
 pub const FRAME_VERSION: u8 = 9;
-/// Maximum frame size. Tables in the store are at most one megabyte.
+/// Maximum frame size. Route tables in the store are at most one megabyte.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// Which state of the store a box has.
@@ -44,7 +44,8 @@
     pub version: u8,
     /// State of the requesting box.
     pub known_state: KnownState,
-    /// Whether to include known boxes: the requester knows few, or has heard an unknown one.
+    /// Whether to include known boxes: the requester knows few, or was sent a datagram by an unknown
+    /// one.
     pub wants_boxes: bool,
 }
 
@@ -56,7 +57,7 @@
     pub table_follows: bool,
     /// Newer server entries, if any.
     pub servers: Option<ServerUpdate>,
-    /// Remaining time for which entries missing from the store are kept.
+    /// Remaining time for which server entries that are missing from the store are kept.
     pub hold_remaining: Duration,
     /// Notices of servers about the calls they accept.
     pub notices: NoticeRows,
