--- a/lib/tests/test_relay_engine_load.rs
+++ b/lib/tests/test_relay_engine_load.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn hall_total_excludes_other_halls() {
+fn hall_table_excludes_boxes_and_tables_of_other_halls() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(7);
     let now = Time::from_millis(1);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn own_work_counts_until_it_ends_and_prefill_until_first_token() {
+fn own_work_counts_until_it_ends_and_its_prefill_until_the_first_token() {
     let mut loads = EngineLoadTracker::default();
     let engine = EngineKey(1);
     let now = Time::from_millis(100);
@@ -155,6 +155,7 @@
     assert_eq!((done.long_prefills, done.prefill_ms), (0, 0));
 }
 
+/// Guards against counting a chunk again in the entry of each chunk that is queued behind it.
 #[test]
 fn queued_prefill_counts_once() {
     let mut loads = EngineLoadTracker::default();
@@ -227,17 +228,17 @@
     large.faults = (0..16).map(|key| EngineKey(u32::MAX - key)).collect();
     let mut small = datagram((0..5).map(row).collect());
 
-    let (dropped, none) = (large.truncate_rows(), small.truncate_rows());
+    let (dropped_from_large, dropped_from_small) = (large.truncate_rows(), small.truncate_rows());
 
     assert!(large.encode().len() <= MAX_DATAGRAM_BYTES);
     assert_eq!(LoadDatagram::decode(&large.encode()), Ok(large.clone()));
-    assert_eq!(dropped + large.rows.len(), 300);
+    assert_eq!(dropped_from_large + large.rows.len(), 300);
     assert!(large.rows.len() > 30, "{}", large.rows.len());
-    assert_eq!(none, 0);
+    assert_eq!(dropped_from_small, 0);
 }
 
 #[test]
-fn datagram_of_other_version_is_rejected() {
+fn undecodable_datagrams_and_those_of_other_versions_are_rejected() {
     let mut bytes = datagram(Vec::new()).encode();
     let version = FRAME_VERSION + 1;
     bytes[0] = version;
--- a/lib/tests/test_relay_engine_plan.rs
+++ b/lib/tests/test_relay_engine_plan.rs
@@ -25,7 +25,7 @@
     per_million_pairs_ms: 0.184,
     steps_per_pass: 51,
 };
-/// Short enough that the smallest maximum chunk applies.
+/// Short enough that the lower bound of the maximum chunk applies, 600 ms.
 const DUE_IN: Duration = Duration::from_millis(500);
 const LONG_GAP: Option<Duration> = Some(Duration::from_secs(1));
 const SHORT_GAP: Option<Duration> = Some(Duration::from_millis(250));
@@ -119,7 +119,7 @@
 
 /// Engines of large fleets decode 12 streams at once, not 16.
 #[test]
-fn smaller_batches_reserve_more_engines() {
+fn more_engines_are_reserved_if_batches_are_smaller() {
     let mut engines = idle_engines(18);
     engines[3].load.short_calls = 72;
     let small = EngineModel { slots: 12, ..MODEL };
@@ -129,13 +129,13 @@
 }
 
 #[test]
-fn a_long_prompt_is_split_over_free_unreserved_engines() {
+fn long_prompt_is_split_over_free_unreserved_engines() {
     let plan = plan(&idle_engines(18), 154_000, LONG_GAP).expect("all engines are idle");
 
     assert!(plan.is_long && !plan.reserve_memory);
     assert!(
         plan.assignments.len() >= 10,
-        "{} parts",
+        "{} chunks",
         plan.assignments.len()
     );
     assert!(!engines_of(&plan).contains(&0));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_engine_prefills_one_long_prompt_at_a_time() {
+fn engine_prefills_one_long_prompt_at_a_time() {
     let mut engines = idle_engines(18);
     engines[5].load.long_prefills = 1;
 
@@ -160,10 +160,10 @@
     assert!(!engines_of(&plan).contains(&5));
 }
 
-/// 17 engines would prefill the prompt in chunks of 620 ms; a short stream there has a limit of
+/// 17 engines would prefill the prompt in chunks of 620 ms; the gap limit of a short stream there is
 /// 250 ms.
 #[test]
-fn a_long_chunk_does_not_stall_a_single_short_stream() {
+fn long_chunk_does_not_stall_a_single_short_stream() {
     let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short_calls = 1;
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_prompt_is_not_planned_on_too_few_free_engines() {
+fn prompt_is_not_planned_on_too_few_free_engines() {
     let mut engines = idle_engines(18);
     for engine in &mut engines[3..] {
         engine.load.long_prefills = 1;
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_large_prompt_uses_all_free_engines() {
+fn large_prompt_uses_all_free_engines() {
     let mut engines = idle_engines(18);
     for engine in &mut engines[11..] {
         engine.load.long_prefills = 1;
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_large_prompt_leaves_engines_free_when_there_are_many_boxes() {
+fn large_prompt_leaves_engines_free_when_there_are_many_boxes() {
     let mut engines = idle_engines(18);
     for engine in &mut engines[11..] {
         engine.load.long_prefills = 1;
@@ -241,9 +241,9 @@
     assert_eq!(plan.assignments.len(), 6);
 }
 
-/// The prompt can't be on time; half of the engines stay free for calls that can.
+/// The prompt can't be on time; half of the engines stay free for calls that can be.
 #[test]
-fn a_prompt_that_is_late_on_all_engines_uses_half_of_them() {
+fn prompt_that_is_late_on_all_engines_uses_half_of_them() {
     let plan = plan_due(&idle_engines(18), 900_000, Duration::ZERO).expect("all engines are idle");
 
     assert_eq!(plan.assignments.len(), 9);
@@ -267,11 +267,14 @@
             .iter()
             .all(|assignment| assignment.prefill < Duration::from_millis(150))
     );
-    assert_eq!(large, None, "chunks of 280 ms would exceed the gap limit");
+    assert_eq!(
+        large, None,
+        "chunks of 280 ms would make short streams exceed their gap limit"
+    );
 }
 
 #[test]
-fn a_larger_gap_limit_allows_larger_chunks() {
+fn larger_gap_limit_of_short_streams_allows_larger_chunks() {
     let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.short_calls = 8;
@@ -286,7 +289,7 @@
     assert!(plan.is_some());
 }
 
-/// With many short calls most engines are reserved for these, and three are not.
+/// With many short calls all engines but three are reserved for these.
 #[test]
 fn reserved_engines_share_a_prefill_that_would_exceed_the_gap_limit() {
     let mut engines = idle_engines(18);
@@ -306,7 +309,7 @@
 }
 
 #[test]
-fn a_stream_with_a_tight_gap_limit_is_led_by_a_reserved_engine() {
+fn stream_with_a_tight_gap_limit_is_led_by_a_reserved_engine() {
     let plan = plan(&idle_engines(18), 45_000, MEDIUM_GAP).expect("there is room");
 
     assert!(!plan.is_long);
@@ -320,13 +323,13 @@
 }
 
 #[test]
-fn a_prompt_larger_than_one_engine_reserves_memory_on_all() {
+fn prompt_larger_than_one_engine_reserves_memory_on_all() {
     let plan = plan(&idle_engines(18), 700_000, LONG_GAP).expect("all engines are idle");
 
     assert!(plan.reserve_memory);
     assert!(
         plan.assignments.len() <= MAX_HELPERS,
-        "the leader counts as a helper"
+        "the lead engine counts as a helper"
     );
     let memory: u64 = plan
         .assignments
@@ -337,7 +340,7 @@
 }
 
 #[test]
-fn a_prompt_that_does_not_fit_in_memory_is_not_planned() {
+fn prompt_that_does_not_fit_in_memory_is_not_planned() {
     let mut engines = idle_engines(18);
     for engine in &mut engines {
         engine.load.memory_kilotokens = 299;
@@ -408,7 +411,7 @@
 }
 
 #[test]
-fn a_large_prompt_waits_for_more_engines_only_to_be_on_time() {
+fn large_prompt_waits_for_more_engines_only_to_be_on_time() {
     let mut engines = idle_engines(18);
     for engine in &mut engines[8..] {
         engine.load.long_prefills = 1;
@@ -429,7 +432,7 @@
     assert_eq!(late, None);
     assert!(
         overdue.is_some(),
-        "a prompt that is late in any case uses the free engines"
+        "a prompt that is late in any case starts on the free engines"
     );
 }
 
@@ -471,7 +474,7 @@
 }
 
 #[test]
-fn a_limited_engine_leads_a_long_prompt_when_no_open_one_can() {
+fn limited_engine_leads_a_long_prompt_when_no_open_one_can() {
     let mut engines = idle_engines(6);
     for (index, engine) in engines.iter_mut().enumerate() {
         let is_closed = index % 2 == 0;
@@ -513,7 +516,7 @@
 }
 
 #[test]
-fn a_late_large_prompt_is_prefilled_on_few_engines_in_longer_chunks() {
+fn late_large_prompt_is_prefilled_on_few_engines_in_longer_chunks() {
     let engines = idle_engines(18);
     let chunk = Duration::from_millis(3_500);
     let late = LatencyTargets {
--- a/lib/tests/test_relay_engine_utilization.rs
+++ b/lib/tests/test_relay_engine_utilization.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn engines_of_long_prompt_prefill_then_block_and_lead_decodes() {
+fn engines_of_long_prompt_prefill_then_are_blocked_while_the_lead_decodes() {
     let mut log = EngineLog::default();
     log.record(1_000, routed("a", &["x", "y"], 400, 0));
     log.record(1_600, first_event("a"));
@@ -73,9 +73,9 @@
     assert!(is_near(time.writes, 0.3), "{time:?}");
 }
 
-/// Guards the measure of engines that are idle while prompts are queued.
+/// Guards the measure of engines that are idle although prompts are queued.
 #[test]
-fn utilization_while_prompts_are_queued_is_separate() {
+fn utilization_while_prompts_are_queued_is_reported_separately() {
     let mut log = EngineLog::default();
     log.record(1_000, routed("a", &["x", "y"], 500, 0));
     log.record(1_500, first_event("a"));
--- a/lib/tests/test_relay_gossip_topology.rs
+++ b/lib/tests/test_relay_gossip_topology.rs
@@ -1,4 +1,4 @@
-//! Gossip scope, delegates and receivers.
+//! Which boxes gossip with each other, and which act for their hall.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::state_pull::BoxAddresses;
 
-fn box_in_hall(hall: &str, at: usize, processor: u16) -> BoxAddresses {
+fn box_in_hall(hall: &str, number: usize, processor: u16) -> BoxAddresses {
     BoxAddresses {
-        name: format!("edge-{hall}-{at:02}"),
+        name: format!("edge-{hall}-{number:02}"),
         hall: hall.to_owned(),
         pull: "127.0.0.1:1".to_owned(),
         load: "127.0.0.1:2".to_owned(),
@@ -24,9 +24,9 @@
 fn fleet(halls: &[&str], per_hall: usize) -> Boxes {
     let mut boxes = Boxes::new();
     for hall in halls {
-        for at in 0..per_hall {
-            let processor = if at + 1 == per_hall { 500 } else { 120 };
-            let info = box_in_hall(hall, at, processor);
+        for number in 0..per_hall {
+            let processor = if number + 1 == per_hall { 500 } else { 120 };
+            let info = box_in_hall(hall, number, processor);
             boxes.insert(info.name.clone(), info);
         }
     }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn large_single_hall_gossips_fleet_wide() {
+fn large_fleet_of_one_hall_gossips_fleet_wide() {
     assert_eq!(GossipScope::of(&fleet(&["a"], 350)), GossipScope::Fleet);
 }
 
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn receivers_rotate_with_one_per_hall_each_turn() {
+fn gossip_targets_rotate_with_one_per_hall_each_turn() {
     let boxes = fleet(&["a", "b", "c"], 5);
 
     let turns: Vec<Vec<&str>> = (0..4)
@@ -146,7 +146,7 @@
     assert_eq!(
         of_b.len(),
         4,
-        "later turns reach other boxes if one is dead"
+        "each turn reaches another box, in case one is dead"
     );
 }
 
@@ -163,11 +163,11 @@
     assert_eq!(
         expired_for("edge-a-00"),
         ["edge-a-03"],
-        "the highest-ranked box is dead"
+        "the highest-ranked box has expired itself"
     );
     assert!(
         expired_for("edge-a-02").is_empty(),
-        "the highest-ranked live box removes it"
+        "a higher-ranked live box removes it"
     );
 }
 
--- a/lib/tests/test_relay_hall_planner.rs
+++ b/lib/tests/test_relay_hall_planner.rs
@@ -67,7 +67,7 @@
     planner.plan(&prompt, targets, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
-/// Loads all engines of a hall with a long prefill and a full batch of short streams.
+/// Gives all engines of a hall a long prefill and a full batch of short streams.
 fn saturate(engines: &mut [EngineState], halls: &[usize], hall: usize) {
     for (engine, _) in engines
         .iter_mut()
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_short_call_that_would_be_late_in_its_hall_runs_in_another() {
+fn short_call_that_would_be_late_in_its_hall_runs_in_another() {
     let (mut engines, halls) = idle_engines();
     saturate(&mut engines, &halls, 0);
     saturate(&mut engines, &halls, 2);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_short_call_stays_in_its_hall_when_all_halls_are_equally_loaded() {
+fn short_call_stays_in_its_hall_when_all_halls_are_equally_loaded() {
     let (mut engines, halls) = idle_engines();
     (0..HALLS).for_each(|hall| saturate(&mut engines, &halls, hall));
 
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_long_prompt_is_prefilled_in_other_halls_when_its_own_is_busy() {
+fn long_prompt_is_prefilled_in_other_halls_when_its_own_is_busy() {
     let (mut engines, halls) = idle_engines();
     saturate(&mut engines, &halls, 0);
 
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_long_prompt_avoids_the_reserved_engines_of_each_hall() {
+fn long_prompt_avoids_the_reserved_engines_of_each_hall() {
     let (mut engines, halls) = idle_engines();
     saturate(&mut engines, &halls, 0);
 
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_prompt_that_exceeds_every_hall_is_prefilled_in_several() {
+fn prompt_that_exceeds_every_hall_is_prefilled_in_several() {
     let (mut engines, halls) = idle_engines();
     (0..HALLS).for_each(|hall| saturate(&mut engines, &halls, hall));
     // Four engines per hall are idle: too few for a prompt that exceeds one engine's memory.
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_box_without_local_engines_uses_other_halls() {
+fn box_without_local_engines_uses_other_halls() {
     let (engines, halls) = idle_engines();
     let remote: Vec<EngineState> = (engines.iter().zip(&halls))
         .filter(|(_, hall)| **hall != 0)
--- a/lib/tests/test_relay_hall_reachability.rs
+++ b/lib/tests/test_relay_hall_reachability.rs
@@ -11,10 +11,11 @@
     HallName::new(name)
 }
 
-/// Boxes of both halls are heard every 100 ms, those of hall b only until [`LAST_HEARD_MS`].
-fn reachability(boxes_in_b: usize, now_ms: u64) -> HallReachability {
+/// Boxes of both halls are heard every 100 ms: those of hall a until `until_ms`, those of hall b only
+/// until [`LAST_HEARD_MS`].
+fn reachability(boxes_in_b: usize, until_ms: u64) -> HallReachability {
     let mut reach = HallReachability::default();
-    for at in (LAST_HEARD_MS - 1_000..=now_ms).step_by(100) {
+    for at in (LAST_HEARD_MS - 1_000..=until_ms).step_by(100) {
         reach.record_heartbeat(Time::from_millis(at), &hall("a"), "a1");
         for number in 0..boxes_in_b {
             if at <= LAST_HEARD_MS {
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn hall_without_boxes_is_allowed() {
+fn hall_without_known_boxes_gets_calls() {
     let reach = reachability(0, LAST_HEARD_MS);
 
     assert!(reach.allows_calls(Time::from_millis(LAST_HEARD_MS), &hall("b")));
--- a/lib/tests/test_relay_largest_prompts.rs
+++ b/lib/tests/test_relay_largest_prompts.rs
@@ -1,4 +1,4 @@
-//! Guards against starvation of the largest prompts, on every simulated day and on average.
+//! Guards against starvation of the largest prompts, on average and on particularly bad days.
 
 use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_lib::relay::served_shares::ServedShares;
@@ -9,8 +9,8 @@
 /// Index of the long prompts in the scenario's list of kinds.
 const LONG_KIND: usize = 2;
 
-/// Seeds of days on which the largest tenth had unfavourable random ranks, or arrived where only
-/// few engines prefill.
+/// Seeds of days on which the largest tenth of the prompts had unfavourable random ranks, or arrived
+/// where only few engines prefill.
 const STARVATION_SEEDS_150: [u64; 3] = [4, 18, 22];
 const STARVATION_SEEDS_18: [u64; 4] = [9, 17, 49, 73];
 
@@ -42,10 +42,10 @@
     assert!(worst >= 0.5, "{worst:.3}: {days:?}");
 }
 
-/// The lower of the shares served of the largest tenth and of the fifth below it, relative to the
-/// share of all, as a mean over eight days.
+/// Compares the lower of the served shares of the largest tenth and of the fifth below it with the
+/// share of all prompts, as a mean over eight days.
 #[test]
-fn largest_prompts_are_served_at_over_half_the_overall_rate() {
+fn largest_prompts_are_served_more_than_half_as_often_as_all() {
     let days = served(
         &scenario_150_engines(),
         GossipScope::Hall,
--- a/lib/tests/test_relay_long_prompt_queue.rs
+++ b/lib/tests/test_relay_long_prompt_queue.rs
@@ -19,11 +19,11 @@
     }
 }
 
-/// Time at which other boxes know of a prompt that was queued at zero.
+/// Time by which other boxes know of a prompt that was queued at zero.
 const ANNOUNCED_AT: Time = Time::from_millis(100);
 
 #[test]
-fn shortest_prefill_goes_first_and_late_prompts_last() {
+fn shortest_prefill_starts_first_and_late_prompts_last() {
     let mut queue = LongPromptQueue::default();
     let long = queue.push(Time::ZERO, queued(3_000, 3_000));
     let short = queue.push(Time::ZERO, queued(400, 3_000));
@@ -41,7 +41,7 @@
 
 /// 17 engines take 600 ms to prefill the first prompt, which is due in 500 ms.
 #[test]
-fn a_prompt_that_will_be_late_goes_after_others() {
+fn prompt_that_will_be_late_starts_after_others() {
     let mut queue = LongPromptQueue::default();
     let late = queue.push(Time::ZERO, queued(10_200, 600));
     let larger = queue.push(Time::ZERO, queued(11_000, 3_000));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_prompt_waits_until_it_is_announced_to_other_boxes() {
+fn prompt_waits_until_other_boxes_know_of_it() {
     let mut queue = LongPromptQueue::default();
     let ticket = queue.push(Time::ZERO, queued(400, 3_000));
 
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_announcement_of_a_failed_box_expires() {
+fn announcement_of_a_failed_box_expires() {
     let mut queue = LongPromptQueue::default();
     let ticket = queue.push(Time::ZERO, queued(3_000, 3_000));
     let mut failed = LongPromptQueue::default();
@@ -87,9 +87,10 @@
     assert_eq!(queue.turn(Time::from_millis(500), ticket, "a"), Turn::First);
 }
 
-/// Without yielding, prompts that need few engines would take each engine as it becomes free.
+/// If prompts didn't yield, those that need few engines would take each engine as it becomes free,
+/// before enough are free for a prompt that needs many.
 #[test]
-fn a_prompt_yields_for_a_bounded_time() {
+fn prompt_yields_for_a_bounded_time() {
     let mut queue = LongPromptQueue::default();
     let ticket = queue.push(Time::ZERO, queued(3_000, 3_000));
 
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn the_yielding_time_restarts_when_engines_become_busy() {
+fn yielding_time_restarts_when_engines_become_busy() {
     let mut queue = LongPromptQueue::default();
     let ticket = queue.push(Time::ZERO, queued(3_000, 3_000));
 
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn a_prompt_expires_before_its_deadline() {
+fn prompt_expires_before_its_deadline() {
     let prompt = queued(3_000, 3_000);
 
     assert!(prompt.expires_at() > prompt.due);
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_prompt_waits_as_long_as_engines_could_meet_its_deadline() {
+fn prompt_waits_as_long_as_engines_could_meet_its_deadline() {
     let prompt = QueuedPrompt {
         prefill: Duration::from_secs(17),
         due: Time::from_millis(3_000),
@@ -128,16 +129,16 @@
         arrived: Time::ZERO,
         deadline: Time::from_millis(15_000),
     };
-    let returned = QueuedPrompt {
+    let retried = QueuedPrompt {
         arrived: Time::from_millis(12_500),
         ..prompt
     };
 
     assert_eq!(prompt.expires_at(), Time::from_millis(12_000));
     assert_eq!(
-        returned.expires_at(),
-        returned.arrived,
-        "a prompt that returns too late is rejected at once"
+        retried.expires_at(),
+        retried.arrived,
+        "a prompt that is retried too late is rejected at once"
     );
 }
 
@@ -146,12 +147,12 @@
     let mut queue = LongPromptQueue::default();
     let first = queue.push(Time::ZERO, queued(400, 3_000));
     let second = queue.push(Time::ZERO, queued(3_000, 3_000));
-    let too_few_engines = || None::<()>;
+    let find_no_engines = || None::<()>;
 
-    queue.try_start(ANNOUNCED_AT, second, "a", too_few_engines);
-    queue.try_start(ANNOUNCED_AT, first, "a", too_few_engines);
+    queue.try_start(ANNOUNCED_AT, second, "a", find_no_engines);
+    queue.try_start(ANNOUNCED_AT, first, "a", find_no_engines);
     queue.remove(first);
-    queue.try_start(ANNOUNCED_AT, second, "a", too_few_engines);
+    queue.try_start(ANNOUNCED_AT, second, "a", find_no_engines);
 
     let blocked_polls = queue.blocked_polls(second);
     assert_eq!(
@@ -161,15 +162,15 @@
 }
 
 #[test]
-fn large_prompts_go_by_random_rank_after_smaller_ones() {
+fn large_prompts_start_by_random_rank_after_smaller_ones() {
     let mut queue = LongPromptQueue::default();
-    let random_rank = |random_rank, prompt| QueuedPrompt {
+    let with_rank = |random_rank, prompt| QueuedPrompt {
         random_rank,
         ..prompt
     };
-    let large = queue.push(Time::ZERO, random_rank(2, queued(6_000, 3_000)));
-    let largest = queue.push(Time::ZERO, random_rank(1, queued(40_000, 3_000)));
-    let smaller = queue.push(Time::ZERO, random_rank(3, queued(3_000, 3_000)));
+    let large = queue.push(Time::ZERO, with_rank(2, queued(6_000, 3_000)));
+    let largest = queue.push(Time::ZERO, with_rank(1, queued(40_000, 3_000)));
+    let smaller = queue.push(Time::ZERO, with_rank(3, queued(3_000, 3_000)));
     let is_first =
         |queue: &LongPromptQueue, ticket| queue.turn(ANNOUNCED_AT, ticket, "a") == Turn::First;
 
@@ -181,35 +182,35 @@
 }
 
 #[test]
-fn late_large_prompts_go_by_prefill_time() {
+fn late_large_prompts_start_by_prefill_time() {
     let mut queue = LongPromptQueue::default();
     let now = Time::from_millis(4_000);
-    let random_rank = |random_rank, prompt| QueuedPrompt {
+    let with_rank = |random_rank, prompt| QueuedPrompt {
         random_rank,
         ..prompt
     };
-    let large = queue.push(Time::ZERO, random_rank(2, queued(6_000, 3_000)));
-    let largest = queue.push(Time::ZERO, random_rank(1, queued(40_000, 3_000)));
+    let large = queue.push(Time::ZERO, with_rank(2, queued(6_000, 3_000)));
+    let largest = queue.push(Time::ZERO, with_rank(1, queued(40_000, 3_000)));
 
     assert_eq!(queue.turn(now, large, "a"), Turn::First);
     assert_eq!(queue.turn(now, largest, "a"), Turn::Blocked);
 }
 
 #[test]
-fn weighting_favours_the_larger_of_two_large_prompts() {
+fn random_rank_favours_the_larger_of_two_large_prompts() {
     let mut queue = LongPromptQueue::default();
-    let random_rank = |random_rank, prompt| QueuedPrompt {
+    let with_rank = |random_rank, prompt| QueuedPrompt {
         random_rank,
         ..prompt
     };
-    let large = queue.push(Time::ZERO, random_rank(10_000, queued(4_000, 3_000)));
-    let largest = queue.push(Time::ZERO, random_rank(30_000, queued(40_000, 3_000)));
+    let large = queue.push(Time::ZERO, with_rank(10_000, queued(4_000, 3_000)));
+    let largest = queue.push(Time::ZERO, with_rank(30_000, queued(40_000, 3_000)));
 
     assert_eq!(queue.turn(ANNOUNCED_AT, largest, "a"), Turn::First);
     assert_eq!(queue.turn(ANNOUNCED_AT, large, "a"), Turn::Blocked);
 }
 
-/// Where 17 engines are most of the fleet, large prompts are late before that many are free.
+/// Where 17 engines are most of the fleet, large prompts are late before that many are free at once.
 #[test]
 fn with_few_engines_a_late_large_prompt_keeps_its_rank() {
     let mut queue = LongPromptQueue::default();
@@ -236,7 +237,7 @@
 }
 
 #[test]
-fn the_chunk_of_a_late_prompt_fits_its_deadline() {
+fn chunk_of_a_late_prompt_ends_before_its_deadline() {
     let mut queue = LongPromptQueue::default();
     let late = QueuedPrompt {
         engines: 18,
--- a/lib/tests/test_relay_model.rs
+++ b/lib/tests/test_relay_model.rs
@@ -1,4 +1,4 @@
-//! Simulation of a fleet in virtual time, and the value of policies measured in it.
+//! Simulation of a fleet in virtual time, and the worth that policies reach in it.
 
 use badgerferry_lib::relay::gossip_topology::GossipScope;
 use badgerferry_testutils::relay_model;
@@ -61,7 +61,7 @@
 /// By the model, one engine of the scenario needs 1.0 s for 154,000 tokens plus 1.92 s for their
 /// pairs.
 #[test]
-fn a_prompt_on_idle_engines_takes_the_modelled_prefill_time() {
+fn prompt_on_idle_engines_takes_the_modelled_prefill_time() {
     let one_engine_ms = 154_000.0 / 154.0 + 154_000.0 * 154_000.0 / 2.0 * 0.162e-6;
 
     let calls = relay_model::run(&nearly_idle(154_000.0), Some(GossipScope::Fleet), 1).1;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_invalid_scenario_is_reported_by_field() {
+fn invalid_scenario_is_reported_by_field() {
     let valid = serde_json::to_value(nearly_idle(5_000.0)).expect("a scenario can be serialized");
     let mut without_boxes = valid.clone();
     without_boxes["fleet"]["boxes_per_hall"] = serde_json::json!(0);
@@ -100,9 +100,9 @@
 }
 
 /// 295 boxes, 150 engines and a load that changes every ten seconds. Mean worth over eight seeds:
-/// 0.882 if all boxes exchange load data, 0.918 if halls exchange sums.
+/// 0.882 if all boxes gossip with each other, 0.918 if halls send each other their totals.
 #[test]
-fn exchange_by_halls_has_higher_worth_with_many_boxes() {
+fn gossip_by_halls_raises_worth_if_there_are_many_boxes() {
     let busy = scenario("turns-150.json");
     let mean = |scope| {
         let (days, failed) = run_seeds(0..8, |seed| {
@@ -118,7 +118,7 @@
 }
 
 /// 14 % of the engines are five times slower during two periods of six seconds. Worth is 0.80 if
-/// this goes undetected, and 0.85 if late calls request reports.
+/// this goes undetected, and 0.85 if boxes query the engines of late calls.
 #[test]
 fn slow_engines_are_detected_and_avoided() {
     let slow = scenario("slow-60.json");
--- a/lib/tests/test_relay_peer_liveness.rs
+++ b/lib/tests/test_relay_peer_liveness.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn box_without_routes_is_behind_any_route_table() {
+fn box_without_a_route_table_is_behind_any_box_with_one() {
     let mut peers = PeerLiveness::default();
     peers.record(at(0), "first", state(0, 1));
     let without_routes = KnownState {
--- a/lib/tests/test_relay_slow_engine_tracker.rs
+++ b/lib/tests/test_relay_slow_engine_tracker.rs
@@ -14,7 +14,7 @@
     (0..count).map(EngineKey).collect()
 }
 
-fn usable(tracker: &SlowEngineTracker, now: Time, count: u32) -> Vec<EngineKey> {
+fn usable_engines(tracker: &SlowEngineTracker, now: Time, count: u32) -> Vec<EngineKey> {
     tracker.without_slow(now, keys(count), |engine| *engine)
 }
 
@@ -28,8 +28,8 @@
 
     assert!(tracker.record_pace(at(0), SLOW_ENGINE, 5.0));
 
-    assert!(!usable(&tracker, at(1_000), 6).contains(&SLOW_ENGINE));
-    assert!(usable(&tracker, at(1_500), 6).contains(&SLOW_ENGINE));
+    assert!(!usable_engines(&tracker, at(1_000), 6).contains(&SLOW_ENGINE));
+    assert!(usable_engines(&tracker, at(1_500), 6).contains(&SLOW_ENGINE));
 }
 
 #[test]
@@ -39,18 +39,18 @@
 
     assert!(!tracker.record_pace(at(500), SLOW_ENGINE, 1.0));
 
-    assert!(usable(&tracker, at(500), 6).contains(&SLOW_ENGINE));
+    assert!(usable_engines(&tracker, at(500), 6).contains(&SLOW_ENGINE));
 }
 
 #[test]
-fn no_engine_is_excluded_if_too_many_are_slow() {
+fn no_engine_is_excluded_if_more_than_a_third_are_slow() {
     let mut tracker = SlowEngineTracker::default();
     for engine in keys(3) {
         tracker.record_pace(at(0), engine, 5.0);
     }
 
-    assert_eq!(usable(&tracker, at(0), 9).len(), 6);
-    assert_eq!(usable(&tracker, at(0), 8).len(), 8);
+    assert_eq!(usable_engines(&tracker, at(0), 9).len(), 6);
+    assert_eq!(usable_engines(&tracker, at(0), 8).len(), 8);
 }
 
 #[test]
@@ -72,16 +72,16 @@
     assert_eq!(
         remote.own_reports(at(40)),
         [],
-        "only the box that got the report gossips it"
+        "only the box that received the report from the engine gossips it in its hall"
     );
     assert_eq!(
         remote.hall_reports(at(40)),
         [],
-        "nor does another hall forward it"
+        "a hall forwards no reports of other halls"
     );
 }
 
-/// Guards against redundant queries, which have a cost: only one box repeats them.
+/// Guards against redundant queries, each of which has a cost: only one box repeats them.
 #[test]
 fn queries_are_rate_limited_and_repeated_by_one_box() {
     let (mut first, mut second) = (SlowEngineTracker::default(), SlowEngineTracker::default());
--- a/lib/tests/test_relay_state_pull.rs
+++ b/lib/tests/test_relay_state_pull.rs
@@ -1,4 +1,4 @@
-//! Sources for the first state of a box.
+//! Sources from which a box pulls its first state.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     (name.to_owned(), info)
 }
 
-/// Guards against a wasted pull: a newly started box picked its own address as the source.
+/// Guards against a wasted pull: a newly started box could draw its own address as the source.
 #[test]
 fn own_address_is_not_a_bootstrap_source() {
     let boxes = Boxes::from([entry("own", 1), entry("other", 2)]);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn known_seed_is_listed_once() {
+fn seed_that_is_also_a_known_box_is_listed_once() {
     let boxes = Boxes::from([entry("own", 1), entry("seed", 3)]);
 
     let sources = bootstrap_sources(address(1), &[address(3)], &boxes);
