--- a/lib/src/relay/engine_load.rs
+++ b/lib/src/relay/engine_load.rs
@@ -107,8 +107,9 @@
     is_prefilling: bool,
 }
 
+/// Last table received from another box or hall.
 #[derive(Debug, Default)]
-struct PeerTable {
+struct ReceivedTable {
     sequence: u64,
     incarnation: u64,
     received_at: Time,
@@ -120,11 +121,11 @@
 pub struct EngineLoadTracker {
     next_id: u64,
     own: HashMap<EngineWorkId, Entry>,
-    peers: HashMap<String, PeerTable>,
-    halls: HashMap<HallName, PeerTable>,
+    peers: HashMap<String, ReceivedTable>,
+    halls: HashMap<HallName, ReceivedTable>,
 }
 
-impl PeerTable {
+impl ReceivedTable {
     /// Replaces the table if `newer` is newer; returns false and ignores it otherwise.
     fn update(&mut self, newer: Self) -> bool {
         let is_newer = self.incarnation != newer.incarnation || newer.sequence > self.sequence;
@@ -185,7 +186,7 @@
         sequence: u64,
         rows: Vec<(EngineKey, EngineLoad)>,
     ) -> bool {
-        let table = PeerTable {
+        let table = ReceivedTable {
             sequence,
             incarnation,
             received_at: now,
@@ -204,7 +205,7 @@
         sequence: u64,
         rows: Vec<(EngineKey, EngineLoad)>,
     ) -> bool {
-        let table = PeerTable {
+        let table = ReceivedTable {
             sequence,
             incarnation,
             received_at: now,
@@ -228,8 +229,8 @@
     pub fn table(&self, now: Time) -> HashMap<EngineKey, EngineLoad> {
         let mut table = self.own_table(now);
         let peers = self.peers.values().chain(self.halls.values());
-        for peer in peers.filter(|peer| peer.is_live(now)) {
-            peer.add_to(now, &mut table);
+        for received in peers.filter(|received| received.is_live(now)) {
+            received.add_to(now, &mut table);
         }
         table
     }
--- a/lib/src/relay/engine_plan.rs
+++ b/lib/src/relay/engine_plan.rs
@@ -4,12 +4,14 @@
 //! decodes the stream.
 //!
 //! An engine works in passes. A pass runs a fixed number of decode steps for all its streams, and
-//! prefill work is added to it, so prefill widens the gaps between events of every stream
-//! on the engine.
+//! prefill work is added to it, so prefill widens the gaps between the events of every stream on the
+//! engine.
+//!
 //! Short calls are therefore packed onto the first engines of an order that all boxes share; the
 //! number of these engines follows from the short calls in flight. Long prompts are split into
 //! chunks that the other engines prefill in parallel. Each of these engines serves one long prompt
 //! at a time, since two on one engine delay each other by more than they gain.
+//!
 //! Alternatives considered: see `docs/design/long-reads.md`.
 
 use std::time::Duration;
@@ -430,7 +432,8 @@
     } else {
         available
     };
-    let chunk_limit = deadline_chunk(targets.due_in).max(targets.late_chunk.unwrap_or_default());
+    let chunk_limit =
+        max_chunk_by_due_time(targets.due_in).max(targets.late_chunk.unwrap_or_default());
     let min_count = chunk_count(prefill, chunk_limit)
         .min(engines.len() - short_engines)
         .min(max_count);
@@ -502,10 +505,10 @@
 
 /// Maximum prefill time of a chunk, by the time until the prompt's first event is due. The prompt
 /// waits until enough engines are free for chunks of this size.
-fn deadline_chunk(due_in: Duration) -> Duration {
+fn max_chunk_by_due_time(due_in: Duration) -> Duration {
     match due_in {
-        // Already late: it starts only when nothing else waits, and chunk size no longer matters
-        // for its deadline.
+        // Already late: it starts only when nothing else waits, and doesn't wait for more engines
+        // to become free.
         Duration::ZERO => MAX_EXCLUSIVE_CHUNK,
         due_in => due_in
             .mul_f64(PREFILL_TIME_FRACTION)
--- a/lib/src/relay/engine_utilization.rs
+++ b/lib/src/relay/engine_utilization.rs
@@ -56,6 +56,7 @@
     },
 }
 
+/// One sending of a call to engines; a call that is sent again has several.
 #[derive(Debug)]
 struct Attempt {
     engines: Vec<String>,
--- a/lib/src/relay/hall_planner.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -20,7 +20,7 @@
 
 /// Fraction of the time until its first event is due that a short call may be expected to take in
 /// its own hall. The rest is a margin: about half of all calls exceed their estimate.
-const LOCAL_DEADLINE_FRACTION: f64 = 0.5;
+const LOCAL_TIME_FRACTION: f64 = 0.5;
 /// Minimum expected gain in time to the first event for which a short call leaves the own hall.
 const MIN_REMOTE_GAIN: Duration = Duration::from_millis(50);
 
@@ -54,7 +54,7 @@
         }
         let local = self.plan_in(0, prompt, targets, rng);
         let local_time = local.as_ref().map(|plan| plan.expected_first_event);
-        if local_time.is_some_and(|time| time <= targets.due_in.mul_f64(LOCAL_DEADLINE_FRACTION)) {
+        if local_time.is_some_and(|time| time <= targets.due_in.mul_f64(LOCAL_TIME_FRACTION)) {
             return local;
         }
         let others = 1..=self.halls.iter().copied().max().unwrap_or_default();
@@ -89,6 +89,7 @@
         }
         let short_engines = order.len();
         order.extend(others);
+        // Ranks all engines of other halls after those of the own hall.
         let prefer_local = |index: &usize| {
             let engine = self.pool.engines[*index];
             let remote_bit = u32::from(!engine.is_local) << 31;
--- a/lib/src/relay/long_prompt_queue.rs
+++ b/lib/src/relay/long_prompt_queue.rs
@@ -3,8 +3,8 @@
 //! Engines are sent little more than they can prefill at once, so the order in which queued prompts
 //! start is decided here. A prompt is on time if its first event arrives by the time it is due.
 //! Prompts that can be on time start first, the shortest prefill before longer ones, so that as many
-//! as possible are on time. Large prompts start in random order: their prefill takes a good part of
-//! their time objective even on as many engines as one prompt may use, so that with
+//! as possible are on time. Large prompts, whose prefill takes a good part of their time objective
+//! even on as many engines as one prompt may use, start in random order among themselves: with
 //! shortest-first the largest would always be overtaken and never served under overload. The random
 //! rank favours larger prompts, since enough engines are free for them less often. A prompt that
 //! will be late on any engines starts when nothing else waits, and expires once no engines could
--- a/lib/tests/test_relay_hall_reachability.rs
+++ b/lib/tests/test_relay_hall_reachability.rs
@@ -14,27 +14,27 @@
 /// Boxes of both halls are heard every 100 ms: those of hall a until `until_ms`, those of hall b only
 /// until [`LAST_HEARD_MS`].
 fn reachability(boxes_in_b: usize, until_ms: u64) -> HallReachability {
-    let mut reach = HallReachability::default();
+    let mut halls = HallReachability::default();
     for at in (LAST_HEARD_MS - 1_000..=until_ms).step_by(100) {
-        reach.record_heartbeat(Time::from_millis(at), &hall("a"), "a1");
+        halls.record_heartbeat(Time::from_millis(at), &hall("a"), "a1");
         for number in 0..boxes_in_b {
             if at <= LAST_HEARD_MS {
-                reach.record_heartbeat(Time::from_millis(at), &hall("b"), &format!("b{number}"));
+                halls.record_heartbeat(Time::from_millis(at), &hall("b"), &format!("b{number}"));
             }
         }
     }
-    reach
+    halls
 }
 
 #[test]
 fn silent_hall_gets_no_calls_until_a_box_is_heard() {
     let now = Time::from_millis(LAST_HEARD_MS + 400);
-    let mut reach = reachability(20, LAST_HEARD_MS + 400);
+    let mut halls = reachability(20, LAST_HEARD_MS + 400);
 
-    assert!(!reach.allows_calls(now, &hall("b")));
-    assert!(reach.allows_calls(now, &hall("a")));
-    reach.record_heartbeat(now, &hall("b"), "b3");
-    assert!(reach.allows_calls(now, &hall("b")));
+    assert!(!halls.allows_calls(now, &hall("b")));
+    assert!(halls.allows_calls(now, &hall("a")));
+    halls.record_heartbeat(now, &hall("b"), "b3");
+    assert!(halls.allows_calls(now, &hall("b")));
 }
 
 #[test]
@@ -50,48 +50,48 @@
 #[test]
 fn hall_with_answering_servers_is_not_silent() {
     let now = Time::from_millis(LAST_HEARD_MS + 400);
-    let mut reach = reachability(20, LAST_HEARD_MS + 400);
+    let mut halls = reachability(20, LAST_HEARD_MS + 400);
 
-    reach.record_answer(Time::from_millis(LAST_HEARD_MS + 300), &hall("b"));
+    halls.record_answer(Time::from_millis(LAST_HEARD_MS + 300), &hall("b"));
 
-    assert!(reach.allows_calls(now, &hall("b")));
+    assert!(halls.allows_calls(now, &hall("b")));
 }
 
 #[test]
 fn silent_hall_is_probed_by_one_call_per_interval() {
     let now = Time::from_millis(LAST_HEARD_MS + 1_000);
-    let mut reach = reachability(20, LAST_HEARD_MS + 5_000);
-    reach.record_call(now, &hall("b"));
+    let mut halls = reachability(20, LAST_HEARD_MS + 5_000);
+    halls.record_call(now, &hall("b"));
 
-    assert!(!reach.allows_calls(Time::from_millis(LAST_HEARD_MS + 2_000), &hall("b")));
-    assert!(reach.allows_calls(Time::from_millis(LAST_HEARD_MS + 4_500), &hall("b")));
+    assert!(!halls.allows_calls(Time::from_millis(LAST_HEARD_MS + 2_000), &hall("b")));
+    assert!(halls.allows_calls(Time::from_millis(LAST_HEARD_MS + 4_500), &hall("b")));
 }
 
 #[test]
 fn isolated_box_treats_no_hall_as_silent() {
     let now = Time::from_millis(LAST_HEARD_MS + 3_000);
-    let reach = reachability(20, LAST_HEARD_MS);
+    let halls = reachability(20, LAST_HEARD_MS);
 
-    assert!(reach.allows_calls(now, &hall("b")));
-    assert!(reach.allows_calls(now, &hall("a")));
+    assert!(halls.allows_calls(now, &hall("b")));
+    assert!(halls.allows_calls(now, &hall("a")));
 }
 
 #[test]
 fn hall_without_known_boxes_gets_calls() {
-    let reach = reachability(0, LAST_HEARD_MS);
+    let halls = reachability(0, LAST_HEARD_MS);
 
-    assert!(reach.allows_calls(Time::from_millis(LAST_HEARD_MS), &hall("b")));
+    assert!(halls.allows_calls(Time::from_millis(LAST_HEARD_MS), &hall("b")));
 }
 
 #[test]
 fn silence_and_recovery_are_reported_once_each() {
     let silent_at = Time::from_millis(LAST_HEARD_MS + 400);
-    let mut reach = reachability(20, LAST_HEARD_MS + 400);
+    let mut halls = reachability(20, LAST_HEARD_MS + 400);
 
-    let fell_silent = reach.take_changes(silent_at);
-    let still_silent = reach.take_changes(silent_at);
-    reach.record_heartbeat(silent_at, &hall("b"), "b3");
-    let returned = reach.take_changes(silent_at);
+    let fell_silent = halls.take_changes(silent_at);
+    let still_silent = halls.take_changes(silent_at);
+    halls.record_heartbeat(silent_at, &hall("b"), "b3");
+    let returned = halls.take_changes(silent_at);
 
     assert_eq!(fell_silent.len(), 1);
     assert!(fell_silent[0].is_silent && fell_silent[0].hall == hall("b"));
@@ -103,21 +103,21 @@
 #[test]
 fn box_that_hears_only_its_own_hall_treats_others_as_silent() {
     let now = Time::from_millis(LAST_HEARD_MS + 2_000);
-    let mut reach = reachability(20, LAST_HEARD_MS);
+    let mut halls = reachability(20, LAST_HEARD_MS);
 
-    reach.record_own_hall_heartbeat(now);
+    halls.record_own_hall_heartbeat(now);
 
-    assert!(!reach.allows_calls(now, &hall("a")));
-    assert!(!reach.allows_calls(now, &hall("b")));
+    assert!(!halls.allows_calls(now, &hall("a")));
+    assert!(!halls.allows_calls(now, &hall("b")));
 }
 
 #[test]
 fn own_hall_is_never_silent() {
     let now = Time::from_millis(LAST_HEARD_MS + 3_000);
-    let mut reach = HallReachability::default();
-    reach.record_own_hall_heartbeat(Time::from_millis(LAST_HEARD_MS));
-    reach.record_heartbeat(now, &hall("b"), "b1");
+    let mut halls = HallReachability::default();
+    halls.record_own_hall_heartbeat(Time::from_millis(LAST_HEARD_MS));
+    halls.record_heartbeat(now, &hall("b"), "b1");
 
-    assert!(reach.allows_calls(now, &hall("own")));
-    assert!(reach.allows_calls(now, &hall("b")));
+    assert!(halls.allows_calls(now, &hall("own")));
+    assert!(halls.allows_calls(now, &hall("b")));
 }
