--- a/lib/src/relay/hall_planner.rs
+++ b/lib/src/relay/hall_planner.rs
@@ -1,8 +1,10 @@
 //! Chooses the hall in which a generation runs.
 //!
-//! Where halls are cells, a box has fresh data about the engines of its own hall, while data about
-//! other halls is some tenths of a second old. A call therefore runs in the own hall if it can be
-//! on time there, and otherwise in one other hall. Alternatives: see `docs/design/cells.md`.
+//! Where halls are cells (see [`gossip_topology`](crate::relay::gossip_topology)), a box has fresh
+//! data about the engines of its own hall, while data about other halls is some tenths of a second
+//! old. A short call therefore runs in the own hall if it can be on time there, and otherwise in the
+//! hall that is expected to be fastest. A long prompt prefers the engines of the own hall but may
+//! use those of several halls. Alternatives considered: see `docs/design/cells.md`.
 
 use std::time::Duration;
 
@@ -18,8 +20,8 @@
 
 /// Fraction of the time until its first event is due that a short call may be expected to take in
 /// its own hall. The rest is a margin: about half of all calls exceed their estimate.
-const LOCAL_DEADLINE_FRACTION: f64 = 0.5;
-/// Minimum expected gain in time to the first event for leaving the own hall.
+const LOCAL_TIME_FRACTION: f64 = 0.5;
+/// Minimum expected gain in time to the first event for which a short call leaves the own hall.
 const MIN_REMOTE_GAIN: Duration = Duration::from_millis(50);
 
 /// The engines that a box may use, by hall.
@@ -29,7 +31,8 @@
     pub pool: EnginePool<'a>,
     /// Hall number of each engine; 0 is the hall of this box.
     pub halls: &'a [usize],
-    /// Whether halls are cells, or all boxes share data about all engines.
+    /// [`GossipScope::Hall`] if halls are cells, [`GossipScope::Fleet`] if all boxes share data about
+    /// all engines.
     pub scope: GossipScope,
 }
 
@@ -51,7 +54,7 @@
         }
         let local = self.plan_in(0, prompt, targets, rng);
         let local_time = local.as_ref().map(|plan| plan.expected_first_event);
-        if local_time.is_some_and(|time| time <= targets.due_in.mul_f64(LOCAL_DEADLINE_FRACTION)) {
+        if local_time.is_some_and(|time| time <= targets.due_in.mul_f64(LOCAL_TIME_FRACTION)) {
             return local;
         }
         let others = 1..=self.halls.iter().copied().max().unwrap_or_default();
@@ -64,8 +67,8 @@
         remote.filter(gains).or(local)
     }
 
-    /// Plans a long prompt over the engines of all halls, preferring the own hall. The first
-    /// engines of each hall stay reserved for short calls.
+    /// Plans a long prompt over the engines of all halls, preferring the own hall. In each hall the
+    /// first engines stay reserved for short calls.
     fn plan_across_halls(
         &self,
         prompt: &PromptSize,
@@ -86,6 +89,7 @@
         }
         let short_engines = order.len();
         order.extend(others);
+        // Ranks all engines of other halls after those of the own hall.
         let prefer_local = |index: &usize| {
             let engine = self.pool.engines[*index];
             let remote_bit = u32::from(!engine.is_local) << 31;
