--- a/cli/tests/test_suspects.rs
+++ b/cli/tests/test_suspects.rs
@@ -12,11 +12,11 @@
 use serde_json::json;
 
 const HELD: RequestFingerprint = RequestFingerprint {
-    owner: 1,
+    workspace_digest: 1,
     digest: 2,
 };
 const SUSPECT: RequestFingerprint = RequestFingerprint {
-    owner: 0xFFFF_FFFF,
+    workspace_digest: 0xFFFF_FFFF,
     digest: u64::MAX,
 };
 
--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -104,14 +104,14 @@
         return Err(NoCandidate::NoServers);
     }
     let available_in =
-        |record: &'a ServerRecord| Some((notices.available_in(now, record.life)?, record));
+        |record: &'a ServerRecord| Some((notices.available_in(now, record.incarnation)?, record));
     let first = listed
         .filter_map(available_in)
         .min_by_key(|(wait, _)| *wait);
     match first {
         None => Err(NoCandidate::AllLeaving),
         Some((wait, record)) if wait > max_wait => {
-            let reason = match availability(record.life) {
+            let reason = match availability(record.incarnation) {
                 Availability::BackOff => RefusalReason::ServersShedding,
                 _ => RefusalReason::ServersLimited,
             };
--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -169,7 +169,7 @@
         let tracker = lock(&relay.tracker);
         let record = tracker.get(&selection.server);
         record.is_some_and(|record| {
-            !record.info.leaving && record.life == selection.target.incarnation
+            !record.info.leaving && record.incarnation == selection.target.incarnation
         })
     };
     if !is_listed || relay.gate.is_leaving(&selection.target) {
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -160,7 +160,7 @@
 fn target(record: &ServerRecord) -> Target {
     Target {
         name: record.info.name.clone(),
-        incarnation: record.life,
+        incarnation: record.incarnation,
         hall: record.info.hall.clone(),
     }
 }
--- a/lib/src/relay/lost_calls.rs
+++ b/lib/src/relay/lost_calls.rs
@@ -67,13 +67,15 @@
         outcome: String,
     },
     /// Late after a failed attempt.
-    TriedAgain,
+    #[serde(rename = "tried_again")]
+    Retried,
     /// Late because of the wait for engines.
     WaitedForEngines,
     /// Late, and already estimated to be late at dispatch.
     ExpectedLate,
     /// Late because prefill took longer than estimated.
-    ReadSlower,
+    #[serde(rename = "read_slower")]
+    SlowPrefill,
     /// Late for another reason.
     Late,
     /// First event on time, but a later pause was too long.
@@ -84,10 +86,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotServed { outcome } => write!(f, "not served: {outcome}"),
-            Self::TriedAgain => write!(f, "late: tried again"),
+            Self::Retried => write!(f, "late: tried again"),
             Self::WaitedForEngines => write!(f, "late: waited for engines"),
             Self::ExpectedLate => write!(f, "late: expected so"),
-            Self::ReadSlower => write!(f, "late: read slower than expected"),
+            Self::SlowPrefill => write!(f, "late: read slower than expected"),
             Self::Late => write!(f, "late: other"),
             Self::Paused => write!(f, "paused too long"),
         }
@@ -122,10 +124,12 @@
             return (paused && self.pause_limit_ms.is_some()).then_some(LossCause::Paused);
         }
         Some(match self.sent {
-            2.. => LossCause::TriedAgain,
+            2.. => LossCause::Retried,
             _ if waited > due * WAIT_FRACTION => LossCause::WaitedForEngines,
             _ if expected > due * EXPECTED_FRACTION => LossCause::ExpectedLate,
-            _ if expected > 0.0 && prefill > expected * SLOW_PREFILL_RATIO => LossCause::ReadSlower,
+            _ if expected > 0.0 && prefill > expected * SLOW_PREFILL_RATIO => {
+                LossCause::SlowPrefill
+            }
             _ => LossCause::Late,
         })
     }
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -49,7 +49,7 @@
 /// Requests with a record, at some 200 bytes each.
 const MAX_REQUESTS: usize = 512;
 /// Requests with a record per workspace, so that one workspace can't evict those of others.
-const MAX_REQUESTS_PER_OWNER: usize = 64;
+const MAX_REQUESTS_PER_WORKSPACE: usize = 64;
 /// Rows per datagram for requests that changed recently or run here: some 60 bytes each, of 1,400.
 const MAX_FRESH_ROWS: usize = 6;
 /// Rows per datagram for the other requests, in rotation, for boxes that missed earlier reports.
@@ -348,7 +348,7 @@
         f: impl FnOnce(&mut SuspectRequest),
     ) -> Option<QuarantineChange> {
         if !self.requests.contains_key(&fingerprint) {
-            self.make_room(now, fingerprint.owner);
+            self.make_room(now, fingerprint.workspace_digest);
         }
         let request = self.requests.entry(fingerprint).or_default();
         let before = (request.status(now), request.crash_count(now));
@@ -368,20 +368,20 @@
     }
 
     /// Drops expired records and, at a limit, evicts one more: the record with the fewest crashes,
-    /// the oldest of those, preferring ones that are not quarantined. It is taken from `owner` if
+    /// the oldest of those, preferring ones that are not quarantined. It is taken from `workspace_digest` if
     /// that workspace is at its own limit, otherwise from the workspace with the most records.
-    fn make_room(&mut self, now: Time, owner: u32) {
+    fn make_room(&mut self, now: Time, workspace_digest: u32) {
         self.requests.retain(|_, request| !request.is_expired(now));
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
         for fingerprint in self.requests.keys() {
-            *counts.entry(fingerprint.owner).or_default() += 1;
+            *counts.entry(fingerprint.workspace_digest).or_default() += 1;
         }
-        let owner_count = counts.get(&owner).copied().unwrap_or_default();
+        let workspace_count = counts.get(&workspace_digest).copied().unwrap_or_default();
         let evict_from = match () {
-            () if owner_count >= MAX_REQUESTS_PER_OWNER => Some(owner),
+            () if workspace_count >= MAX_REQUESTS_PER_WORKSPACE => Some(workspace_digest),
             () if self.requests.len() >= MAX_REQUESTS => {
                 let most = counts.iter().max_by_key(|(_, count)| **count);
-                most.map(|(owner, _)| *owner)
+                most.map(|(workspace_digest, _)| *workspace_digest)
             }
             () => None,
         };
@@ -389,7 +389,7 @@
         let candidates = self
             .requests
             .iter()
-            .filter(|(fingerprint, _)| fingerprint.owner == evict_from);
+            .filter(|(fingerprint, _)| fingerprint.workspace_digest == evict_from);
         let priority = |request: &SuspectRequest| {
             let is_quarantined = request.quarantined_at(now).is_some();
             (
--- a/lib/src/relay/request_fingerprint.rs
+++ b/lib/src/relay/request_fingerprint.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestFingerprint {
     /// Digest of the workspace, by which the table entries of one workspace are limited.
-    pub owner: u32,
+    pub workspace_digest: u32,
     /// Digest of all parts, with the workspace.
     pub digest: u64,
 }
@@ -54,7 +54,7 @@
             hasher.update(text);
         }
         Self {
-            owner: first_bytes(&Sha256::digest(workspace)) as u32,
+            workspace_digest: first_bytes(&Sha256::digest(workspace)) as u32,
             digest: first_bytes(&hasher.finalize()),
         }
     }
@@ -67,7 +67,7 @@
 
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:08x}{:016x}", self.owner, self.digest)
+        write!(f, "{:08x}{:016x}", self.workspace_digest, self.digest)
     }
 }
 
@@ -80,7 +80,7 @@
     type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
-        let (owner, digest) = text.split_at_checked(8).ok_or(ParseFingerprintError)?;
+        let (workspace_digest, digest) = text.split_at_checked(8).ok_or(ParseFingerprintError)?;
         let is_fingerprint =
             digest.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !is_fingerprint {
@@ -88,7 +88,7 @@
         }
         let invalid = |_not_hex| ParseFingerprintError;
         Ok(Self {
-            owner: u32::from_str_radix(owner, 16).map_err(invalid)?,
+            workspace_digest: u32::from_str_radix(workspace_digest, 16).map_err(invalid)?,
             digest: u64::from_str_radix(digest, 16).map_err(invalid)?,
         })
     }
@@ -100,7 +100,7 @@
         if out.is_human_readable() {
             return out.collect_str(self);
         }
-        (self.owner, self.digest).serialize(out)
+        (self.workspace_digest, self.digest).serialize(out)
     }
 }
 
@@ -110,8 +110,11 @@
             let text = String::deserialize(input)?;
             return text.parse().map_err(serde::de::Error::custom);
         }
-        let (owner, digest) = Deserialize::deserialize(input)?;
-        Ok(Self { owner, digest })
+        let (workspace_digest, digest) = Deserialize::deserialize(input)?;
+        Ok(Self {
+            workspace_digest,
+            digest,
+        })
     }
 }
 
--- a/lib/src/relay/server_list.rs
+++ b/lib/src/relay/server_list.rs
@@ -48,7 +48,7 @@
 
 impl ServerEntry {
     /// Identity of this run of the server, from its name and start time.
-    pub fn life(&self) -> ServerIncarnation {
+    pub fn incarnation(&self) -> ServerIncarnation {
         ServerIncarnation::of(&self.name, self.born)
     }
 }
@@ -161,10 +161,13 @@
     fn mark_retired(&mut self, entries: &mut ServerSnapshot) {
         let era = entries.position.era;
         for server in entries.servers.values_mut() {
-            let life = server.life();
-            let retired = self.retired.iter().find(|(retired, _)| *retired == life);
+            let incarnation = server.incarnation();
+            let retired = self
+                .retired
+                .iter()
+                .find(|(retired, _)| *retired == incarnation);
             if server.leaving {
-                self.record_retired(life, era);
+                self.record_retired(incarnation, era);
             } else if retired.is_some_and(|(_, retired_in)| *retired_in < era) {
                 server.leaving = true;
             }
@@ -172,11 +175,15 @@
     }
 
     /// Records a retired server; the first era in which it was retired is kept.
-    fn record_retired(&mut self, life: ServerIncarnation, era: u64) {
-        if self.retired.iter().any(|(retired, _)| *retired == life) {
+    fn record_retired(&mut self, incarnation: ServerIncarnation, era: u64) {
+        if self
+            .retired
+            .iter()
+            .any(|(retired, _)| *retired == incarnation)
+        {
             return;
         }
-        self.retired.push_back((life, era));
+        self.retired.push_back((incarnation, era));
         if self.retired.len() > MAX_RETIRED {
             self.retired.pop_front();
         }
@@ -189,10 +196,10 @@
         }
         self.held.remove(&server.name);
         if server.leaving {
-            self.record_retired(server.life(), position.era);
+            self.record_retired(server.incarnation(), position.era);
         } else {
             self.retired
-                .retain(|(retired, _)| *retired != server.life());
+                .retain(|(retired, _)| *retired != server.incarnation());
         }
         self.entries.servers.insert(server.name.clone(), server);
     }
@@ -309,7 +316,7 @@
         if may_have_expired && !server.leaving {
             self.held.insert(server.name.clone(), server);
         } else {
-            self.record_retired(server.life(), self.entries.position.era);
+            self.record_retired(server.incarnation(), self.entries.position.era);
         }
     }
 }
--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -94,7 +94,7 @@
     /// Short key of the server's name, as used between boxes.
     pub key: EngineKey,
     /// Identifies the current run of the server's process, as its entry states it.
-    pub life: ServerIncarnation,
+    pub incarnation: ServerIncarnation,
     /// Calls of this box that are in flight there.
     pub in_flight: u32,
     /// Moving average of failed calls of this box, from 0 to 1.
@@ -113,7 +113,7 @@
     fn new(info: ServerEntry) -> Self {
         Self {
             key: EngineKey::of(&info.name),
-            life: info.life(),
+            incarnation: info.incarnation(),
             info,
             in_flight: 0,
             failure_rate: 0.0,
@@ -242,9 +242,9 @@
     }
 
     /// Name of the listed server with this identity.
-    pub fn name_of(&self, life: ServerIncarnation) -> Option<ServerName> {
+    pub fn name_of(&self, incarnation: ServerIncarnation) -> Option<ServerName> {
         let mut records = self.records.values();
-        let found = records.find(|record| record.life == life);
+        let found = records.find(|record| record.incarnation == incarnation);
         found.map(|record| record.info.name.clone())
     }
 
@@ -269,7 +269,7 @@
         let listed = self
             .of_service(service)
             .filter(|record| !record.info.leaving);
-        let listed = listed.map(|record| (record, availability(record.life)));
+        let listed = listed.map(|record| (record, availability(record.incarnation)));
         let listed: Vec<_> = listed
             .filter(|(_, availability)| availability.accepts_chunks())
             .collect();
--- a/lib/tests/test_relay_era_model.rs
+++ b/lib/tests/test_relay_era_model.rs
@@ -140,7 +140,7 @@
             Some(Value::Version(version)) => self.update_version(*version),
             Some(Value::Server(server)) => {
                 if server.leaving {
-                    self.retired.insert(server.life());
+                    self.retired.insert(server.incarnation());
                 }
                 self.servers.put(at, server.clone());
             }
@@ -151,7 +151,7 @@
     fn usable(&self) -> BTreeSet<ServerIncarnation> {
         let servers = self.servers.servers().into_iter();
         let usable = servers.filter(|server| !server.leaving);
-        usable.map(|server| server.life()).collect()
+        usable.map(|server| server.incarnation()).collect()
     }
 }
 
@@ -344,7 +344,7 @@
     /// Final state once all boxes reach the store and each other, and all keys were written again.
     fn check_converged(&self) {
         let listed = self.written.values().filter_map(|value| match value {
-            Value::Server(server) if !server.leaving => Some(server.life()),
+            Value::Server(server) if !server.leaving => Some(server.incarnation()),
             _ => None,
         });
         let expected: BTreeSet<ServerIncarnation> = listed.collect();
--- a/lib/tests/test_relay_lost_calls.rs
+++ b/lib/tests/test_relay_lost_calls.rs
@@ -52,8 +52,8 @@
         ..late.clone()
     };
 
-    assert_eq!(late.cause(), Some(LossCause::ReadSlower));
-    assert_eq!(retried.cause(), Some(LossCause::TriedAgain));
+    assert_eq!(late.cause(), Some(LossCause::SlowPrefill));
+    assert_eq!(retried.cause(), Some(LossCause::Retried));
     assert_eq!(waited.cause(), Some(LossCause::WaitedForEngines));
     assert_eq!(expected.cause(), Some(LossCause::ExpectedLate));
     assert_eq!(other.cause(), Some(LossCause::Late));
--- a/lib/tests/test_relay_quarantine.rs
+++ b/lib/tests/test_relay_quarantine.rs
@@ -25,8 +25,11 @@
 const RUN: Admission = Admission::Run { crashes: 0 };
 const SUSPECT_RUN: Admission = Admission::Run { crashes: 1 };
 
-const fn fingerprint(owner: u32, digest: u64) -> RequestFingerprint {
-    RequestFingerprint { owner, digest }
+const fn fingerprint(workspace_digest: u32, digest: u64) -> RequestFingerprint {
+    RequestFingerprint {
+        workspace_digest,
+        digest,
+    }
 }
 
 const fn at(millis: u64) -> Time {
--- a/lib/tests/test_relay_server_tracker.rs
+++ b/lib/tests/test_relay_server_tracker.rs
@@ -17,7 +17,7 @@
 use crate::server_entry::server;
 
 /// Availability of servers that state no limits.
-const fn always_open(_life: ServerIncarnation) -> Availability {
+const fn always_open(_incarnation: ServerIncarnation) -> Availability {
     Availability::Open
 }
 
@@ -316,9 +316,9 @@
 fn fallback_never_uses_leaving_server() {
     let mut tracker = tracker(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
-    let leaving = tracker.get(&a).expect("server is listed").life;
-    let availability = |life| {
-        if life == leaving {
+    let leaving = tracker.get(&a).expect("server is listed").incarnation;
+    let availability = |incarnation| {
+        if incarnation == leaving {
             Availability::Leaving
         } else {
             Availability::Open
@@ -342,9 +342,9 @@
 fn excluded_server_is_used_if_others_are_closed() {
     let mut tracker = tracker(&["a", "b"]);
     let (a, b) = (ServerName::new("a"), ServerName::new("b"));
-    let closed = tracker.get(&a).expect("server is listed").life;
-    let availability = |life| {
-        if life == closed {
+    let closed = tracker.get(&a).expect("server is listed").incarnation;
+    let availability = |incarnation| {
+        if incarnation == closed {
             Availability::Closed
         } else {
             Availability::Open
--- a/testutils/src/crash_model.rs
+++ b/testutils/src/crash_model.rs
@@ -34,12 +34,12 @@
 
 /// The work that ends servers.
 const DEADLY: RequestFingerprint = RequestFingerprint {
-    owner: 1,
+    workspace_digest: 1,
     digest: 0,
 };
 /// The work of the equal calls.
 const EQUAL: RequestFingerprint = RequestFingerprint {
-    owner: 1,
+    workspace_digest: 1,
     digest: 1,
 };
 /// Later than this after the third server ended, all boxes must know.
@@ -298,7 +298,7 @@
             Kind::Other => {
                 self.next_work += 1;
                 RequestFingerprint {
-                    owner: 1,
+                    workspace_digest: 1,
                     digest: self.next_work,
                 }
             }
