--- a/lib/src/relay/attempts.rs
+++ b/lib/src/relay/attempts.rs
@@ -14,10 +14,11 @@
 use crate::outcome::Refused;
 use crate::outcome::Unsent;
 
-/// Failed connections per call. Several servers in a row may be gone while the caller still waits.
+/// Maximum number of failed connections per call. Several servers in a row may be gone while the
+/// caller still waits.
 const MAX_CONNECT_ATTEMPTS: u32 = 4;
-/// Servers that may reject one call because they shed load. None of them is tried again during its
-/// pause, and each further attempt spends from the retry budget.
+/// Maximum number of servers that may shed one call. None of them is tried again during its pause,
+/// and each further attempt spends from the retry budget.
 const MAX_SHED_ATTEMPTS: u32 = 4;
 
 /// How one attempt ended.
@@ -100,8 +101,8 @@
         self.repeatable && self.has_attempt_left()
     }
 
-    /// Whether an attempt is left. Attempts that ended with load shedding count against their own
-    /// limit.
+    /// Whether the call may be sent once more. Attempts that ended with load shedding count against
+    /// [`MAX_SHED_ATTEMPTS`] instead of `max_sent`.
     const fn has_attempt_left(&self) -> bool {
         self.sent - self.times_shed < self.max_sent && self.times_shed < MAX_SHED_ATTEMPTS
     }
@@ -124,8 +125,9 @@
         };
     }
 
-    /// Records the end of an attempt and decides on the next step. `may_retry` spends from the
-    /// retry budget and is called at most once, only if the next attempt needs it.
+    /// Records the end of an attempt and decides on the next step. `may_retry` takes a retry from
+    /// the retry budget, if one is left. It is called at most once, and only if the next attempt is
+    /// a retry.
     pub fn on_attempt_end(
         &mut self,
         end: AttemptEnd,
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Ends a call that no server can accept now.
+    /// Ends a call that no server can accept now, for the given reason.
     pub fn give_up(&mut self, reason: RefusalReason, retry_after: Duration) -> NextStep {
         match self.state.take() {
             Some(Execution::Unsent(proof)) => {
--- a/lib/src/relay/availability.rs
+++ b/lib/src/relay/availability.rs
@@ -2,9 +2,9 @@
 
 /// Whether a server accepts calls. If several states apply, the greatest one takes precedence.
 ///
-/// Only the server's own statements count here, and they are always respected. What a box infers
-/// from failures or silence is a preference of [`crate::relay::server_tracker`], which is ignored if
-/// no other server is left.
+/// Only the server's own statements count here, and no call is ever sent against them. What a box
+/// infers from failures or timeouts is a mere preference of [`crate::relay::server_tracker`], which
+/// is ignored if no other server is left.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Availability {
     /// Accepts calls without restriction.
--- a/lib/src/relay/call_quota.rs
+++ b/lib/src/relay/call_quota.rs
@@ -12,7 +12,7 @@
 const MAX_EXCESS: f64 = 2.0;
 /// Period over which the limit is enforced, in seconds.
 const WINDOW_SECS: f64 = 4.0;
-/// Burst allowance after an idle period, in seconds of calls at the limit: calls arrive in bursts.
+/// Burst allowance after an idle period, in seconds of calls at the limit. Callers send in bursts.
 const BURST_SECS: f64 = 0.25;
 /// Longest time for which charged calls, which cannot be delayed, may use up the quota in advance.
 const MAX_DEBT: Duration = Duration::from_secs(4);
@@ -36,10 +36,10 @@
 impl CallQuota {
     /// Starts with the allowance used up: a previous quota owner may just have granted a burst.
     pub fn new(now: Time, rate: CallRate) -> Self {
-        let full = emission_interval(rate).mul_f64(MAX_EXCESS + burst_calls(rate));
+        let allowance = emission_interval(rate).mul_f64(MAX_EXCESS + burst_calls(rate));
         Self {
             rate,
-            theoretical_arrival: now + full,
+            theoretical_arrival: now + allowance,
         }
     }
 
@@ -59,8 +59,11 @@
     ///
     /// The call would have to wait longer than `max_wait`.
     pub fn take(&mut self, now: Time, max_wait: Duration) -> Result<Duration, QuotaExceeded> {
-        let burst = emission_interval(self.rate).mul_f64(MAX_EXCESS + burst_calls(self.rate) - 1.0);
-        let wait = now.until(self.theoretical_arrival).saturating_sub(burst);
+        let tolerance =
+            emission_interval(self.rate).mul_f64(MAX_EXCESS + burst_calls(self.rate) - 1.0);
+        let wait = now
+            .until(self.theoretical_arrival)
+            .saturating_sub(tolerance);
         if wait > max_wait {
             return Err(QuotaExceeded { retry_in: wait });
         }
--- a/lib/src/relay/leaving_servers.rs
+++ b/lib/src/relay/leaving_servers.rs
@@ -1,9 +1,9 @@
 //! Servers that announced in a response that they are leaving.
 //!
-//! The state holds for every box and is final for an incarnation of a server, so a set of
-//! incarnations without timestamps is gossiped between boxes. The server's entry in the store says
-//! the same, but later, or not at all while the store is unavailable. That entry can be changed or
-//! corrupted, and is handled by [`crate::relay::server_list`].
+//! Leaving applies to every box and is final for an incarnation of a server, so boxes gossip a set
+//! of incarnations without timestamps. The server's entry in the store also says that it is
+//! leaving, but later, or not at all while the store is unavailable. Unlike this set, the entry can
+//! be changed or corrupted; it is handled by [`crate::relay::server_list`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,23 +14,23 @@
 
 /// Maximum number of entries, at about 40 bytes each; the oldest entry is evicted first.
 const MAX_SERVERS: usize = 4_096;
-/// How long a new entry is included in every datagram: two heartbeats plus a lost one.
-const ANNOUNCE_FOR: Duration = Duration::from_millis(1_200);
-/// Maximum number of new entries per datagram, at up to 10 of its 1,400 bytes each.
-const MAX_NEW_ROWS: usize = 32;
-/// Maximum number of older entries per datagram, sent round-robin for boxes that were partitioned.
-const MAX_REPEATED_ROWS: usize = 4;
+/// How long a new entry is included in every datagram: two heartbeats, and one that may be lost.
+const GOSSIP_TIME: Duration = Duration::from_millis(1_200);
+/// Maximum number of recent entries per datagram, at up to 10 of its 1,400 bytes each.
+const MAX_RECENT_ROWS: usize = 32;
+/// Maximum number of older entries per datagram, sent in rotation for boxes that were partitioned.
+const MAX_ROTATED_ROWS: usize = 4;
 
 /// Set of leaving servers.
 #[derive(Debug, Default)]
 pub struct LeavingServers {
-    /// When this box learned of each.
+    /// Leaving servers, and when this box learned of each.
     learned_at: BTreeMap<ServerIncarnation, Time>,
-    /// Last new entry sent; the next datagram continues after it.
-    new_cursor: Option<ServerIncarnation>,
+    /// Last recent entry sent; the next datagram continues after it.
+    recent_cursor: Option<ServerIncarnation>,
     /// Last older entry sent.
-    repeated_cursor: Option<ServerIncarnation>,
-    /// Entries evicted because the set was full.
+    rotation_cursor: Option<ServerIncarnation>,
+    /// Entries evicted for capacity.
     evicted: u64,
 }
 
@@ -66,20 +66,20 @@
         self.learned_at.is_empty()
     }
 
-    /// Entries for the next datagram to other boxes: new ones, and some older ones round-robin.
+    /// Entries for the next datagram to other boxes: recent ones, and some older ones in rotation.
     pub fn rows(&mut self, now: Time) -> Vec<ServerIncarnation> {
         let all = self
             .learned_at
             .iter()
             .map(|(incarnation, at)| (*incarnation, *at));
-        let (new, repeated): (Vec<_>, Vec<_>) =
-            all.partition(|(_, at)| now.since(*at) < ANNOUNCE_FOR);
-        let mut rows = round_robin::next_in_rotation(&new, self.new_cursor, MAX_NEW_ROWS);
-        self.new_cursor = rows.last().map(|(incarnation, _)| *incarnation);
-        let repeated =
-            round_robin::next_in_rotation(&repeated, self.repeated_cursor, MAX_REPEATED_ROWS);
-        self.repeated_cursor = repeated.last().map(|(incarnation, _)| *incarnation);
-        rows.extend(repeated);
+        let (recent, rotated): (Vec<_>, Vec<_>) =
+            all.partition(|(_, at)| now.since(*at) < GOSSIP_TIME);
+        let mut rows = round_robin::next_in_rotation(&recent, self.recent_cursor, MAX_RECENT_ROWS);
+        self.recent_cursor = rows.last().map(|(incarnation, _)| *incarnation);
+        let rotated =
+            round_robin::next_in_rotation(&rotated, self.rotation_cursor, MAX_ROTATED_ROWS);
+        self.rotation_cursor = rotated.last().map(|(incarnation, _)| *incarnation);
+        rows.extend(rotated);
         rows.into_iter()
             .map(|(incarnation, _)| incarnation)
             .collect()
@@ -90,7 +90,7 @@
         self.learned_at.keys().copied().collect()
     }
 
-    /// Number of entries evicted so far because the set was full.
+    /// Number of entries evicted so far for capacity.
     pub const fn evicted(&self) -> u64 {
         self.evicted
     }
--- a/lib/src/relay/limit_summary.rs
+++ b/lib/src/relay/limit_summary.rs
@@ -1,5 +1,5 @@
-//! Summary of server limits, pauses and departures, and their effects on calls, from the boxes'
-//! logs.
+//! Summary of call limits, requested pauses and departures of servers, and of their effects on
+//! calls, from the boxes' logs.
 
 use std::collections::BTreeMap;
 
@@ -107,8 +107,8 @@
     pub pause_ms: Option<u64>,
     /// Time of the last rejection with a pause.
     pub shed_at: Option<String>,
-    /// Number of calls moved to another server because this one accepted none at the time of
-    /// sending.
+    /// Number of calls that selected this server but were not sent to it because it accepted none
+    /// by then.
     pub held_back: u64,
 }
 
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Many boxes log the same limit: keeps the latest one, with its earliest timestamp.
+    /// Keeps the latest limit, with its earliest timestamp: many boxes log the same limit.
     fn record_limit(&mut self, server: String, limit: Option<f64>, at: String) {
         let entry = self.servers.entry(server).or_default();
         let is_same = entry.since.is_some() && entry.limit == limit;
--- a/lib/src/relay/lost_calls.rs
+++ b/lib/src/relay/lost_calls.rs
@@ -1,8 +1,8 @@
 //! Classifies calls that were late or not served, from the log record that each call ends with.
 //!
-//! A record holds how long the call waited for engines, how long its prefill was expected to take,
-//! when its first event came and when that was due. The cause follows from these values, and the
-//! records of many boxes are added up by prompt size and cause.
+//! A record holds how long the call waited for engines, the estimated time to its first event, when
+//! that event came, and the time limit for it. The cause follows from these values, and the records
+//! of many boxes are added up by prompt size and cause.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -22,7 +22,7 @@
 /// Fraction of the objective above which the estimate at dispatch is the cause: the call was
 /// expected to be late.
 const EXPECTED_FRACTION: f64 = 0.8;
-/// Ratio of prefill time to estimate above which slow prefill is the cause. Nine of ten prompts
+/// Ratio of prefill time to its estimate above which slow prefill is the cause. Nine of ten prompts
 /// stay below it.
 const SLOW_PREFILL_RATIO: f64 = 1.5;
 /// Call ids kept per prompt size and cause.
@@ -51,9 +51,9 @@
     pub waited_ms: Option<u64>,
     /// Estimated time to the first event of the last attempt.
     pub expected_ms: Option<u64>,
-    /// Longest pause between events.
+    /// Longest pause between two events.
     pub longest_pause_ms: Option<u64>,
-    /// Longest acceptable pause between events.
+    /// Longest pause between two events that still counts as on time.
     pub pause_limit_ms: Option<u64>,
 }
 
--- a/lib/src/relay/permit_wire.rs
+++ b/lib/src/relay/permit_wire.rs
@@ -7,7 +7,8 @@
 use crate::ids::HallName;
 use crate::relay::server_limits::LimitRow;
 
-/// First byte of a permit datagram: protocol version, and distinguishes it from load datagrams.
+/// First byte of a permit datagram: the protocol version, which also distinguishes it from load
+/// datagrams, whose first byte differs.
 const PERMIT_VERSION: u8 = 0x81;
 
 /// Message between a box and a quota owner.
@@ -24,7 +25,7 @@
 /// Request for a permit for one call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Random request ID. A retry after a lost response carries the same one.
+    /// Random request ID. A repetition after a lost or late response carries the same ID.
     pub id: u64,
     /// Hall of the server.
     pub hall: HallName,
@@ -56,7 +57,7 @@
         /// Time until the next call is possible, in microseconds.
         retry_in: u32,
     },
-    /// The receiving box does not own the server's quota, as far as it knows.
+    /// As far as the responding box knows, it does not own the server's quota.
     NotOwner,
 }
 
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -1,17 +1,17 @@
 //! Quarantine of requests that crash the servers which run them.
 //!
 //! A request may crash each server that starts to run it. Retry limits per call, box or service do
-//! not contain it, because its caller sends it again through any box. So boxes replicate a
-//! grow-only set of pairs of a request fingerprint and a server incarnation that crashed during a
-//! run of it. The set can be merged in any order and from any source.
+//! not contain it, because its caller may send it again through any box. So boxes gossip a set of
+//! pairs of a request fingerprint and a server incarnation that crashed while it ran that request.
+//! The set only grows, and can be merged in any order and from any source.
 //!
-//! From the first crash on the request is suspect: over all boxes that reach each other one run of
-//! it is in progress at a time, and it is isolated from other calls once it has
-//! [`ISOLATION_MIN_CRASHES`]. After three crashes it is quarantined: refused at once until ten
-//! minutes after the last of them, and suspect for as long again. A successful run clears the
-//! request: all crashes up to shortly after that run are attributed to other causes. So many equal
-//! calls of one caller are not blamed while servers crash by themselves. Alternatives:
-//! `docs/design/quarantine.md`.
+//! From the first crash on, the request is suspect: it runs at most once at a time over all boxes
+//! that reach each other. From [`ISOLATION_MIN_CRASHES`] on, its runs are also isolated from other
+//! calls. After three crashes the request is quarantined: it is refused at once until ten minutes
+//! after the last crash, and then is suspect for as long again. A successful run clears the
+//! request: all crashes up to shortly after that run are attributed to other causes. This keeps the
+//! many identical calls of one caller from being quarantined when servers crash for other reasons.
+//! See `docs/design/quarantine.md` for the alternatives considered.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -38,23 +38,28 @@
 use crate::relay::suspect_request::SuspectRequest;
 use crate::time::Time;
 
-/// Delay between the start slots of boxes that wait to run the same request. Reports take a few
-/// milliseconds between halls, so the run of one slot is known before the next slot.
+/// Interval between the start slots of boxes that wait to run the same request. A report reaches
+/// other halls within a few milliseconds, so a run that starts in one slot is known to all boxes
+/// before the next slot.
 const SLOT_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a call that lost its run waits for reports of other lost runs, whose calls are about
-/// to be retried as well.
+/// How long a call whose run ended with a server crash waits for reports of other such runs, whose
+/// calls are about to be retried as well.
 const REPORT_WAIT: Duration = SLOT_INTERVAL;
-/// Number of start slots; boxes share them if there are more boxes.
+/// Number of start slots. If there are more boxes, several share a slot.
 const SLOTS: usize = 16;
-/// Requests with a record, at some 200 bytes each.
+/// Maximum number of requests with a record, at some 200 bytes each.
 const MAX_REQUESTS: usize = 512;
-/// Requests with a record per workspace, so that one workspace can't evict those of others.
+/// Maximum number of requests with a record per workspace, so that no workspace can evict the
+/// records of others.
 const MAX_REQUESTS_PER_WORKSPACE: usize = 64;
-/// Rows per datagram for requests that changed recently or run here: some 60 bytes each, of 1,400.
-const MAX_FRESH_ROWS: usize = 6;
-/// Rows per datagram for the other requests, in rotation, for boxes that missed earlier reports.
-const ROTATED_ROWS: usize = 1;
-/// Crashes per row: enough to quarantine the request though some were simultaneous.
+/// Maximum number of rows per datagram for requests that changed recently or run here, at some 60
+/// of its 1,400 bytes each.
+const MAX_RECENT_ROWS: usize = 6;
+/// Maximum number of rows per datagram for the other requests, sent in rotation for boxes that
+/// missed earlier reports.
+const MAX_ROTATED_ROWS: usize = 1;
+/// Maximum number of crashes per row: enough to quarantine the request even if some of them were
+/// simultaneous.
 const MAX_CRASHES_PER_ROW: usize = 5;
 
 /// Whether a call may run.
@@ -65,7 +70,7 @@
         /// Crashes that count against the request.
         crashes: usize,
     },
-    /// Another run of the request is in progress or goes first, and its end decides.
+    /// The call must wait for the outcome of another run, which is in progress or may start first.
     Wait,
     /// The request is quarantined.
     Quarantined {
@@ -92,11 +97,12 @@
 pub enum StoredFact {
     /// This server incarnation crashed during a run.
     Crashed(ServerIncarnation),
-    /// The box that wrote it saw enough crashes for a quarantine. Stored separately because the
-    /// stored crashes have no times: a box that reads them later can't tell whether they were
-    /// simultaneous.
+    /// The box that wrote this fact counted enough crashes for a quarantine. It is stored
+    /// separately because the stored crashes have no times: a box that reads them later can't tell
+    /// whether they were simultaneous.
     Quarantined,
-    /// An operator released the request; the next run decides.
+    /// An operator released the request. It is suspect again, and the outcome of its next run
+    /// decides.
     Released,
 }
 
@@ -105,9 +111,10 @@
 pub struct QuarantineRow {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Latest crashes that count against it.
+    /// Latest crashes that count against the request.
     pub crashes: Vec<CrashRow>,
-    /// Milliseconds since the first and the last crash of the latest quarantine, if that counts.
+    /// Milliseconds since the first and the last crash of the latest quarantine, unless a
+    /// successful run cleared it or it expired.
     pub quarantined: Option<(u32, u32)>,
     /// Milliseconds since an operator released it.
     pub released: Option<u32>,
@@ -130,10 +137,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     requests: BTreeMap<RequestFingerprint, SuspectRequest>,
-    /// Own runs in progress, of all requests with a known fingerprint.
+    /// Number of runs of this box in progress, for all requests with a known fingerprint.
     runs: HashMap<RequestFingerprint, u32>,
-    /// Last request of the rotation that the latest datagram held.
-    last_rotated: Option<RequestFingerprint>,
+    /// Last request sent in rotation; the next datagram continues after it.
+    rotation_cursor: Option<RequestFingerprint>,
+    /// Records evicted for capacity.
     evicted: u64,
 }
 
@@ -145,9 +153,9 @@
 
     /// Decides whether a call may be sent.
     ///
-    /// `saw_crash` tells that the call's own last run ended with a server crash. Such a call goes
-    /// before the boxes that wait, unless another run was lost as well. `rank` is this box's
-    /// position as given by [`rank`].
+    /// `saw_crash` tells that the call's own last run ended with a server crash. Such a call waits
+    /// only for [`REPORT_WAIT`] instead of a start slot, unless another server crashed as well.
+    /// `rank` returns this box's position as given by [`rank`].
     pub fn admit(
         &mut self,
         now: Time,
@@ -157,7 +165,7 @@
     ) -> Admission {
         let runs_here = self.runs.get(&fingerprint).is_some_and(|runs| *runs > 0);
         let Some(request) = self.requests.get(&fingerprint) else {
-            return self.begin(fingerprint, 0);
+            return self.begin_run(fingerprint, 0);
         };
         let status = request.status(now);
         let runs = runs_here || request.runs_elsewhere(now);
@@ -165,7 +173,7 @@
         let is_only_crash = request.counted_crashes(now).count() == 1;
         let goes_first = saw_crash && is_only_crash && request.since_last_crash(now) >= REPORT_WAIT;
         match status {
-            RequestStatus::Cleared => self.begin(fingerprint, 0),
+            RequestStatus::Cleared => self.begin_run(fingerprint, 0),
             RequestStatus::Quarantined if !runs => Admission::Quarantined {
                 left: QUARANTINE_PERIOD.saturating_sub(request.since_last_crash(now)),
                 crashes,
@@ -174,19 +182,19 @@
                 if !runs
                     && (goes_first || request.since_last_crash(now) >= start_delay(rank())) =>
             {
-                self.begin(fingerprint, crashes)
+                self.begin_run(fingerprint, crashes)
             }
             RequestStatus::Quarantined | RequestStatus::Suspect => Admission::Wait,
         }
     }
 
-    fn begin(&mut self, fingerprint: RequestFingerprint, crashes: usize) -> Admission {
+    fn begin_run(&mut self, fingerprint: RequestFingerprint, crashes: usize) -> Admission {
         *self.runs.entry(fingerprint).or_default() += 1;
         Admission::Run { crashes }
     }
 
-    /// Whether a run admitted by [`Self::admit`] may still be sent after the call has waited: the
-    /// request may have been quarantined meanwhile, or may run elsewhere.
+    /// Whether a call admitted by [`Self::admit`] may still be sent after it has waited in a queue:
+    /// the request may have been quarantined meanwhile, or may run elsewhere.
     pub fn may_send(&self, now: Time, fingerprint: RequestFingerprint) -> bool {
         let Some(request) = self.requests.get(&fingerprint) else {
             return true;
@@ -199,8 +207,8 @@
         }
     }
 
-    /// Ends a run admitted by [`Self::admit`]. Returns true if the request has a record, so that
-    /// others may be waiting for the end of the run.
+    /// Records the end of a run admitted by [`Self::admit`]. Returns true if the request has a
+    /// record, since then other calls may be waiting for this run.
     pub fn end_run(&mut self, now: Time, fingerprint: RequestFingerprint) -> bool {
         if let Some(runs) = self.runs.get_mut(&fingerprint) {
             *runs -= 1;
@@ -230,14 +238,14 @@
         };
         self.change(now, fingerprint, |request| {
             request.is_own = true;
-            // The run after an earlier quarantine decides: its crash starts the quarantine again.
+            // After a quarantine, a single crash starts the next one.
             if request.quarantined_at(now).is_some() {
                 request.quarantine = Some(CrashSpan {
                     first: at,
                     last: at,
                 });
             }
-            request.add(crash);
+            request.add_crash(crash);
         })
     }
 
@@ -265,7 +273,7 @@
         let at = SignedTime::of(now);
         match fact {
             StoredFact::Crashed(incarnation) => self.change(now, fingerprint, |request| {
-                request.add(Crash {
+                request.add_crash(Crash {
                     incarnation,
                     at,
                     // The store does not hold when the run started.
@@ -305,14 +313,14 @@
         let ago = |millis: u32| SignedTime::before_now(now, millis);
         let merge = |row: &QuarantineRow| {
             self.change(now, row.fingerprint, |request| {
-                // The sender missed the successful run known here, which is reported again.
+                // The sender missed a successful run that this box knows of: report it again.
                 let has_crashes = !row.crashes.is_empty() || row.quarantined.is_some();
                 let is_behind = has_crashes && request.success > row.succeeded.map(ago);
                 if is_behind && request.status(now) == RequestStatus::Cleared {
                     request.changed = now;
                 }
                 for crash in &row.crashes {
-                    request.add(Crash {
+                    request.add_crash(Crash {
                         incarnation: crash.incarnation,
                         at: ago(crash.age_ms),
                         run_started: ago(crash.age_ms.saturating_add(crash.run_ms)),
@@ -326,7 +334,8 @@
                 request.quarantine = request.quarantine.max(quarantine);
                 request.released = request.released.max(row.released.map(ago));
                 request.success = request.success.max(row.succeeded.map(ago));
-                // A missing row does not end a run: a datagram holds only a few of many rows.
+                // A run stays in progress if the sender omits its row: a datagram holds only a few
+                // of many rows.
                 let running = match scope {
                     RunScope::Box => &mut request.running_boxes,
                     RunScope::Hall => &mut request.running_halls,
@@ -367,9 +376,10 @@
         })
     }
 
-    /// Drops expired records and, at a limit, evicts one more: the record with the fewest crashes,
-    /// the oldest of those, preferring ones that are not quarantined. It is taken from `workspace_digest` if
-    /// that workspace is at its own limit, otherwise from the workspace with the most records.
+    /// Drops expired records and, if a limit is still reached, evicts one more: preferably one that
+    /// is not quarantined, then the one with the fewest crashes, then the oldest. It is a record of
+    /// the given workspace if that is at its own limit, otherwise of the workspace with the most
+    /// records.
     fn make_room(&mut self, now: Time, workspace_digest: u32) {
         self.requests.retain(|_, request| !request.is_expired(now));
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
@@ -405,9 +415,9 @@
         }
     }
 
-    /// Rows for the next datagram: requests that run here or changed recently, running ones and
-    /// then the latest changes first, and one of the other requests that are not cleared, in
-    /// rotation.
+    /// Rows for the next datagram. First come requests that run here, then those that changed
+    /// recently, the latest change first, and then one of the other requests that are not cleared,
+    /// in rotation.
     pub fn rows(&mut self, now: Time, scope: RunScope) -> Vec<QuarantineRow> {
         if self.requests.is_empty() {
             return Vec::new();
@@ -416,23 +426,23 @@
         let runs = |fingerprint: &RequestFingerprint, request: &SuspectRequest| {
             self.runs_in(now, scope, *fingerprint, request)
         };
-        let is_fresh = |fingerprint: &RequestFingerprint, request: &SuspectRequest| {
+        let is_recent = |fingerprint: &RequestFingerprint, request: &SuspectRequest| {
             runs(fingerprint, request) || now.since(request.changed) < RUN_REPORT_TTL
         };
-        let (mut fresh, mut rest): (Vec<_>, Vec<_>) = (self.requests.iter())
-            .partition::<Vec<_>, _>(|(fingerprint, request)| is_fresh(fingerprint, request));
+        let (mut recent, mut rest): (Vec<_>, Vec<_>) = (self.requests.iter())
+            .partition::<Vec<_>, _>(|(fingerprint, request)| is_recent(fingerprint, request));
         rest.retain(|(_, request)| request.status(now) != RequestStatus::Cleared);
-        fresh.sort_by_key(|(fingerprint, request)| {
+        recent.sort_by_key(|(fingerprint, request)| {
             (!runs(fingerprint, request), now.since(request.changed))
         });
-        fresh.truncate(MAX_FRESH_ROWS);
+        recent.truncate(MAX_RECENT_ROWS);
         let rotated =
-            round_robin::next_in_rotation(&rest, self.last_rotated.as_ref(), ROTATED_ROWS);
-        let selected = fresh.iter().chain(&rotated);
+            round_robin::next_in_rotation(&rest, self.rotation_cursor.as_ref(), MAX_ROTATED_ROWS);
+        let selected = recent.iter().chain(&rotated);
         let rows =
             selected.map(|(fingerprint, request)| self.row(now, scope, **fingerprint, request));
         let rows = rows.collect();
-        self.last_rotated = rotated.last().map(|(fingerprint, _)| **fingerprint);
+        self.rotation_cursor = rotated.last().map(|(fingerprint, _)| **fingerprint);
         rows
     }
 
@@ -469,9 +479,10 @@
         }
     }
 
-    /// Facts observed by this box that the store should hold but does not yet: quarantines, and
-    /// crashes of requests with more than one, or with any if this box hears no other (`is_alone`).
-    /// The remaining crashes are reported by datagram only, and most are cleared within a second.
+    /// Facts observed by this box that the store should hold but does not yet: quarantines, and the
+    /// crashes of each request that has more than one. If this box hears no other (`is_alone`),
+    /// single crashes are included too; otherwise they are reported by datagram only, and most of
+    /// them are cleared within a second.
     pub fn unstored_facts(
         &self,
         now: Time,
@@ -490,7 +501,8 @@
             let is_quarantined =
                 status == RequestStatus::Quarantined && !request.is_quarantine_stored;
             let quarantined = is_quarantined.then_some(StoredFact::Quarantined);
-            // A lost release is not written again once the request is quarantined anew.
+            // A release that the store lost is not written again once the request is quarantined
+            // anew.
             let is_released = request.is_release_lost && status != RequestStatus::Quarantined;
             let released = is_released.then_some(StoredFact::Released);
             let facts = crashes.chain(quarantined).chain(released);
@@ -527,13 +539,15 @@
     }
 }
 
-/// Crashes from which on a call is isolated. A server crash makes all calls of that server suspect
-/// for a moment, and those are best placed like any other.
+/// Number of crashes from which on the runs of a request are isolated from other calls. One crash
+/// is not enough: it makes all calls of that server suspect for a moment, and these are best placed
+/// like any other call.
 pub const ISOLATION_MIN_CRASHES: usize = 2;
 
-/// Draws the server for an isolated call from the half of the servers with the fewest calls. The
-/// calls lost with a server are all suspect for a moment; if they went together to the quietest
-/// server they would meet the one among them that crashes it.
+/// Picks the server for an isolated call at random from the half of the servers with the fewest
+/// calls. Always picking the server with the fewest calls would send all calls that were lost with
+/// one server, and are suspect for a moment, to the same next server, including the one that
+/// crashes it.
 pub fn pick_isolated<T>(
     mut servers: Vec<T>,
     calls: impl Fn(&T) -> u32,
@@ -545,14 +559,14 @@
     servers.into_iter().skip(drawn).take(1).collect()
 }
 
-/// How long after a crash a box of this rank waits to run the request, so that the boxes don't all
-/// start at once.
+/// How long after a crash a box of this rank waits before it runs the request, so that the boxes do
+/// not all start at once.
 fn start_delay(rank: usize) -> Duration {
     SLOT_INTERVAL * (1 + rank % SLOTS) as u32
 }
 
-/// Rank of a box among all known boxes, in an order specific to the request. With no more boxes
-/// than start slots, no two take the same slot.
+/// Rank of a box among all known boxes, in an order specific to the request. If there are no more
+/// boxes than start slots, no two of them share a slot.
 pub fn rank<'a>(
     fingerprint: RequestFingerprint,
     own: &str,
--- a/lib/src/relay/quota_owner.rs
+++ b/lib/src/relay/quota_owner.rs
@@ -28,14 +28,14 @@
 /// Idle time after which a quota may be evicted: by then it is replenished, except for the slowest
 /// servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Responses kept to answer repeated requests with the same ID.
+/// Maximum number of responses kept for repeated requests.
 const MAX_CACHED_RESPONSES: usize = 512;
 
 /// Box that owns the quota of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaOwner {
-    /// This box, which grants one of `shares` equal shares of the rate: network partitions may have
-    /// that many owners at the same time.
+    /// This box, which grants one of `shares` equal shares of the rate: under a network partition
+    /// there may be that many owners at the same time.
     Local {
         /// Number of shares.
         shares: usize,
@@ -56,8 +56,8 @@
         uptime: Duration,
         is_alive: impl Fn(&str) -> bool,
     ) -> Self {
-        let hears_others = boxes.keys().any(|name| name != own && is_alive(name));
-        if !hears_others {
+        let has_live_peer = boxes.keys().any(|name| name != own && is_alive(name));
+        if !has_live_peer {
             return match boxes.len() {
                 0 | 1 => Self::Local { shares: 1 },
                 _ if uptime < LIVENESS_TIMEOUT => Self::Unknown,
@@ -72,21 +72,21 @@
             return first.load.parse().map_or(Self::Unknown, Self::Remote);
         }
         if uptime < LIVENESS_TIMEOUT {
-            // It may not have heard from the previous owner yet.
+            // This box may not have heard from the previous owner yet.
             return Self::Unknown;
         }
         let shares = if first.hall == hall.as_str() {
             possible_partitions(boxes, own, hall, is_alive)
         } else {
-            // Under a partition, each hall may consider itself the first live one.
+            // Under a partition, the first box of each hall may consider itself the owner.
             gossip_topology::hall_count(boxes)
         };
         Self::Local { shares }
     }
 }
 
-/// Upper estimate of the number of partitions of a hall: one, while most of its boxes are heard.
-/// Boxes that are not heard may be partitioned rather than failed, and have an owner of their own.
+/// Upper estimate of the number of partitions of a hall: one, while this box hears most of its
+/// boxes. The others may be partitioned rather than failed, and have an owner of their own.
 fn possible_partitions(
     boxes: &Boxes,
     own: &str,
@@ -140,8 +140,8 @@
         self.quota(now, incarnation, rate).charge(now);
     }
 
-    /// Response already given to the request with this ID: the request is repeated if the response
-    /// was lost or late.
+    /// Response already given to the request with this ID. A request is repeated if the response
+    /// was lost or late, and must not take a second call from the quota.
     pub fn cached_response(&self, id: u64) -> Option<PermitDecision> {
         let mut responses = self.responses.iter().rev();
         responses
--- a/lib/src/relay/request_fingerprint.rs
+++ b/lib/src/relay/request_fingerprint.rs
@@ -1,7 +1,7 @@
 //! Fingerprints of requests, and ids of server incarnations.
 //!
-//! A caller that retries makes a new call with a new id, at any box. What stays the same is the
-//! request: method, host, path, query, workspace and body. The workspace is part of the
+//! A caller that retries makes a new call with a new id, possibly at another box. What stays the
+//! same is the request: method, host, path, query, workspace and body. The workspace is part of the
 //! fingerprint, so that no caller can get another workspace's requests quarantined.
 
 use std::fmt;
@@ -35,20 +35,20 @@
 /// Fingerprint of a request, the same at every box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestFingerprint {
-    /// Digest of the workspace, by which the table entries of one workspace are limited.
+    /// Digest of the workspace, used to limit the quarantine records of each workspace.
     pub workspace_digest: u32,
-    /// Digest of all parts, with the workspace.
+    /// Digest of all parts of the request, including the workspace.
     pub digest: u64,
 }
 
 impl RequestFingerprint {
     /// Computes the fingerprint, in time linear in the length of the body.
-    pub fn of(parts: &FingerprintInput<'_>) -> Self {
-        let workspace = parts.workspace.map_or("", WorkspaceName::as_str);
-        let host = parts.host.to_ascii_lowercase();
+    pub fn of(input: &FingerprintInput<'_>) -> Self {
+        let workspace = input.workspace.map_or("", WorkspaceName::as_str);
+        let host = input.host.to_ascii_lowercase();
         let mut hasher = Sha256::new();
-        let texts = [parts.method, &host, parts.target, workspace];
-        for text in texts.map(str::as_bytes).into_iter().chain([parts.body]) {
+        let texts = [input.method, &host, input.target, workspace];
+        for text in texts.map(str::as_bytes).into_iter().chain([input.body]) {
             // The length prefix of each part keeps "ab" + "c" distinct from "a" + "bc".
             hasher.update((text.len() as u64).to_le_bytes());
             hasher.update(text);
--- a/lib/src/relay/retry_window.rs
+++ b/lib/src/relay/retry_window.rs
@@ -1,8 +1,8 @@
 //! One box's share of a fleet-wide retry budget.
 //!
 //! The budget applies to the sum over all boxes in every sliding window, without coordination. Each
-//! box earns retries in proportion to its own first sends within the window and gets an equal share
-//! of the slack, divided by twice the number of boxes it knows. So the sum stays within the budget
+//! box earns retries in proportion to its own first sends within the window, and in addition gets
+//! the slack divided by twice the number of boxes that it knows. So the sum stays within the budget
 //! while boxes restart, are partitioned, or do not know of each other.
 
 use std::collections::VecDeque;
@@ -10,15 +10,17 @@
 
 use crate::time::Time;
 
-/// Slices of the window. The oldest one counts for retries only, so that errors of the slicing
+/// Number of slices in which sends are counted within the window. The slice that is only partly
+/// inside the window counts for retries but not for first sends, so that the inaccuracy can only
 /// lower the allowance.
 const SLICES: u32 = 10;
-/// Fraction of the earned retries that may be spent. The rest covers boxes that lose their counts.
+/// Fraction of the earned retries that may be spent. The rest covers boxes that restart and lose
+/// their counts.
 const SPENDABLE_FRACTION: f64 = 0.8;
-/// Boxes assumed per known box, because a restarted box forgets what it spent.
+/// Boxes assumed per known box: a restarted box does not know what it spent before.
 const ASSUMED_BOXES_PER_KNOWN: f64 = 2.0;
 
-/// The retry budget over all boxes.
+/// Retry budget for the sum over all boxes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetRule {
     /// Length of the sliding window.
@@ -48,7 +50,7 @@
         self.slice(now, budget).first_sends += 1;
     }
 
-    /// Whether the box's share allows another retry.
+    /// Whether the box's share is_allowed another retry.
     pub fn has_retry_left(&mut self, now: Time, budget: &RetryBudgetRule, boxes: usize) -> bool {
         let current = self.slice(now, budget).number;
         let first_sends: u32 = (self.slices.iter())
@@ -61,13 +63,13 @@
         f64::from(retries) + 1.0 <= allowed
     }
 
-    /// Counts a retry if the box's share allows it.
+    /// Counts a retry if the box's share is_allowed it.
     pub fn try_spend(&mut self, now: Time, budget: &RetryBudgetRule, boxes: usize) -> bool {
-        let allows = self.has_retry_left(now, budget, boxes);
-        if allows {
+        let is_allowed = self.has_retry_left(now, budget, boxes);
+        if is_allowed {
             self.slice(now, budget).retries += 1;
         }
-        allows
+        is_allowed
     }
 
     fn slice(&mut self, now: Time, budget: &RetryBudgetRule) -> &mut Slice {
--- a/lib/src/relay/route_table.rs
+++ b/lib/src/relay/route_table.rs
@@ -45,7 +45,7 @@
     pub max_gap: Option<Duration>,
     /// Maximum number of servers that one call may be sent to.
     pub max_attempts: u32,
-    /// Priority of calls without a priority of their workspace; 0 is the most urgent.
+    /// Priority of calls whose workspace has none; 0 is the most urgent.
     pub priority: u8,
     /// Whether calls are accepted without an API key.
     pub public: bool,
--- a/lib/src/relay/server_limits.rs
+++ b/lib/src/relay/server_limits.rs
@@ -3,8 +3,8 @@
 //! A limit is stated for all boxes together and belongs to one incarnation of a server. Boxes
 //! gossip the statements with their ages, and the newest one wins regardless of its source. A
 //! datagram that omits a server says nothing about it. After a denied permit the server is closed
-//! to this box until the quota has recovered. See [`crate::relay::quota_owner`] for the quotas, and
-//! `docs/design/server-limits.md` for the alternatives considered.
+//! to this box until its quota allows another call. See [`crate::relay::quota_owner`] for the
+//! quotas, and `docs/design/server-limits.md` for the alternatives considered.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -21,19 +21,19 @@
 use crate::relay::signed_time::SignedTime;
 use crate::time::Time;
 
-/// How long a statement is kept. Servers that have not been called for this long are gone.
+/// How long a statement is kept. A server that no box has called for this long is gone.
 const RETENTION: Duration = Duration::from_mins(10);
 /// Maximum number of servers, at about 60 bytes each; the oldest statement is evicted first.
 const MAX_SERVERS: usize = 2_048;
-/// How long a change is included in every datagram: two heartbeats plus a lost one.
-const ANNOUNCE_FOR: Duration = Duration::from_millis(1_200);
-/// Maximum number of changes per datagram, at up to 19 of its 1,400 bytes each.
-const MAX_CHANGED_ROWS: usize = 16;
-/// Maximum number of older statements per datagram, sent round-robin for boxes that missed the
+/// How long a change is included in every datagram: two heartbeats, and one that may be lost.
+const GOSSIP_TIME: Duration = Duration::from_millis(1_200);
+/// Maximum number of recent changes per datagram, at up to 19 of its 1,400 bytes each.
+const MAX_RECENT_ROWS: usize = 16;
+/// Maximum number of older statements per datagram, sent in rotation for boxes that missed the
 /// change.
-const MAX_REPEATED_ROWS: usize = 4;
-/// Added to the age of sent statements to cover the transit time: without it, a statement would get
-/// younger with each round trip between boxes.
+const MAX_ROTATED_ROWS: usize = 4;
+/// Added to the age of sent statements to cover the transit time. Without it, a statement would
+/// appear younger with each round trip between boxes.
 const TRANSIT_TIME: Duration = Duration::from_millis(5);
 /// A change within this time of the previous change of the same server is not announced at once,
 /// but with the next heartbeat.
@@ -80,8 +80,8 @@
     /// Servers closed to this box, and until when.
     closed_until: HashMap<ServerIncarnation, Time>,
     /// Last older statement sent; the next datagram continues after it.
-    repeated_cursor: Option<ServerIncarnation>,
-    /// Statements evicted for lack of space.
+    rotation_cursor: Option<ServerIncarnation>,
+    /// Statements evicted for capacity.
     evicted: u64,
 }
 
@@ -200,34 +200,34 @@
     }
 
     /// Statements for the next datagram to other boxes: recently changed ones, the latest change
-    /// first, and some older ones round-robin.
+    /// first, and some older ones in rotation.
     pub fn rows(&mut self, now: Time) -> Vec<LimitRow> {
         if self.statements.is_empty() {
             return Vec::new();
         }
         self.statements
             .retain(|_, statement| statement.at.age(now) < RETENTION);
-        let is_recent = |statement: &LimitStatement| now.since(statement.changed_at) < ANNOUNCE_FOR;
+        let is_recent = |statement: &LimitStatement| now.since(statement.changed_at) < GOSSIP_TIME;
         let mut recent: Vec<_> = (self.statements.iter())
             .filter(|(_, statement)| is_recent(statement))
             .collect();
         recent
             .sort_by_key(|(incarnation, statement)| (Reverse(statement.changed_at), **incarnation));
-        recent.truncate(MAX_CHANGED_ROWS);
+        recent.truncate(MAX_RECENT_ROWS);
         let older = self
             .statements
             .iter()
             .filter(|(_, statement)| !is_recent(statement));
         let mut older: Vec<_> = older.collect();
         older.sort_by_key(|(incarnation, _)| **incarnation);
-        let repeated =
-            round_robin::next_in_rotation(&older, self.repeated_cursor.as_ref(), MAX_REPEATED_ROWS);
-        let repeated_cursor = repeated.last().map(|(incarnation, _)| **incarnation);
-        let selected = recent.iter().chain(&repeated);
+        let rotated =
+            round_robin::next_in_rotation(&older, self.rotation_cursor.as_ref(), MAX_ROTATED_ROWS);
+        let rotation_cursor = rotated.last().map(|(incarnation, _)| **incarnation);
+        let selected = recent.iter().chain(&rotated);
         let rows = selected
             .map(|(incarnation, statement)| row(now, **incarnation, statement))
             .collect();
-        self.repeated_cursor = repeated_cursor;
+        self.rotation_cursor = rotation_cursor;
         rows
     }
 
@@ -253,7 +253,7 @@
             .filter_map(|(incarnation, statement)| statement.rate.map(|rate| (*incarnation, rate)))
     }
 
-    /// Number of statements evicted so far for lack of space.
+    /// Number of statements evicted so far for capacity.
     pub const fn evicted(&self) -> u64 {
         self.evicted
     }
--- a/lib/src/relay/server_list.rs
+++ b/lib/src/relay/server_list.rs
@@ -1,9 +1,9 @@
 //! Membership of backend servers, read from a store that may be unavailable.
 //!
-//! Each server maintains its own entry in the store. An entry that disappears while the store is
-//! available means that its server is gone. An entry that expired during an outage reappears soon
-//! after the store recovers if its server is alive, so missing entries are held for a short time
-//! after the recovery. A server's own statement that it leaves takes effect at once.
+//! Each server maintains its own entry in the store. If an entry disappears while the store is
+//! available, its server is gone. An entry that expired during an outage reappears soon after the
+//! store recovers if its server is alive. So entries that are missing then are held: their servers
+//! stay in use for a short time. A server's own statement that it leaves takes effect at once.
 //!
 //! A store that is restored from a backup shows an earlier state. Servers that started after the
 //! backup are missing until they write their entries again, and are held as after an outage.
@@ -24,7 +24,7 @@
 use crate::relay::store_position::StorePosition;
 use crate::time::Time;
 
-/// How long missing entries are held after the store recovers; the requirement is two seconds.
+/// How long missing entries are held after the store recovers. The requirement is two seconds.
 pub const HOLD_AFTER_RECOVERY: Duration = Duration::from_secs(2);
 
 /// Entry that a server maintains in the store.
@@ -47,7 +47,7 @@
 }
 
 impl ServerEntry {
-    /// Identity of this run of the server, from its name and start time.
+    /// Incarnation of the server, derived from its name and start time.
     pub fn incarnation(&self) -> ServerIncarnation {
         ServerIncarnation::of(&self.name, self.born)
     }
@@ -99,6 +99,7 @@
     /// Servers that leave or whose entries disappeared while the store was available, oldest first,
     /// with the era in which that was learned.
     retired: VecDeque<(ServerIncarnation, u64)>,
+    /// Missing entries whose servers may still be alive; kept until `hold_until`.
     held: BTreeMap<ServerName, ServerEntry>,
     store_down: bool,
     hold_until: Time,
@@ -123,8 +124,8 @@
         }
     }
 
-    /// How much longer missing entries are held; a box that takes over these entries must hold them
-    /// as long.
+    /// How much longer missing entries are held; a box that receives an update from this list must
+    /// hold them as long.
     pub const fn hold_remaining(&self, now: Time) -> Duration {
         now.until(self.hold_until)
     }
@@ -156,8 +157,8 @@
         self.held.retain(|name, _| !known.contains_key(name));
     }
 
-    /// Marks servers as leaving that were retired in an earlier era: the entries come from a backup
-    /// that predates it.
+    /// Marks servers as leaving that were retired in an earlier era: their entries come from a
+    /// backup that is older than the retirement.
     fn mark_retired(&mut self, entries: &mut ServerSnapshot) {
         let era = entries.position.era;
         for server in entries.servers.values_mut() {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Records a retired server; the first era in which it was retired is kept.
+    /// Records a retired server, with the era in which this was first learned.
     fn record_retired(&mut self, incarnation: ServerIncarnation, era: u64) {
         if self
             .retired
@@ -204,8 +205,8 @@
         self.entries.servers.insert(server.name.clone(), server);
     }
 
-    /// Applies an entry that can't be decoded: the server is treated as leaving. A server that is
-    /// alive soon writes its entry again.
+    /// Applies an entry that can't be decoded: a known server is treated as leaving, an unknown one
+    /// is not listed. A server that is alive soon writes its entry again.
     pub fn put_unreadable(&mut self, position: StorePosition, name: &ServerName) {
         match self.entries.servers.get(name) {
             Some(server) => {
--- a/lib/src/relay/server_notices.rs
+++ b/lib/src/relay/server_notices.rs
@@ -53,7 +53,7 @@
     pub recovered: Vec<ServerIncarnation>,
 }
 
-/// State of all notices by server incarnation.
+/// Latest notices by server incarnation.
 #[derive(Debug, Default)]
 pub struct ServerNotices {
     /// Call limits.
@@ -66,8 +66,8 @@
 
 impl ServerNotices {
     /// Records the notice in a response received now. A missing limit header lifts the limit only
-    /// if the response has the server's proof (`has_proof`); otherwise the header may be missing
-    /// for other reasons.
+    /// if the response proves that it comes from the server itself (`has_proof`): otherwise the
+    /// header may be missing for other reasons.
     pub fn record_response(
         &mut self,
         now: Time,
--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -25,8 +25,8 @@
 
 /// How long a departure is announced to other boxes; several datagrams are sent in that time.
 const DEPARTURE_GOSSIP_TIME: Duration = Duration::from_secs(1);
-/// How long a reported departure is trusted, until the box has received the list that shows it. An
-/// entry that reappears after an outage of the store takes about as long.
+/// How long a reported departure is trusted; by then the box has received the list that shows it.
+/// An entry that expired during an outage of the store reappears after about the same time.
 const DEPARTURE_TRUST_TIME: Duration = Duration::from_secs(2);
 /// Maximum number of departures per datagram, newest first; the others are known from the list.
 const MAX_GOSSIPED_DEPARTURES: usize = 64;
@@ -35,7 +35,8 @@
 /// How long a failed server is excluded before one call probes it.
 const EXCLUSION_TIME: Duration = Duration::from_millis(1_500);
 /// How long a server is excluded after another server reported it at fault: it is leaving, already
-/// helps as many other servers as it may, or is unreachable. Each use of it costs an attempt.
+/// helps as many other servers as it may, or is unreachable. Each call that includes it loses an
+/// attempt.
 const FAULT_EXCLUSION_TIME: Duration = Duration::from_secs(3);
 /// Maximum factor on `FAULT_EXCLUSION_TIME` for a server that is reported again after each
 /// exclusion: a leaving server keeps running for some seconds.
@@ -44,8 +45,8 @@
 const FAULT_GOSSIP_TIME: Duration = Duration::from_secs(1);
 /// Maximum number of faults per datagram; the others follow once these are no longer announced.
 const MAX_GOSSIPED_FAULTS: usize = 16;
-/// Consecutive connect timeouts within a hall after which the whole hall is excluded: the network
-/// path is then probably cut, and detecting it per server would delay one call for each of them.
+/// Consecutive connect timeouts within a hall after which the whole hall is excluded. The network
+/// path is then probably cut, and excluding its servers one by one would delay a call for each.
 const HALL_FAILURE_THRESHOLD: u32 = 3;
 /// How long a hall is excluded before one call probes it.
 const HALL_EXCLUSION_TIME: Duration = Duration::from_secs(1);
@@ -93,7 +94,7 @@
     pub info: ServerEntry,
     /// Short key of the server's name, as used between boxes.
     pub key: EngineKey,
-    /// Identifies the current run of the server's process, as its entry states it.
+    /// Incarnation that the entry describes.
     pub incarnation: ServerIncarnation,
     /// Calls of this box that are in flight there.
     pub in_flight: u32,
@@ -173,17 +174,17 @@
     records: HashMap<ServerName, ServerRecord>,
     by_service: HashMap<ServiceName, Vec<ServerName>>,
     halls: HashMap<HallName, Breaker>,
-    reach: HallReachability,
-    /// Servers that this box knows to be leaving or gone, and when it learned so.
+    reachability: HallReachability,
+    /// Servers that the store showed to be leaving or gone, and when this box learned of it.
     departed: Vec<(EngineKey, Time)>,
 }
 
 impl ServerTracker {
     /// Records servers that leave or are gone according to a newer list; true if there are any.
     ///
-    /// Boxes that read the store announce departures with their next datagram. Otherwise others
-    /// keep choosing such servers: a long prompt was declined because one engine of its group had
-    /// been known as leaving to other boxes for 0.3 s.
+    /// Boxes that read the store announce departures with their next datagram. Otherwise other
+    /// boxes keep choosing such servers until they receive the list, for example 0.3 s later, and a
+    /// long prompt is declined if one engine of its group is leaving.
     pub fn record_departures(&mut self, now: Time, listed: &[ServerEntry]) -> bool {
         let is_staying = |server: &&ServerEntry| !server.leaving;
         let staying = listed.iter().filter(is_staying).map(|server| &server.name);
@@ -197,7 +198,7 @@
         self.departed.len() > known_before
     }
 
-    /// Servers that recently left or went, to announce to other boxes; drops older ones.
+    /// Recent departures, to announce to other boxes; older ones are dropped.
     pub fn recent_departures(&mut self, now: Time) -> Vec<EngineKey> {
         self.departed
             .retain(|(_, since)| now.since(*since) < DEPARTURE_GOSSIP_TIME);
@@ -205,7 +206,8 @@
         newest.map(|(key, _)| *key).collect()
     }
 
-    /// Applies departures reported by another box, from any hall: they originate from the store.
+    /// Applies departures reported by another box. Unlike faults, they are trusted from any hall,
+    /// as they originate from the store.
     pub fn apply_departures(&mut self, now: Time, keys: &[EngineKey]) {
         if keys.is_empty() {
             return;
@@ -224,7 +226,7 @@
             let names = self.by_service.entry(info.service.clone()).or_default();
             names.push(info.name.clone());
             let record = match previous.remove(&info.name) {
-                // A restarted server has no state from before, so its record starts afresh.
+                // The record of a previous incarnation says nothing about a restarted server.
                 Some(record) if record.info.born == info.born => ServerRecord { info, ..record },
                 _ => ServerRecord::new(info),
             };
@@ -241,7 +243,7 @@
         self.records.get(name)
     }
 
-    /// Name of the listed server with this identity.
+    /// Name of the listed server with this incarnation.
     pub fn name_of(&self, incarnation: ServerIncarnation) -> Option<ServerName> {
         let mut records = self.records.values();
         let found = records.find(|record| record.incarnation == incarnation);
@@ -256,9 +258,9 @@
 
     /// Servers that may take part in a call now, sorted by key.
     ///
-    /// What a server states about itself always holds: leaving servers are never included.
-    /// Exclusions by this box are only preferences: if no preferred server accepts calls, excluded
-    /// servers are included, and finally those in `tried`.
+    /// What a server states about itself is always respected: leaving servers are never included.
+    /// Exclusions are only preferences: if none of the other servers accepts calls, excluded
+    /// servers are included, and finally also those in `tried`.
     pub fn usable(
         &self,
         now: Time,
@@ -316,12 +318,13 @@
 
     fn is_hall_admitted(&self, now: Time, hall: &HallName) -> bool {
         let breaker = self.halls.get(hall);
-        breaker.is_none_or(|breaker| breaker.admits(now)) && self.reach.allows_calls(now, hall)
+        breaker.is_none_or(|breaker| breaker.admits(now))
+            && self.reachability.allows_calls(now, hall)
     }
 
-    /// Halls that became unreachable or reachable since the last call.
+    /// Halls that became unreachable or reachable since this method was last called.
     pub fn take_reach_changes(&mut self, now: Time) -> Vec<HallReachabilityChange> {
-        self.reach.take_changes(now)
+        self.reachability.take_changes(now)
     }
 
     /// Records a datagram from the box `from` in `hall`; `own_hall` is this box's hall.
@@ -333,16 +336,16 @@
         from: &str,
     ) {
         if hall == own_hall {
-            self.reach.record_own_hall_heartbeat(now);
+            self.reachability.record_own_hall_heartbeat(now);
         } else {
-            self.reach.record_heartbeat(now, hall, from);
+            self.reachability.record_heartbeat(now, hall, from);
         }
     }
 
     /// Records that a call was sent to a server.
     pub fn call_sent(&mut self, now: Time, name: &ServerName) {
         if let Some(record) = self.records.get_mut(name) {
-            self.reach.record_call(now, &record.info.hall);
+            self.reachability.record_call(now, &record.info.hall);
             record.in_flight += 1;
             record.breaker.on_dispatch();
             self.halls
@@ -355,7 +358,7 @@
     /// Records that a server began to respond: a probe succeeds now, not at the end of a long call.
     pub fn call_answered(&mut self, now: Time, name: &ServerName) {
         if let Some(record) = self.records.get_mut(name) {
-            self.reach.record_answer(now, &record.info.hall);
+            self.reachability.record_answer(now, &record.info.hall);
             record.breaker.on_success();
             self.halls
                 .entry(record.info.hall.clone())
--- a/lib/src/relay/shedding_servers.rs
+++ b/lib/src/relay/shedding_servers.rs
@@ -2,7 +2,7 @@
 //!
 //! The pause is binding for the box whose call was rejected, and nothing that the box infers by
 //! itself shortens it. Other boxes are notified and merely prefer other servers meanwhile: a server
-//! that sheds a few calls of each box would get no calls at all if one pause were binding for all
+//! that sheds a few calls of each box would get no calls at all if each pause were binding for all
 //! boxes. After a pause, a single call probes the server before others follow. See
 //! `docs/design/server-limits.md` for the alternatives considered.
 
@@ -21,16 +21,17 @@
 /// Maximum number of servers, at about 60 bytes each; the pause that ends first is evicted
 /// first.
 const MAX_SERVERS: usize = 2_048;
-/// How long an unanswered probe holds off other calls. A server that sheds load rejects at once.
+/// How long a probe without a response holds off other calls. A server that sheds load rejects
+/// calls at once.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a server that has not been probed is kept after its pause.
+/// How long the pause of a server that has not been probed is kept after it has elapsed.
 const RETENTION: Duration = Duration::from_mins(1);
-/// How long a pause is included in every datagram: two heartbeats plus a lost one.
-const ANNOUNCE_FOR: Duration = Duration::from_millis(1_200);
+/// How long a pause is included in every datagram: two heartbeats, and one that may be lost.
+const GOSSIP_TIME: Duration = Duration::from_millis(1_200);
 /// Maximum number of pauses per datagram, at up to 15 of its 1,400 bytes each.
 const MAX_ROWS: usize = 16;
-/// How long other boxes continue to prefer other servers after a reported pause: the reporting box
-/// probes first, and reports if it is rejected again.
+/// How long boxes continue to prefer other servers after a pause reported to them: the reporting
+/// box probes first, and reports a new pause if it is rejected again.
 const REPORTER_HEAD_START: Duration = Duration::from_millis(250);
 /// Upper bound for pauses reported by other boxes.
 const MAX_REPORTED_PAUSE: Duration = Duration::from_secs(10);
@@ -75,12 +76,12 @@
             return false;
         }
         let until = now + retry_after.min(MAX_PAUSE);
-        if let Some(known) = self.own_pauses.get_mut(&incarnation) {
-            let is_new = known.until <= now;
-            if is_new || until > known.until {
-                *known = Pause {
+        if let Some(pause) = self.own_pauses.get_mut(&incarnation) {
+            let is_new = pause.until <= now;
+            if is_new || until > pause.until {
+                *pause = Pause {
                     started_at: now,
-                    until: until.max(known.until),
+                    until: until.max(pause.until),
                     probed_at: None,
                 };
             }
@@ -101,7 +102,7 @@
         let clears_pause = self
             .own_pauses
             .get(&incarnation)
-            .is_some_and(|known| known.until <= now);
+            .is_some_and(|pause| pause.until <= now);
         if clears_pause {
             self.own_pauses.remove(&incarnation);
             self.reported_until.remove(&incarnation);
@@ -111,17 +112,18 @@
 
     /// Records that a call is sent to a server; the first one after a pause is the probe.
     pub fn record_sent(&mut self, now: Time, incarnation: ServerIncarnation) {
-        if let Some(known) = self.own_pauses.get_mut(&incarnation) {
-            let starts_probe = known.until <= now && !is_being_probed(now, known);
-            known.probed_at = if starts_probe {
+        if let Some(pause) = self.own_pauses.get_mut(&incarnation) {
+            let starts_probe = pause.until <= now && !is_being_probed(now, pause);
+            pause.probed_at = if starts_probe {
                 Some(now)
             } else {
-                known.probed_at
+                pause.probed_at
             };
         }
     }
 
-    /// Merges pauses reported by another box. Returns the servers that were not yet reported.
+    /// Merges pauses reported by another box. Returns the servers that had not been reported
+    /// before.
     pub fn merge_rows(&mut self, now: Time, rows: &[ShedRow]) -> Vec<ServerIncarnation> {
         self.reported_until.retain(|_, until| *until > now);
         let mut newly_reported = Vec::new();
@@ -143,8 +145,8 @@
     /// Availability of a server, considering only pauses.
     pub fn availability(&self, now: Time, incarnation: ServerIncarnation) -> Availability {
         let probing = match self.own_pauses.get(&incarnation) {
-            Some(known) if known.until > now => return Availability::BackOff,
-            Some(known) => is_being_probed(now, known),
+            Some(pause) if pause.until > now => return Availability::BackOff,
+            Some(pause) => is_being_probed(now, pause),
             None => false,
         };
         let reported = self
@@ -161,37 +163,37 @@
     /// Whether a server's pause has elapsed and no probe is in flight. A call that was already
     /// rejected elsewhere should not be the probe.
     pub fn awaits_probe(&self, now: Time, incarnation: ServerIncarnation) -> bool {
-        let known = self.own_pauses.get(&incarnation);
-        known.is_some_and(|known| known.until <= now && !is_being_probed(now, known))
+        let pause = self.own_pauses.get(&incarnation);
+        pause.is_some_and(|pause| pause.until <= now && !is_being_probed(now, pause))
     }
 
     /// Remaining pause of a server for this box.
     pub fn pause_remaining(&self, now: Time, incarnation: ServerIncarnation) -> Duration {
-        let known = self.own_pauses.get(&incarnation);
-        known.map_or(Duration::ZERO, |known| now.until(known.until))
+        let pause = self.own_pauses.get(&incarnation);
+        pause.map_or(Duration::ZERO, |pause| now.until(pause.until))
     }
 
-    /// Number of servers that requested a pause from this box which has not elapsed.
+    /// Number of servers whose pause for this box has not elapsed yet.
     pub fn paused_count(&self, now: Time) -> usize {
         self.own_pauses
             .values()
-            .filter(|known| known.until > now)
+            .filter(|pause| pause.until > now)
             .count()
     }
 
     /// Pauses for the next datagram to other boxes.
     pub fn rows(&self, now: Time) -> Vec<ShedRow> {
         let is_recent =
-            |known: &Pause| known.until > now && now.since(known.started_at) < ANNOUNCE_FOR;
-        let recent = self.own_pauses.iter().filter(|(_, known)| is_recent(known));
+            |pause: &Pause| pause.until > now && now.since(pause.started_at) < GOSSIP_TIME;
+        let recent = self.own_pauses.iter().filter(|(_, pause)| is_recent(pause));
         let mut recent: Vec<_> = recent.collect();
-        recent.sort_by_key(|(incarnation, known)| {
-            (std::cmp::Reverse(known.started_at), **incarnation)
+        recent.sort_by_key(|(incarnation, pause)| {
+            (std::cmp::Reverse(pause.started_at), **incarnation)
         });
         recent.truncate(MAX_ROWS);
-        let row = |(incarnation, known): &(&ServerIncarnation, &Pause)| ShedRow {
+        let row = |(incarnation, pause): &(&ServerIncarnation, &Pause)| ShedRow {
             incarnation: **incarnation,
-            remaining_ms: now.until(known.until).as_millis() as u32,
+            remaining_ms: now.until(pause.until).as_millis() as u32,
         };
         recent.iter().map(row).collect()
     }
@@ -200,9 +202,9 @@
         if self.own_pauses.len() < MAX_SERVERS {
             return;
         }
-        let is_needed = |known: &Pause| now.since(known.until) < RETENTION;
-        self.own_pauses.retain(|_, known| is_needed(known));
-        let first = self.own_pauses.iter().min_by_key(|(_, known)| known.until);
+        let is_needed = |pause: &Pause| now.since(pause.until) < RETENTION;
+        self.own_pauses.retain(|_, pause| is_needed(pause));
+        let first = self.own_pauses.iter().min_by_key(|(_, pause)| pause.until);
         if let (true, Some((&incarnation, _))) = (self.own_pauses.len() >= MAX_SERVERS, first) {
             self.own_pauses.remove(&incarnation);
         }
@@ -210,8 +212,8 @@
 }
 
 /// Whether a probe was sent less than [`PROBE_TIMEOUT`] ago.
-fn is_being_probed(now: Time, known: &Pause) -> bool {
-    known
+fn is_being_probed(now: Time, pause: &Pause) -> bool {
+    pause
         .probed_at
         .is_some_and(|at| now.since(at) < PROBE_TIMEOUT)
 }
--- a/lib/src/relay/stop_plan.rs
+++ b/lib/src/relay/stop_plan.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// Time until new calls stop arriving. The load balancer notices the stop after two health checks,
-/// a second apart, and callers' connections follow.
+/// Time from the signal until no new calls arrive. The load balancer notices the stop after two
+/// health checks, one second apart, and then moves the callers' connections.
 const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_500);
-/// Time after the signal from which new calls are refused. Callers accept that calls sent within
-/// three seconds of the signal are cut off; a call accepted later might not end in time.
+/// Time from the signal until new calls are refused. Callers accept that calls sent within three
+/// seconds of the signal are cut off; a call that is accepted later might not end in time.
 const REFUSE_AFTER: Duration = Duration::from_millis(2_800);
 /// Reserved for sending the last bytes and for the exit of the process.
 const FLUSH_TIME: Duration = Duration::from_millis(300);
--- a/lib/src/relay/store_cursor.rs
+++ b/lib/src/relay/store_cursor.rs
@@ -41,7 +41,8 @@
         self.position = None;
     }
 
-    /// Skips ahead to a position known from peers, from which the next read of the store continues.
+    /// Advances to a position known from peers, if it is newer. The next read of the store
+    /// continues from there.
     pub fn raise_to(&mut self, to: StorePosition) {
         self.position = self.position.max(Some(to));
     }
--- a/lib/src/relay/store_position.rs
+++ b/lib/src/relay/store_position.rs
@@ -2,8 +2,8 @@
 //!
 //! The store numbers its revisions. If it is restored from a backup, which is some seconds old, it
 //! assigns the same revisions again, under a new era. A revision alone is therefore not ordered:
-//! everything read from the store, sent or kept carries the era as well. A store that reports no
-//! era stays in a single one.
+//! everything that is read from the store, sent to peers or kept carries the era as well. A store
+//! that reports no era stays in a single one.
 
 use std::fmt::Display;
 
--- a/lib/src/relay/suspect_request.rs
+++ b/lib/src/relay/suspect_request.rs
@@ -10,27 +10,28 @@
 use crate::relay::signed_time::SignedTime;
 use crate::time::Time;
 
-/// Server crashes after which a request is quarantined. With two, an innocent call that lost its
-/// run twice during mass server crashes would be quarantined; with four, each crashing request
-/// costs one more server.
+/// Number of server crashes from which on a request is quarantined. With two, a harmless request
+/// that lost its run twice while many servers crash would be quarantined; with four, each request
+/// that crashes servers would crash one more.
 pub const QUARANTINE_MIN_CRASHES: usize = 3;
 /// Crashes within this time of each other count as one, unless the later run started after the
-/// earlier crash. Servers that crash together have a common cause other than the request, and equal
-/// calls of one caller may be running on many of them.
+/// earlier crash. Servers that crash together have a common cause other than the request, and
+/// identical calls of one caller may be running on many of them.
 const SIMULTANEOUS_CRASH_WINDOW: Duration = Duration::from_millis(70);
 /// How long a request stays quarantined after the last crash. Equals the longest lease of the
 /// store, where the record is kept for boxes that start later.
 pub const QUARANTINE_PERIOD: Duration = Duration::from_mins(10);
-/// How long a crash is remembered. After the quarantine the request is suspect for as long again,
-/// so that a single run decides.
+/// How long a crash counts: twice [`QUARANTINE_PERIOD`]. After the quarantine the request is
+/// suspect for as long again, so that it runs once at a time and a single crash starts the next
+/// quarantine.
 const CRASH_RETENTION: Duration = Duration::from_mins(20);
 /// How long after a successful run crashes are ignored. Reports of servers that crashed together
-/// keep arriving for some seconds, while equal calls succeed elsewhere.
+/// keep arriving for some seconds, while identical calls succeed elsewhere.
 const SUCCESS_GRACE: Duration = Duration::from_secs(10);
-/// How long a reported run of another box is assumed to continue: two heartbeats and one lost
-/// datagram.
+/// How long a reported run of another box is assumed to continue: two heartbeats, and one that may
+/// be lost.
 pub(super) const RUN_REPORT_TTL: Duration = Duration::from_millis(1_200);
-/// Crashes kept per request.
+/// Maximum number of crashes kept per request; the newest ones are kept.
 const MAX_KEPT_CRASHES: usize = 8;
 
 /// Status of a request, derived from the crashes during its runs.
@@ -41,7 +42,7 @@
     Suspect,
     /// At least [`QUARANTINE_MIN_CRASHES`] servers crashed; calls are refused.
     Quarantined,
-    /// No crash counts against it, for example since a run succeeded.
+    /// No crash counts against it, for example because a run succeeded.
     Cleared,
 }
 
@@ -56,6 +57,7 @@
     pub run_ms: u32,
 }
 
+/// A server crash during a run of the request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Crash {
     pub(super) incarnation: ServerIncarnation,
@@ -78,22 +80,23 @@
 }
 
 /// First and last of the crashes that caused a quarantine. A successful run that clears the first
-/// one clears the quarantine, so the result does not depend on the order in which a box learns of
-/// the run and the crashes.
+/// crash clears the quarantine, so that the status does not depend on the order in which a box
+/// learns of the run and of the crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CrashSpan {
     pub(super) first: SignedTime,
     pub(super) last: SignedTime,
 }
 
+/// What one box knows about a request during whose runs servers crashed.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SuspectRequest {
     pub(super) crashes: Vec<Crash>,
     /// Crashes that caused the latest quarantine.
     pub(super) quarantine: Option<CrashSpan>,
-    /// When an operator released it.
+    /// When an operator last released the request.
     pub(super) released: Option<SignedTime>,
-    /// Whether the store lost the release, which has to be written again.
+    /// Whether the store lost the release, so that it must be written again.
     pub(super) is_release_lost: bool,
     /// Whether the store holds the quarantine.
     pub(super) is_quarantine_stored: bool,
@@ -132,7 +135,7 @@
         quarantine.map(|quarantine| quarantine.last)
     }
 
-    /// Number of crashes that count, where simultaneous ones count as one.
+    /// Number of crashes that count; simultaneous ones count as one.
     pub(super) fn crash_count(&self, now: Time) -> usize {
         let mut last: Option<SignedTime> = None;
         let mut count = 0;
@@ -180,14 +183,14 @@
         self.runs_at_boxes(now) || has_fresh_report(now, &self.running_halls)
     }
 
-    /// Whether a box that reports to this one directly runs it.
+    /// Whether the request runs at another box whose reports reach this one directly.
     pub(super) fn runs_at_boxes(&self, now: Time) -> bool {
         has_fresh_report(now, &self.running_boxes)
     }
 
-    /// Adds a crash. The earliest reported time of an incarnation's crash stands, and the oldest
-    /// crash is dropped where there are too many.
-    pub(super) fn add(&mut self, crash: Crash) {
+    /// Adds a crash. If the crash of this incarnation is already known, the earlier time is kept.
+    /// If there are too many crashes, the oldest one is dropped.
+    pub(super) fn add_crash(&mut self, crash: Crash) {
         match self
             .crashes
             .iter_mut()
@@ -203,8 +206,8 @@
         }
     }
 
-    /// Whether the record can be dropped. Cleared crashes are kept until they expire, with the
-    /// successful run: a box that missed the run may still report them.
+    /// Whether the record can be dropped. Cleared crashes and the successful run are kept until the
+    /// crashes expire: a box that missed the run may still report them.
     pub(super) fn is_expired(&self, now: Time) -> bool {
         let crashes = self.crashes.iter().map(|crash| crash.at);
         let mut crashes = crashes.chain(self.quarantine.map(|quarantine| quarantine.last));
