--- a/lib/src/relay/retry_window.rs
+++ b/lib/src/relay/retry_window.rs
@@ -50,7 +50,7 @@
         self.slice(now, budget).first_sends += 1;
     }
 
-    /// Whether the box's share is_allowed another retry.
+    /// Whether the box's share allows another retry.
     pub fn has_retry_left(&mut self, now: Time, budget: &RetryBudgetRule, boxes: usize) -> bool {
         let current = self.slice(now, budget).number;
         let first_sends: u32 = (self.slices.iter())
@@ -63,7 +63,7 @@
         f64::from(retries) + 1.0 <= allowed
     }
 
-    /// Counts a retry if the box's share is_allowed it.
+    /// Counts a retry if the box's share allows it.
     pub fn try_spend(&mut self, now: Time, budget: &RetryBudgetRule, boxes: usize) -> bool {
         let is_allowed = self.has_retry_left(now, budget, boxes);
         if is_allowed {
