--- a/lib/src/relay/request_fingerprint.rs
+++ b/lib/src/relay/request_fingerprint.rs
@@ -1,7 +1,7 @@
 //! Fingerprints of requests, and ids of server incarnations.
 //!
-//! A caller that retries makes a new call with a new id, at any box. What stays the same is the
-//! request: method, host, path, query, workspace and body. The workspace is part of the
+//! A caller that retries makes a new call with a new id, possibly at another box. What stays the
+//! same is the request: method, host, path, query, workspace and body. The workspace is part of the
 //! fingerprint, so that no caller can get another workspace's requests quarantined.
 
 use std::fmt;
@@ -35,26 +35,26 @@
 /// Fingerprint of a request, the same at every box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestFingerprint {
-    /// Digest of the workspace, by which the table entries of one workspace are limited.
-    pub owner: u32,
-    /// Digest of all parts, with the workspace.
+    /// Digest of the workspace, used to limit the quarantine records of each workspace.
+    pub workspace_digest: u32,
+    /// Digest of all parts of the request, including the workspace.
     pub digest: u64,
 }
 
 impl RequestFingerprint {
     /// Computes the fingerprint, in time linear in the length of the body.
-    pub fn of(parts: &FingerprintInput<'_>) -> Self {
-        let workspace = parts.workspace.map_or("", WorkspaceName::as_str);
-        let host = parts.host.to_ascii_lowercase();
+    pub fn of(input: &FingerprintInput<'_>) -> Self {
+        let workspace = input.workspace.map_or("", WorkspaceName::as_str);
+        let host = input.host.to_ascii_lowercase();
         let mut hasher = Sha256::new();
-        let texts = [parts.method, &host, parts.target, workspace];
-        for text in texts.map(str::as_bytes).into_iter().chain([parts.body]) {
+        let texts = [input.method, &host, input.target, workspace];
+        for text in texts.map(str::as_bytes).into_iter().chain([input.body]) {
             // The length prefix of each part keeps "ab" + "c" distinct from "a" + "bc".
             hasher.update((text.len() as u64).to_le_bytes());
             hasher.update(text);
         }
         Self {
-            owner: first_bytes(&Sha256::digest(workspace)) as u32,
+            workspace_digest: first_bytes(&Sha256::digest(workspace)) as u32,
             digest: first_bytes(&hasher.finalize()),
         }
     }
@@ -67,7 +67,7 @@
 
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:08x}{:016x}", self.owner, self.digest)
+        write!(f, "{:08x}{:016x}", self.workspace_digest, self.digest)
     }
 }
 
@@ -80,7 +80,7 @@
     type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
-        let (owner, digest) = text.split_at_checked(8).ok_or(ParseFingerprintError)?;
+        let (workspace_digest, digest) = text.split_at_checked(8).ok_or(ParseFingerprintError)?;
         let is_fingerprint =
             digest.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !is_fingerprint {
@@ -88,7 +88,7 @@
         }
         let invalid = |_not_hex| ParseFingerprintError;
         Ok(Self {
-            owner: u32::from_str_radix(owner, 16).map_err(invalid)?,
+            workspace_digest: u32::from_str_radix(workspace_digest, 16).map_err(invalid)?,
             digest: u64::from_str_radix(digest, 16).map_err(invalid)?,
         })
     }
@@ -100,7 +100,7 @@
         if out.is_human_readable() {
             return out.collect_str(self);
         }
-        (self.owner, self.digest).serialize(out)
+        (self.workspace_digest, self.digest).serialize(out)
     }
 }
 
@@ -110,8 +110,11 @@
             let text = String::deserialize(input)?;
             return text.parse().map_err(serde::de::Error::custom);
         }
-        let (owner, digest) = Deserialize::deserialize(input)?;
-        Ok(Self { owner, digest })
+        let (workspace_digest, digest) = Deserialize::deserialize(input)?;
+        Ok(Self {
+            workspace_digest,
+            digest,
+        })
     }
 }
 
