--- a/daemon/src/relay/call_log.rs
+++ b/daemon/src/relay/call_log.rs
@@ -54,7 +54,7 @@
         part_ms = selection.chunk_prefill.map(|part| part.as_millis() as u64),
         long = selection.is_long(),
         readers = selection.helpers.len(),
-        read_at = selection.prefill_addresses(),
+        read_at = selection.helper_addresses(),
         tokens = call.head.prompt.map(|prompt| prompt.tokens),
         waited_ms = selection.waited.as_millis() as u64,
         expected_ms = selection.expected_first_event.as_millis() as u64,
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -75,7 +75,7 @@
 
 impl Selection {
     /// Addresses of the helpers, for logs; `None` if there are none.
-    pub fn prefill_addresses(&self) -> Option<String> {
+    pub fn helper_addresses(&self) -> Option<String> {
         let addresses: Vec<&str> = self
             .helpers
             .iter()
