--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -1,9 +1,8 @@
 //! Lifecycle of a call, from its request head to the head of its response.
 //!
 //! The steps, in order: wait for the routes, find the route, check the key, read the body, then
-//! make attempts until one succeeds or no further attempt is allowed. The step after an attempt is
-//! chosen by
-//! [`badgerferry_lib::relay::attempts`].
+//! make attempts until one succeeds or no further attempt is allowed. The rules for the step after
+//! an attempt are in [`badgerferry_lib::relay::attempts`].
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -74,9 +73,9 @@
     pub priority: u8,
     /// Parsed request head.
     pub head: CallHead,
-    /// Fingerprint, computed on first use.
+    /// Fingerprint of the request, computed on first use.
     fingerprint: OnceLock<RequestFingerprint>,
-    /// Whether the last run ended with a server crash.
+    /// Whether a server crashed during an attempt of this call.
     pub saw_crash: AtomicBool,
     /// Whether the caller has received the response head. From then on the response can only be
     /// continued or aborted.
@@ -98,13 +97,13 @@
 }
 
 impl Call {
-    /// Id chosen by the caller, or `-`, for logs.
+    /// Id chosen by the caller, or `-` if there is none; for logs.
     pub fn id(&self) -> &str {
         self.head.id.as_deref().unwrap_or("-")
     }
 
-    /// Fingerprint of the request and its workspace, equal for each attempt of the caller at any
-    /// box.
+    /// Fingerprint of the request and its workspace. It is the same if the caller retries the
+    /// request at any box.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             RequestFingerprint::of(&FingerprintInput {
@@ -131,8 +130,8 @@
         self.first_request_time() + self.route.objective
     }
 
-    /// Estimated time of the caller's first request. A caller that retries states less remaining
-    /// time than the time limit of the route.
+    /// Estimated time of the caller's first request. A caller that retries states its remaining
+    /// time; the difference to the time limit of the route has passed since its first request.
     pub fn first_request_time(&self) -> Time {
         let left = self.head.time_left.unwrap_or(self.route.time_limit);
         let elapsed = self.route.time_limit.saturating_sub(left);
@@ -146,7 +145,7 @@
     /// Longest wait for admission if no server accepts the call at once. A first attempt waits for
     /// at most half of the time until it is due, so that it can still be on time; a retry does not
     /// wait. A stream whose response has started may wait until its deadline, because it would be
-    /// aborted otherwise.
+    /// aborted otherwise. No wait exceeds [`MAX_ADMISSION_WAIT`].
     pub fn max_admission_wait(&self, is_first: bool) -> Duration {
         let left = self.relay.clock.now().until(self.due());
         let max_wait = match self.response_started.load(Ordering::Relaxed) {
@@ -189,7 +188,7 @@
 pub async fn handle(relay: Arc<Relay>, req: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = relay.clock.now();
     match read_call(&relay, arrived, req).await {
-        Ok(call) => run(call).await,
+        Ok(call) => run_attempts(call).await,
         Err(response) => response,
     }
 }
@@ -218,14 +217,12 @@
         value.to_str().ok().map(str::to_owned)
     });
     let host = host.unwrap_or_default();
-    let denied = |denied| {
+    let deny = |denied| {
         call_log::denied(&id, routes.table().version, &host, parts.uri.path(), denied);
         error_response::denied(denied)
     };
-    let route = routes.route(&host, parts.uri.path()).map_err(denied)?;
-    let principal = routes
-        .principal(route, head.key.as_deref())
-        .map_err(denied)?;
+    let route = routes.route(&host, parts.uri.path()).map_err(deny)?;
+    let principal = routes.principal(route, head.key.as_deref()).map_err(deny)?;
     let limits = routes.table().limits;
     let body = read_body(body, limits.body_bytes, limits.header_time)
         .await
@@ -294,7 +291,7 @@
     })
 }
 
-async fn run(call: Call) -> Response<ResponseBody> {
+async fn run_attempts(call: Call) -> Response<ResponseBody> {
     let call = Arc::new(call);
     let mut attempts = Attempts::new(call.route.kind.is_repeatable(), call.route.max_attempts);
     call.with_retry_window(|window, rule| window.record_first_send(call.arrived, rule));
--- a/daemon/src/relay/call_attempt.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -50,7 +50,7 @@
     Complete(Response<ResponseBody>),
     /// A stream whose first events have arrived.
     Live(Box<StreamingResponse>),
-    /// No server can take the call; the reason and the delay before a retry.
+    /// No server can take the call now; the reason, and the delay before a retry.
     NoServer(RefusalReason, Duration),
     /// The server ran the call and failed; its complete error response.
     ServerError(Response<ResponseBody>),
@@ -63,11 +63,11 @@
 pub struct StreamingResponse {
     /// Head of the response.
     pub head: http::response::Parts,
-    /// Events received so far that were not forwarded yet.
+    /// Events that have arrived and are not forwarded yet.
     pub events: Bytes,
     /// Whether the stream has already ended.
     pub complete: bool,
-    /// Remaining body.
+    /// Rest of the body.
     pub body: Incoming,
     /// Joins events over the attempts of the call.
     pub join: EventJoin,
@@ -118,6 +118,7 @@
 #[derive(Debug)]
 pub struct AttemptGuard {
     call: Arc<Call>,
+    /// Counts as a run of the request in the quarantine until dropped.
     run: Run,
     /// Time at which the call was sent.
     sent_at: Time,
@@ -126,6 +127,7 @@
     is_framed: bool,
     /// Server or engines of the attempt.
     pub selection: Selection,
+    /// Whether the outcome has not been recorded yet.
     is_open: bool,
 }
 
@@ -149,8 +151,9 @@
         self.finish(ServerOutcome::Failure);
     }
 
-    /// Ends a served attempt. The end of a response without framing looks like a server crash, so
-    /// only a framed response counts as a success of the request; otherwise the server is checked.
+    /// Ends a served attempt. A response without framing ends with its connection, as in a server
+    /// crash. So only a framed response shows that the request did not crash the server; otherwise
+    /// the server is checked.
     pub async fn finish_served(self) {
         if self.is_framed {
             self.record_success();
@@ -160,7 +163,7 @@
         self.finish(ServerOutcome::Success);
     }
 
-    /// Records that the server serves the request without crashing.
+    /// Records that the request did not crash its server.
     pub fn record_success(&self) {
         self.run.record_success();
     }
@@ -191,7 +194,7 @@
     ConnectionLost(String),
     /// The stream could not be parsed.
     InvalidData(String),
-    /// No event arrived within the silence timeout.
+    /// No data arrived within [`silence_timeout`].
     TimedOut(&'static str),
 }
 
@@ -211,7 +214,8 @@
     }
 }
 
-/// Runs one attempt; `join` is set if events of an earlier attempt were already forwarded.
+/// Runs one attempt. `join` is set if events of an earlier attempt were already forwarded; the
+/// server then resumes the stream after the last of them.
 pub async fn run_attempt(
     call: &Arc<Call>,
     attempts: &mut Attempts,
@@ -228,7 +232,7 @@
     tried.push(selection.server.clone());
     call_log::routed(call, attempts, &selection);
     let resume_after = join.and_then(EventJoin::last);
-    let request = request(call, &selection, resume_after);
+    let request = build_request(call, &selection, resume_after);
     let mut attempt = AttemptGuard::new(call, run, selection);
     attempts.send();
     let reuse = if call.route.kind.is_repeatable() {
@@ -262,7 +266,7 @@
         };
         lock(&call.relay.tracker).record_load(&attempt.selection.server, reported);
     }
-    // A late response to another call, or one by another server, says nothing about the target.
+    // A late response to another call, or one from another server, says nothing about the target.
     let is_from_target = head.is_ours && head.word != RunWord::OtherServer;
     if is_from_target {
         let target = &attempt.selection.target;
@@ -280,8 +284,9 @@
     classify(call, attempts, received, join).await
 }
 
-/// Admits the request and acquires a server. As the call may have waited in between for engines,
-/// memory or a limited server, the quarantine is checked again immediately before the send.
+/// Admits the request by the quarantine and acquires a server. The call may wait in between for
+/// engines, for memory or for a limited server, so the quarantine is checked again immediately
+/// before the send.
 async fn admit(
     call: &Arc<Call>,
     tried: &[ServerName],
@@ -295,8 +300,8 @@
     }
 }
 
-/// Selects servers until one has room for the call. A server without room takes no calls from this
-/// box for a while, so that it is not selected again.
+/// Selects servers until one admits the call. A server that does not admit it is closed to this box
+/// for a while, so that it is not selected again at once.
 async fn acquire_server(
     call: &Arc<Call>,
     tried: &[ServerName],
@@ -316,7 +321,11 @@
     Err((RefusalReason::ServersLimited, OWNER_RETRY_DELAY))
 }
 
-fn request(call: &Call, selection: &Selection, resume_after: Option<u64>) -> Request<Full<Bytes>> {
+fn build_request(
+    call: &Call,
+    selection: &Selection,
+    resume_after: Option<u64>,
+) -> Request<Full<Bytes>> {
     let dispatch = Dispatch {
         server: &selection.server,
         time_left: call.time_left(),
@@ -359,10 +368,10 @@
 ) -> AttemptResult {
     let (head, status) = (&received.head, received.parts.status);
     if head.word != RunWord::Nothing && !status.is_success() {
-        return declined(call, received).await;
+        return handle_declined(call, received).await;
     }
     if !head.is_ours {
-        return unusable(
+        return handle_unusable(
             call,
             received.attempt,
             status,
@@ -370,7 +379,7 @@
         );
     }
     if status.is_success() && !head.has_proof {
-        return unusable(
+        return handle_unusable(
             call,
             received.attempt,
             status,
@@ -387,13 +396,18 @@
     receive_unary(call, received).await
 }
 
-fn unusable(call: &Call, attempt: AttemptGuard, status: StatusCode, why: &str) -> AttemptResult {
+fn handle_unusable(
+    call: &Call,
+    attempt: AttemptGuard,
+    status: StatusCode,
+    why: &str,
+) -> AttemptResult {
     call_log::unusable_response(call, &attempt.selection, status, why);
     attempt.finish(ServerOutcome::Failure);
     AttemptResult::Ended(AttemptEnd::Lost)
 }
 
-async fn declined(call: &Call, received: Received) -> AttemptResult {
+async fn handle_declined(call: &Call, received: Received) -> AttemptResult {
     let after = received.after();
     let Received {
         attempt,
@@ -403,6 +417,7 @@
         body,
     } = received;
     call_log::declined(call, &attempt.selection, parts.status, &head);
+    // A server whose call depends on other servers may state which one is at fault.
     if let Some(address) = &head.at_fault {
         let now = call.relay.clock.now();
         lock(&call.relay.tracker).record_fault(now, address);
@@ -486,7 +501,8 @@
     response
 }
 
-/// Time without an event after which an attempt counts as failed.
+/// Time without data from the server after which an attempt counts as failed. `is_first` is set
+/// until the first event.
 pub fn silence_timeout(call: &Call, selection: &Selection, is_first: bool) -> Duration {
     let objective = call.route.objective;
     match (is_first, call.route.max_gap) {
@@ -496,11 +512,11 @@
     }
 }
 
-/// Added to the limit of the first event, which is the larger of its objective and three times its
-/// estimate.
+/// Added to the larger of the route's objective and three times the estimate, which gives the
+/// timeout of the first event.
 const FIRST_EVENT_SLACK: Duration = Duration::from_millis(500);
-/// Shortest silence after which a stream is resumed on another server; callers disconnect after two
-/// seconds.
+/// Shortest silence after which a stream is resumed on another server. Callers disconnect after two
+/// seconds of silence.
 const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 async fn receive_first_events(
@@ -517,9 +533,9 @@
         mut body,
         ..
     } = received;
-    let mut silence = silence_timeout(call, &attempt.selection, true);
+    let mut read_timeout = silence_timeout(call, &attempt.selection, true);
     let (events, complete) = loop {
-        let failure = match timeout(silence, body.frame()).await {
+        let failure = match timeout(read_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => match join.push(&frame.into_data().unwrap_or_default()) {
                 Ok(events) if events.is_empty() => continue,
                 Ok(events) => break (events, false),
@@ -531,8 +547,9 @@
             Err(_elapsed) if attempts.may_retry() && call.has_retry_budget() => {
                 StreamFailure::TimedOut("first event timed out")
             }
+            // Without a retry, the attempt goes on until the deadline of the call.
             Err(_elapsed) => {
-                silence = Duration::MAX;
+                read_timeout = Duration::MAX;
                 continue;
             }
         };
--- a/daemon/src/relay/call_log.rs
+++ b/daemon/src/relay/call_log.rs
@@ -1,8 +1,8 @@
 //! Log lines and metrics of calls: one line per decision, with the id of the call and the inputs of
 //! the decision.
 //!
-//! Lines of calls served on time are rate limited, those of late calls at a higher rate. Lines of
-//! failures are always written.
+//! Lines of calls that are served on time are rate limited. Those of late calls, and of calls that
+//! no server accepts, have a higher rate limit. Lines of failures are always written.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     );
 }
 
-/// A queued long prompt was given up, as no engines could meet its deadline any more.
+/// A queued long prompt expired: no engines can meet its deadline any more.
 pub fn prompt_expired(call: &Call, blocked: BlockedPolls) {
     let waited = call.relay.clock.now().since(call.arrived);
     tracing::info!(
@@ -93,7 +93,7 @@
 /// An attempt ended without a response head.
 pub fn attempt_failed(call: &Call, selection: &Selection, cause: &SendError) {
     counter!("badgerferry_tries_failed_total", "why" => "no_answer").increment(1);
-    // The fingerprint is logged if the call may have run and crashed its server.
+    // The fingerprint is logged only if the call may have run, and so may have crashed its server.
     let fingerprint = matches!(cause, SendError::Lost(_)).then(|| call.fingerprint());
     tracing::info!(
         call = call.id(),
@@ -120,7 +120,7 @@
     );
 }
 
-/// The response of a server is invalid or incomplete.
+/// The response of a server is invalid or incomplete, or did not arrive in time.
 pub fn unusable_response(call: &Call, selection: &Selection, status: StatusCode, why: &str) {
     counter!("badgerferry_tries_failed_total", "why" => "unusable").increment(1);
     tracing::info!(
@@ -152,7 +152,7 @@
 
 /// A call whose response is not streamed ended with `outcome`.
 pub fn call_ended(call: &Call, attempts: &Attempts, outcome: &'static str, status: StatusCode) {
-    outcome_line(call, attempts, outcome, status, None);
+    record_outcome(call, attempts, outcome, status, None);
 }
 
 /// Latencies of a stream.
@@ -162,7 +162,7 @@
     pub first_event: Duration,
     /// Time that the first attempt waited for engines.
     pub waited: Duration,
-    /// Expected time to the first event of that attempt.
+    /// Estimated time to the first event of the first attempt.
     pub expected_first_event: Duration,
     /// Longest gap between events.
     pub longest_gap: Duration,
@@ -191,10 +191,10 @@
 
 /// The stream of a call ended with `outcome`.
 pub fn stream_ended(call: &Call, attempts: &Attempts, outcome: &'static str, times: StreamTimings) {
-    outcome_line(call, attempts, outcome, StatusCode::OK, Some(times));
+    record_outcome(call, attempts, outcome, StatusCode::OK, Some(times));
 }
 
-fn outcome_line(
+fn record_outcome(
     call: &Call,
     attempts: &Attempts,
     outcome: &'static str,
--- a/daemon/src/relay/caller_io.rs
+++ b/daemon/src/relay/caller_io.rs
@@ -1,4 +1,4 @@
-//! Socket of a caller, and the state of its connection for idle and header timeouts.
+//! Socket of a caller, and the state of its connection, which the idle and header timeouts use.
 
 use std::io;
 use std::pin::Pin;
--- a/daemon/src/relay/candidates.rs
+++ b/daemon/src/relay/candidates.rs
@@ -1,5 +1,5 @@
-//! Selects the servers that may take part in a call now, by the availability that they announced
-//! and by their recorded health.
+//! Finds the servers that may take part in a call now, by the availability that they announced and
+//! by their recorded health.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Retry delay if no server accepts the call; a server restart takes about that long.
+/// Retry delay if no server can take the call; a server restart takes about that long.
 pub const NO_SERVER_RETRY: Duration = Duration::from_millis(250);
-/// Fraction of the retry delay over which the retries of refused callers are spread.
+/// Maximum jitter of the retry delay, as a fraction of it.
 const RETRY_JITTER: f64 = 0.25;
 
 /// Why no server can take a call now.
@@ -25,7 +25,7 @@
 pub enum NoCandidate {
     /// No usable server is listed.
     NoServers,
-    /// Every listed server refuses calls of this box for at least this long.
+    /// Every listed server refuses calls of this box for at least this long, for this reason.
     RetryIn(Duration, RefusalReason),
     /// Every listed server is leaving.
     AllLeaving,
@@ -67,11 +67,12 @@
 }
 
 /// Servers that may take part in a call, with the availability of each. If none accepts calls now,
-/// the one that will accept them first is included if that is within `max_wait`.
+/// the one that will accept them first is included as [`Availability::Limited`], if that is within
+/// `max_wait`.
 ///
 /// # Errors
 ///
-/// No server can take the call now.
+/// No server can take the call within `max_wait`.
 pub fn of_service<'a>(
     relay: &Relay,
     now: Time,
--- a/daemon/src/relay/connection_pool.rs
+++ b/daemon/src/relay/connection_pool.rs
@@ -24,15 +24,18 @@
 use crate::relay::server_gate::Admitted;
 use crate::traffic::lock;
 
-/// Connect timeout; the latency between halls is a few milliseconds, between regions some tens.
+/// Connect timeout. The latency is a few milliseconds between halls, and some tens of milliseconds
+/// between regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time after which unacknowledged bytes or unanswered probes end a connection.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval between keep-alive probes of a silent peer.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest idle time before reuse; servers may close idle connections without the box noticing.
+/// Longest idle time after which a connection is reused. Servers may close idle connections without
+/// the box noticing.
 const MAX_IDLE_TIME: Duration = Duration::from_millis(1_500);
-/// Subtracted from the idle timeout that a server announces, as the server counts by its own clock.
+/// Subtracted from the idle timeout that a server announces, because the server measures it by its
+/// own clock.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 /// Limit of idle connections per server.
 const MAX_IDLE_PER_SERVER: usize = 4;
@@ -152,7 +155,8 @@
         None
     }
 
-    /// Returns a connection to the pool; its last response must be complete and its own.
+    /// Returns a connection to the pool. The last response on it must be complete and belong to its
+    /// call.
     pub fn put(&self, server: &ServerName, connection: Connection, keep_alive: Option<Duration>) {
         let idle_time = match keep_alive {
             Some(advertised) => advertised
@@ -207,7 +211,7 @@
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|cause| not_sent(&cause))?;
-    // The end of this task is visible at the sender and in the response body.
+    // The sender and the response body report the end of this task.
     let task = tokio::spawn(connection).abort_handle();
     Ok(Connection {
         sender: Some(sender),
--- a/daemon/src/relay/engine_call.rs
+++ b/daemon/src/relay/engine_call.rs
@@ -1,4 +1,4 @@
-//! Internal requests of the box to an engine, each on a connection of its own.
+//! Requests of the box itself to an engine (reservations and reports), each on its own connection.
 
 use badgerferry_platform::orders::EngineCall;
 use http::Request;
@@ -11,7 +11,7 @@
 use crate::relay::connection_pool;
 use crate::relay::server_gate::Admitted;
 
-/// Largest response body; a report with many reservations takes a few kilobytes.
+/// Largest response body; a report that lists many reservations takes a few kilobytes.
 const MAX_RESPONSE_BYTES: usize = 256 << 10;
 
 /// Sends the request and reads the complete response.
--- a/daemon/src/relay/error_response.rs
+++ b/daemon/src/relay/error_response.rs
@@ -41,7 +41,8 @@
     not_run(code, refused.retry_after())
 }
 
-/// The call has not run and was sent to no server, so that no proof is required.
+/// The call has not run. Unlike [`refused`], this takes no proof of it, so it is only for calls
+/// that were sent to no server.
 pub fn not_run(code: &str, retry_after: Option<Duration>) -> Response<ResponseBody> {
     let mut response = json_response(StatusCode::SERVICE_UNAVAILABLE, code, false);
     if let Some(after) = retry_after {
@@ -53,7 +54,7 @@
     response
 }
 
-/// The call may have run and has no response.
+/// The call may have run, and no response of a server can be forwarded.
 pub fn failed(reason: FailureReason) -> Response<ResponseBody> {
     let status = match reason {
         FailureReason::DeadlineWhileRunning => StatusCode::GATEWAY_TIMEOUT,
--- a/daemon/src/relay/first_event_watchdog.rs
+++ b/daemon/src/relay/first_event_watchdog.rs
@@ -1,4 +1,5 @@
-//! Queries the pace of the engines of a call whose first event is late.
+//! Queries the engines of a call whose first event is late for their pace: how many times as long
+//! as usual they take. See [`badgerferry_lib::relay::slow_engine_tracker`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +22,7 @@
 /// Timeout of a pace query; engines respond at once even when they are busy.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Detects a late first event of a call; stopped when dropped.
+/// Queries the engines of a call if its first event is late; stopped when dropped.
 #[derive(Debug)]
 pub struct FirstEventWatchdog(AbortHandle);
 
@@ -64,7 +65,7 @@
         "first event late; querying engine pace"
     );
     for engine in queried {
-        // The report is useful even if the call ends first.
+        // Not stopped with the call: the report is useful even if the call ends first.
         tokio::spawn(query_while_slow(Arc::clone(relay), engine));
     }
 }
@@ -84,7 +85,7 @@
         if !is_slow {
             return;
         }
-        // Announces the slow engine to the other boxes at once.
+        // Gossips the slow engine to the other boxes at once.
         relay.urgent_changed.notify_one();
         let jitter = rand::rng().random_range(0.0..QUERY_JITTER);
         tokio::time::sleep(QUERY_INTERVAL + QUERY_INTERVAL.mul_f64(jitter)).await;
@@ -94,8 +95,8 @@
     }
 }
 
-/// Pace of the engine as a multiple of its usual time; `None` if the query fails or the engine
-/// admits no request now.
+/// Pace of the engine as a multiple of its usual time; `None` if the query fails or is not admitted
+/// to the engine now.
 async fn fetch_pace(relay: &Relay, engine: &Engine) -> Option<f64> {
     let admitted = relay.gate.admit_background(&engine.target).await.ok()?;
     let address = &engine.address;
--- a/daemon/src/relay/front.rs
+++ b/daemon/src/relay/front.rs
@@ -28,7 +28,7 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Limits until the first route table arrives: the usual ones of the users.
+/// Limits until the first route table arrives; the same as in the usual route tables of users.
 const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16_384,
     body_bytes: 4 << 20,
@@ -48,7 +48,7 @@
     .await;
 }
 
-fn limits(relay: &Relay) -> CallerLimits {
+fn current_limits(relay: &Relay) -> CallerLimits {
     relay
         .routes
         .load()
@@ -61,7 +61,7 @@
         tracing::debug!(%cause, "failed to set TCP_NODELAY on caller connection");
         return;
     }
-    let limits = limits(&relay);
+    let limits = current_limits(&relay);
     let state = Arc::new(Mutex::new(ConnectionState::Idle(Instant::now())));
     let io = CallerIo::new(stream, Arc::clone(&state));
     let service = service_fn({
--- a/daemon/src/relay/log_rate_limit.rs
+++ b/daemon/src/relay/log_rate_limit.rs
@@ -8,9 +8,9 @@
 
 use crate::traffic::lock;
 
-/// Log lines per second of calls served on time; further ones are only counted.
+/// Limit of log lines per second of calls served on time.
 const ON_TIME_LINES_PER_SECOND: u32 = 100;
-/// Log lines per second of late calls: enough for all of them unless the box is overloaded.
+/// Limit of log lines per second of late calls; reached only if the box is overloaded.
 const LATE_LINES_PER_SECOND: u32 = 200;
 
 /// Rate limit on one kind of log line, in intervals of one second.
@@ -18,7 +18,7 @@
 pub struct LogRateLimit {
     max_per_second: u32,
     /// Start of the current interval, and lines written in it.
-    written: Mutex<Option<(Instant, u32)>>,
+    interval: Mutex<Option<(Instant, u32)>>,
 }
 
 /// Rate limit for calls that were served on time.
@@ -30,14 +30,14 @@
     const fn new(max_per_second: u32) -> Self {
         Self {
             max_per_second,
-            written: Mutex::new(None),
+            interval: Mutex::new(None),
         }
     }
 
     /// Counts a line and returns whether it may be written. Suppressed lines are counted in a
     /// metric.
     pub fn allow(&self) -> bool {
-        let mut interval = lock(&self.written);
+        let mut interval = lock(&self.interval);
         let now = Instant::now();
         let (since, written) = match *interval {
             Some((since, written)) if now - since < Duration::from_secs(1) => (since, written),
--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -1,8 +1,9 @@
-//! Memory reservations for a prompt that needs the memory of several engines: all or none.
+//! Memory reservations for a prompt that needs the memory of several engines, made at all of them
+//! or at none.
 //!
 //! A reservation has a short TTL and is renewed while it is in use, so that reservations of a
-//! failed box expire soon. It is released on every exit path. An engine may still carry out an order
-//! whose response was lost; such a reservation expires by its TTL.
+//! failed box expire soon. It is released on every exit path. An engine may carry out an order late
+//! if its response was lost, also after the release; such a reservation expires by its TTL.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -53,7 +54,8 @@
         let ttl = RESERVATION_TTL.min(call.relay.settings.longest_hold);
         let relay = &call.relay;
         let engines = Arc::new(requested);
-        // Releases on every exit path, including cancellation when the caller disconnects.
+        // Created before the orders are sent, so that its drop releases the memory on every exit
+        // path, including cancellation when the caller disconnects.
         let reserved = Self {
             renewal: tokio::spawn(renew(
                 Arc::clone(relay),
@@ -109,9 +111,9 @@
 pub enum ReserveError {
     /// Not enough free memory at the moment.
     NoRoom,
-    /// The engine supports no reservations, or none of this size.
+    /// The engine accepts no reservations, or none of this size.
     Refused,
-    /// No response, or no request admitted to the engine.
+    /// The engine did not respond, or the request was not admitted to it.
     Silent,
 }
 
--- a/daemon/src/relay/response_body.rs
+++ b/daemon/src/relay/response_body.rs
@@ -21,8 +21,8 @@
 pub enum BodyChunk {
     /// Bytes of the body.
     Data(Bytes),
-    /// The response is incomplete. The body fails, so that the caller does not take it for
-    /// complete.
+    /// The response is incomplete. The body ends with an error, so that the caller does not take it
+    /// for complete.
     Aborted,
 }
 
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -1,4 +1,5 @@
-//! Selects where an attempt is sent: a server of a plain service, or the engines of a plan.
+//! Selects where an attempt is sent. A plain call goes to one server. A call to a service with an
+//! engine model that states the size of its prompt is planned on one or more engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,27 +42,28 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Assumed response time of a plain call; the silence timeout of its server is derived from it.
+/// Assumed response time of a plain call, from which the silence timeout is derived.
 const PLAIN_EXPECTED_RESPONSE: Duration = Duration::from_millis(300);
-/// Largest rank that engines accept.
-const MAX_RANK: u8 = 9;
+/// Largest priority that engines accept.
+const MAX_ENGINE_PRIORITY: u8 = 9;
 
 /// The server or engines selected for an attempt.
 #[derive(Debug)]
 pub struct Selection {
-    /// Server that runs the call.
+    /// Server that runs the call; the lead engine if the call is planned on engines.
     pub server: ServerName,
     /// Incarnation and hall of that server.
     pub target: Target,
     /// Address of that server.
     pub address: String,
-    /// Engines that prefill chunks of the prompt; includes the lead if memory is reserved.
+    /// Engines that prefill chunks of the prompt besides the lead. With reservations, the lead
+    /// itself comes first.
     pub helpers: Vec<Reader>,
     /// Estimated prefill time of one chunk, by the configured engine model.
     pub chunk_prefill: Option<Duration>,
-    /// Rank at the engine, from 0 to 9.
+    /// Priority at the engine, from 0 to 9; `None` for a plain call.
     pub rank: Option<u8>,
-    /// Expected time to the first event.
+    /// Estimated time to the first event.
     pub expected_first_event: Duration,
     /// Time spent in the queue of long prompts, which is ordered over all boxes.
     pub waited: Duration,
@@ -165,8 +167,8 @@
     }
 }
 
-/// Selects a server or engines. Servers in `tried` are used again only if there is no other.
-/// With `is_isolated`, a short call goes to one of the least loaded engines.
+/// Selects a server or engines. Servers in `tried` are used again only if there is no other. With
+/// `is_isolated`, a short call goes to one of the least loaded engines.
 ///
 /// # Errors
 ///
@@ -252,7 +254,8 @@
         if !registered.plan.reserve_memory {
             return Ok(selection(call, registered, None, waited));
         }
-        // If an engine refuses the reservation, nothing was sent, so the prompt is queued again.
+        // The call is sent only when every engine has reserved the memory; otherwise the prompt is
+        // queued again.
         match reserve(call, &registered).await {
             Ok(reserved) => return Ok(selection(call, registered, Some(reserved), waited)),
             Err(refused) => record_refusals(&call.relay, &refused),
@@ -284,7 +287,7 @@
             .assignments
             .first()
             .map(|assignment| assignment.prefill),
-        rank: Some(call.priority.min(MAX_RANK)),
+        rank: Some(call.priority.min(MAX_ENGINE_PRIORITY)),
         expected_first_event: plan.expected_first_event,
         waited,
         load_entries,
@@ -298,7 +301,7 @@
 }
 
 /// Records a fault of engines that refuse reservations or do not respond, which may exclude them.
-/// Engines without room are not at fault: they may have room again soon.
+/// Engines without free memory are not at fault: they may have some again soon.
 fn record_refusals(relay: &Relay, refused: &[(String, ReserveError)]) {
     let now = relay.clock.now();
     let mut tracker = lock(&relay.tracker);
@@ -416,7 +419,7 @@
     })
 }
 
-/// Registers the work of a plan in the load table.
+/// Registers the work of a plan in the load table. The caller notifies the other boxes.
 fn register(relay: &Arc<Relay>, planned: UnregisteredPlan) -> RegisteredPlan {
     let UnregisteredPlan {
         engines,
@@ -425,8 +428,8 @@
     } = planned;
     let now = relay.clock.now();
     let mut loads = lock(&relay.loads);
-    let registered = engines.iter().zip(engine_work);
-    let ids = registered.map(|(engine, work)| loads.begin(now, engine.key, work));
+    let work_by_engine = engines.iter().zip(engine_work);
+    let ids = work_by_engine.map(|(engine, work)| loads.begin(now, engine.key, work));
     let ids = ids.collect();
     drop(loads);
     let load_entries = LoadEntries {
@@ -454,6 +457,8 @@
     }
 }
 
+/// Queues a long prompt until it is first in the queue and enough engines are free, and registers
+/// its plan. Fails when the prompt expires or the box refuses calls.
 async fn wait_for_engines(
     call: &Arc<Call>,
     tried: &[ServerName],
@@ -492,7 +497,7 @@
         if let Some(planned) = ready {
             return Ok(register(relay, planned));
         }
-        // Nothing can change before the prompt expires, so it fails at once.
+        // No server becomes available before the prompt expires, so it is refused at once.
         if no_candidate.lasts_until(now, expires_at) {
             return Err(no_candidate.refusal());
         }
@@ -518,7 +523,8 @@
     Reservations::reserve(call, requested.collect()).await
 }
 
-/// Engines that prefill besides the lead; with reservations, the row of the lead itself is first.
+/// Engines that prefill besides the lead. With reservations, the lead itself comes first, with the
+/// id of the reservation.
 fn helpers(engines: &[Engine], reservations: Option<&Reservations>) -> Vec<Reader> {
     let skip = usize::from(reservations.is_none());
     let helper = |engine: &Engine| Reader {
--- a/daemon/src/relay/stop.rs
+++ b/daemon/src/relay/stop.rs
@@ -2,7 +2,8 @@
 //!
 //! After SIGTERM the box reports itself as not ready. It keeps serving open and new calls and adds
 //! `Connection: close` to each response. Later it refuses new calls, which might not end in time.
-//! The process exits when no call is in flight, or just before the platform kills it.
+//! The process exits when new calls have stopped arriving and none is in flight, or just before the
+//! platform kills it. The times are in [`badgerferry_lib::relay::stop_plan`].
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/daemon/src/relay/stream_relay.rs
+++ b/daemon/src/relay/stream_relay.rs
@@ -33,7 +33,7 @@
     Complete,
     Broken {
         join: EventJoin,
-        /// Whether the next attempt has been charged to the retry budget already.
+        /// Whether the retry budget has already been charged for the next attempt.
         retry_spent: bool,
     },
     CallerGone,
@@ -72,8 +72,8 @@
     timings.longest_gap = gaps.longest;
     call_log::stream_ended(&call, &attempts, outcome, timings);
     if outcome != COMPLETE {
-        // Dropping the sender would make the response look complete. If the channel is full, this
-        // waits until the caller reads or disconnects.
+        // Without this chunk, dropping the sender would make the response look complete. If the
+        // channel is full, the send waits until the caller reads or disconnects.
         let _ = tx.send(BodyChunk::Aborted).await;
     }
 }
@@ -100,9 +100,9 @@
     }
 }
 
-/// Time after which an attempt that still receives events counts as harmless to its server, so that
-/// calls waiting for the result of this run need not wait for its end. Requests that crash servers
-/// did so within 0.5 s of their start in 39 runs.
+/// Time after which an attempt that still receives events counts as harmless to its server. Other
+/// calls of the same request that wait for the result then need not wait for the end of the stream.
+/// In 39 runs, requests that crash servers did so within 0.5 s of their start.
 const HARMLESS_AFTER: Duration = Duration::from_secs(2);
 
 /// Outcome of a complete stream in logs and metrics.
@@ -201,8 +201,8 @@
             Ok(None) => StreamFailure::ConnectionLost("stream ended inside an event".to_owned()),
             Ok(Some(Err(cause))) => StreamFailure::ConnectionLost(cause.to_string()),
             Err(_elapsed) => {
-                // Silence alone does not end a stream: if it can't be resumed on another
-                // server, this one is waited for until the deadline.
+                // Silence alone does not end a stream: if it may not be resumed on another server,
+                // the attempt goes on until the deadline of the call.
                 retry_spent = attempts.may_retry() && call.try_spend_retry();
                 if !retry_spent {
                     read_timeout = Duration::MAX;
--- a/daemon/src/relay/unknown_headers.rs
+++ b/daemon/src/relay/unknown_headers.rs
@@ -1,5 +1,5 @@
-//! Response headers that the adapter does not know. Such a header may ask something of callers that
-//! the box does not honour, so each name is logged.
+//! Response headers that the platform adapter does not know. With such a header, a server may ask
+//! for something that the box does not do, so each name is logged.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -12,7 +12,7 @@
 
 use crate::traffic::lock;
 
-/// Header names that are logged; further ones are only counted.
+/// Limit of header names that are logged; headers with further names are only counted.
 const MAX_LOGGED_NAMES: usize = 64;
 
 /// Unknown header names that have been logged.
--- a/daemon/tests/test_relay_calls.rs
+++ b/daemon/tests/test_relay_calls.rs
@@ -59,11 +59,11 @@
 #[tokio::test]
 async fn unknown_routes_and_keys_are_denied() -> anyhow::Result<()> {
     let world = World::start(1).await?;
-    let nowhere = call("GET", "/nowhere/", "id-1", "", "");
-    let stranger = repeatable_call("id-2").replace("key-1", "key-2");
+    let unknown_route = call("GET", "/nowhere/", "id-1", "", "");
+    let unknown_key = repeatable_call("id-2").replace("key-1", "key-2");
 
-    let no_route = Caller::once(world.relay.front(), &nowhere).await?;
-    let no_key = Caller::once(world.relay.front(), &stranger).await?;
+    let no_route = Caller::once(world.relay.front(), &unknown_route).await?;
+    let no_key = Caller::once(world.relay.front(), &unknown_key).await?;
 
     assert_eq!((no_route.status, no_key.status), (404, 401));
     assert_eq!(world.seen(), 0);
@@ -79,7 +79,7 @@
         .for_each(|server| server.next(&[Behaviour::Decline]));
     world.servers[1].usually(Behaviour::Serve);
 
-    // Both servers decline, in either order, so the call is refused.
+    // Each server declines one call: the first call is refused by both, the second one is served.
     let refused = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
     let served = Caller::once(world.relay.front(), &non_repeatable_call("id-2")).await?;
 
@@ -109,9 +109,12 @@
     let world = World::start(2).await?;
     world.servers[0].usually(Behaviour::CloseInBody);
 
-    for at in 0..6 {
-        let response =
-            Caller::once(world.relay.front(), &repeatable_call(&format!("id-{at}"))).await?;
+    for index in 0..6 {
+        let response = Caller::once(
+            world.relay.front(),
+            &repeatable_call(&format!("id-{index}")),
+        )
+        .await?;
 
         assert_eq!(
             (response.status, response.whole),
@@ -145,8 +148,8 @@
     world.servers[0].usually(Behaviour::AnswerTwice);
     let mut caller = Caller::connect(world.relay.front()).await?;
 
-    for at in 0..5 {
-        let id = format!("id-{at}");
+    for index in 0..5 {
+        let id = format!("id-{index}");
         caller.send(&repeatable_call(&id)).await?;
         let response = caller.answer().await?;
 
@@ -164,10 +167,10 @@
     let world = World::start(2).await?;
     world.servers[0].usually(Behaviour::Misdirect);
 
-    for at in 0..4 {
+    for index in 0..4 {
         let response = Caller::once(
             world.relay.front(),
-            &non_repeatable_call(&format!("id-{at}")),
+            &non_repeatable_call(&format!("id-{index}")),
         )
         .await?;
 
@@ -227,14 +230,14 @@
 
     assert_eq!((response.status, response.whole), (200, true));
     assert_eq!(response.body, events(0..5));
-    let resumed: Vec<Option<String>> = (world.servers.iter())
+    let last_event_ids: Vec<Option<String>> = (world.servers.iter())
         .flat_map(badgerferry_standin::server::Server::seen)
         .map(|seen| seen.headers.get("last-event-id").cloned())
         .collect();
     assert_eq!(
-        resumed.iter().flatten().count(),
-        resumed.len() - 1,
-        "{resumed:?}"
+        last_event_ids.iter().flatten().count(),
+        last_event_ids.len() - 1,
+        "{last_event_ids:?}"
     );
     Ok(())
 }
@@ -266,16 +269,16 @@
     let path = "/stream/a";
     let text = call("POST", path, "id-1", "", "").replace("5000", "3500");
     world.servers[0].usually(Behaviour::SilentAfter(1));
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
 
     let response = Caller::once(world.relay.front(), &text).await?;
 
-    // The caller's own deadline ends the stream, regardless of the retries before it.
+    // The stream ends at the caller's deadline, however many attempts were made before.
     assert!(!response.whole);
     assert!(
-        begun.elapsed() >= Duration::from_millis(3_400),
+        started_at.elapsed() >= Duration::from_millis(3_400),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     Ok(())
 }
@@ -417,7 +420,8 @@
     Ok(())
 }
 
-/// Guards against log lines that the command line can't parse: both share `CallRecord`.
+/// Guards against call-end lines that `badgerferry lost` can't parse; it reads them as
+/// `CallRecord`.
 #[tokio::test]
 async fn call_end_line_contains_the_latencies_of_the_call() -> anyhow::Result<()> {
     let world = World::start(1).await?;
@@ -428,8 +432,8 @@
 
     let log = world.relay.log();
     let line = |id: &str| -> anyhow::Result<CallRecord> {
-        let is_last = |line: &&str| line.contains(CALL_END_MESSAGE) && line.contains(id);
-        let line = log.lines().find(is_last).unwrap_or_default();
+        let is_call_end = |line: &&str| line.contains(CALL_END_MESSAGE) && line.contains(id);
+        let line = log.lines().find(is_call_end).unwrap_or_default();
         Ok(serde_json::from_str(line)?)
     };
     let (streamed, plain) = (line("id-1")?, line("id-2")?);
@@ -445,8 +449,8 @@
 async fn unknown_response_header_is_logged_once() {
     let world = World::start(1).await.expect("world starts");
     world.servers[0].add_header("Server-Mood", "tired");
-    for at in 0..3 {
-        let text = call("POST", "/again/a", &format!("call-{at}"), "", "");
+    for index in 0..3 {
+        let text = call("POST", "/again/a", &format!("call-{index}"), "", "");
         let response = Caller::once(world.relay.front(), &text).await;
         let response = response.expect("response");
         assert_eq!(
--- a/daemon/tests/test_relay_reservations.rs
+++ b/daemon/tests/test_relay_reservations.rs
@@ -53,11 +53,11 @@
 async fn memory_is_released_when_the_call_ends() -> anyhow::Result<()> {
     let (world, engines) = engines(4).await?;
 
-    let answer = send_prompt(&world).await?;
+    let response = send_prompt(&world).await?;
 
-    assert_eq!(answer.status, 200, "{answer:?}");
-    let holders = engines.iter().filter(|engine| !engine.orders().is_empty());
-    assert_eq!(holders.count(), 3);
+    assert_eq!(response.status, 200, "{response:?}");
+    let reserving_engines = engines.iter().filter(|engine| !engine.orders().is_empty());
+    assert_eq!(reserving_engines.count(), 3);
     wait_until(|| all_reservations_are_released(&engines)).await
 }
 
@@ -68,16 +68,16 @@
         engine.refuse_reservations(1);
     }
 
-    let answer = send_prompt(&world).await?;
+    let response = send_prompt(&world).await?;
 
-    assert_eq!(answer.status, 200, "{answer:?}");
+    assert_eq!(response.status, 200, "{response:?}");
     let ran: usize = engines.iter().map(|engine| engine.seen().len()).sum();
     assert_eq!(ran, 1);
     wait_until(|| all_reservations_are_released(&engines)).await
 }
 
 /// Guards against sending a request that was quarantined while it waited for engines: checked only
-/// before a wait of 5 s and not again at the send, it crashed a fourth server.
+/// before a wait of 5 s, one was sent 0.6 s after its quarantine and crashed a fourth server.
 async fn request_quarantined_in_the_queue_is_refused(body: &str) -> anyhow::Result<()> {
     let (world, engines) = engines(4).await?;
     for engine in &engines {
@@ -107,12 +107,12 @@
         anyhow::Ok(())
     };
 
-    let (answer, quarantined) = tokio::join!(send_prompt_with_body(&world, body), quarantine);
+    let (response, quarantined) = tokio::join!(send_prompt_with_body(&world, body), quarantine);
 
     quarantined?;
-    let answer = answer?;
-    assert_eq!(answer.status, 503, "{answer:?}");
-    assert!(answer.body.contains("ends_servers"), "{answer:?}");
+    let response = response?;
+    assert_eq!(response.status, 503, "{response:?}");
+    assert!(response.body.contains("ends_servers"), "{response:?}");
     assert!(engines.iter().all(|engine| engine.seen().is_empty()));
     wait_until(|| all_reservations_are_released(&engines)).await
 }
@@ -122,8 +122,8 @@
     request_quarantined_in_the_queue_is_refused("").await
 }
 
-/// Large bodies are not fingerprinted on arrival while no request is suspect, so the call must be
-/// admitted anew before the send.
+/// Large bodies are not fingerprinted on arrival while no request is suspect. Such a call must be
+/// fingerprinted and admitted again before it is sent.
 #[tokio::test]
 async fn queued_prompt_with_large_body_is_not_sent_after_its_request_is_quarantined()
 -> anyhow::Result<()> {
--- a/daemon/tests/test_relay_slow_engines.rs
+++ b/daemon/tests/test_relay_slow_engines.rs
@@ -7,7 +7,7 @@
 use badgerferry_standin::relay_box::World;
 use badgerferry_standin::server::Server;
 
-/// Interval between events; far longer than the estimated prefill time of a short prompt.
+/// Delay of each event. The first one is late, because a short prompt has a far shorter estimate.
 const LATE_EVENT_INTERVAL: Duration = Duration::from_millis(700);
 
 async fn engines(count: usize) -> anyhow::Result<(World, Vec<Server>)> {
@@ -58,7 +58,7 @@
     let first = call_counts(&engines);
     assert_eq!(send_call(&world, "id-2").await?, 200);
 
-    let twice: Vec<usize> = first.iter().map(|count| count * 2).collect();
-    assert_eq!(call_counts(&engines), twice);
+    let doubled: Vec<usize> = first.iter().map(|count| count * 2).collect();
+    assert_eq!(call_counts(&engines), doubled);
     Ok(())
 }
