--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -341,6 +341,7 @@
     let (code, response) = match next {
         NextStep::Refuse(refused) => (refused.reason().code(), error_response::refused(&refused)),
         NextStep::Fail(reason) => (reason.code(), error_response::failed(reason)),
+        // Not expected: `run_attempts` carries out these steps itself.
         NextStep::TryElsewhere | NextStep::PassOn => {
             let reason = FailureReason::AttemptsUsed;
             (reason.code(), error_response::failed(reason))
--- a/daemon/src/relay/stream_relay.rs
+++ b/daemon/src/relay/stream_relay.rs
@@ -142,6 +142,7 @@
                 AttemptResult::Live(live) => break live,
                 AttemptResult::Ended(end) => end,
                 AttemptResult::ServerError(_) => AttemptEnd::ServerError,
+                // A response without a stream, such as a client error, can't continue this one.
                 AttemptResult::Complete(_) => AttemptEnd::Lost,
                 AttemptResult::NoServer(..) => return "no_server",
             };
