--- a/daemon/src/api_error.rs
+++ b/daemon/src/api_error.rs
@@ -90,7 +90,7 @@
     }
 
     /// The error for an outcome; none for a completed request.
-    pub fn of(outcome: &Outcome) -> Option<Self> {
+    pub fn from_outcome(outcome: &Outcome) -> Option<Self> {
         match outcome {
             Outcome::Completed { .. } => None,
             Outcome::Refused(refused) => {
@@ -136,7 +136,7 @@
 
     /// The whole answer.
     pub fn response(&self) -> Response {
-        let mut answer = json_answer(self.json(), self.ran);
+        let mut answer = json_response(self.json(), self.ran);
         *answer.status_mut() = self.status;
         let headers = answer.headers_mut();
         if let Some(span) = self.retry_after {
@@ -149,7 +149,7 @@
 }
 
 /// An answer of JSON that says whether the request ran.
-pub fn json_answer(body: String, ran: Ran) -> Response {
+pub fn json_response(body: String, ran: Ran) -> Response {
     let mut answer = body.into_response();
     let headers = answer.headers_mut();
     let json = HeaderValue::from_static("application/json");
--- a/daemon/src/chat.rs
+++ b/daemon/src/chat.rs
@@ -133,13 +133,13 @@
 
 /// Writes answers for one request.
 #[derive(Debug, Clone)]
-pub struct AnswerWriter {
+pub struct ResponseWriter {
     interface: Interface,
     id: RequestId,
     model: ModelName,
 }
 
-impl AnswerWriter {
+impl ResponseWriter {
     /// A writer for a request.
     pub fn new(request: &ModelRequest, id: RequestId) -> Self {
         Self {
--- a/daemon/src/engine_reports.rs
+++ b/daemon/src/engine_reports.rs
@@ -100,20 +100,20 @@
 /// more life, which makes good whatever cancel or release was lost.
 fn take_holdings(traffic: &Traffic) -> Vec<(ServerName, BTreeSet<AttemptId>)> {
     let mut holdings = lock(&traffic.holdings);
-    let rows = holdings.held.iter();
+    let rows = holdings.by_server.iter();
     let rows = rows
-        .map(|(server, row)| (server.clone(), row.held.clone()))
+        .map(|(server, row)| (server.clone(), row.attempts.clone()))
         .collect();
-    for row in holdings.held.values_mut() {
-        row.quiet_rounds = if row.held.is_empty() {
-            row.quiet_rounds + 1
+    for row in holdings.by_server.values_mut() {
+        row.empty_renewals = if row.attempts.is_empty() {
+            row.empty_renewals + 1
         } else {
             0
         };
     }
     holdings
-        .held
-        .retain(|_, row| row.quiet_rounds <= RENEWALS_PER_TTL);
+        .by_server
+        .retain(|_, row| row.empty_renewals <= RENEWALS_PER_TTL);
     rows
 }
 
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -128,7 +128,7 @@
 }
 
 fn own_row(traffic: &Traffic) -> BoxRow {
-    let revision = lock(&traffic.follow).revision();
+    let revision = lock(&traffic.settings_follower).revision();
     let leaving = traffic.leaving.load(Ordering::SeqCst);
     lock(&traffic.membership).advance_heartbeat(leaving, revision)
 }
@@ -186,9 +186,11 @@
     asker: &BoxRow,
     wants_checkpoint: bool,
 ) -> (Option<Vec<u8>>, Option<Vec<u8>>) {
-    let follow = lock(&traffic.follow);
-    let newer = follow.head().filter(|head| head.revision > asker.revision);
-    let checkpoint = follow
+    let settings_follower = lock(&traffic.settings_follower);
+    let newer = settings_follower
+        .head()
+        .filter(|head| head.revision > asker.revision);
+    let checkpoint = settings_follower
         .checkpoint()
         .filter(|_| wants_checkpoint && newer.is_some());
     (newer.map(Head::encode), checkpoint.map(encode))
@@ -222,7 +224,7 @@
         return false;
     };
     let checkpoint = checkpoint.and_then(|bytes| decode(&bytes).ok());
-    let followed = lock(&traffic.follow).on_peer_head(head, checkpoint);
+    let followed = lock(&traffic.settings_follower).on_peer_head(head, checkpoint);
     let needs_checkpoint = matches!(followed, FollowOutcome::NeedsCheckpoint(_));
     settings_watch::settle(traffic, followed);
     needs_checkpoint
--- a/daemon/src/request_run.rs
+++ b/daemon/src/request_driver.rs
@@ -41,7 +41,7 @@
 
 /// What the caller's side gets.
 #[derive(Debug)]
-pub enum ToCaller {
+pub enum ResponseEvent {
     /// A piece of the answer.
     Text(String),
     /// The outcome; nothing follows.
@@ -94,14 +94,18 @@
     decisions: mpsc::UnboundedReceiver<Decision>,
     step: Option<BoxFuture<'static, StepDone>>,
     stream: Option<FrameStream>,
-    tx: mpsc::Sender<ToCaller>,
+    tx: mpsc::Sender<ResponseEvent>,
     prompt_tokens: u64,
     last_token: Option<Time>,
     held: Vec<(ServerName, AttemptId)>,
 }
 
 /// Runs a request to its outcome.
-pub async fn run(traffic: Arc<Traffic>, prepared: PreparedRequest, tx: mpsc::Sender<ToCaller>) {
+pub async fn run(
+    traffic: Arc<Traffic>,
+    prepared: PreparedRequest,
+    tx: mpsc::Sender<ResponseEvent>,
+) {
     let PreparedRequest {
         request,
         class,
@@ -118,7 +122,7 @@
         repeatable,
     });
     let mut run = Run {
-        decisions: traffic.wait_for(id),
+        decisions: traffic.subscribe(id),
         traffic: Arc::clone(&traffic),
         id,
         meta: request.clone(),
@@ -260,7 +264,7 @@
     }
 
     fn hold(&mut self, server: &ServerName, id: AttemptId) {
-        self.traffic.hold(server, id);
+        self.traffic.add_holding(server, id);
         self.held.push((server.clone(), id));
     }
 
@@ -367,7 +371,7 @@
         }
         let until = self.traffic.clock.instant(self.meta.deadline);
         // A slow caller holds its own stream up, and no longer than its time limit.
-        let sent = self.tx.send(ToCaller::Text(text));
+        let sent = self.tx.send(ResponseEvent::Text(text));
         let _ = tokio::time::timeout_at(until, sent).await;
     }
 
@@ -375,11 +379,11 @@
         self.stream = None;
         self.step = None;
         for (server, id) in self.held.drain(..) {
-            self.traffic.let_go(&server, id);
+            self.traffic.remove_holding(&server, id);
         }
         if let PlacementEnd::Whole { prompt_tokens, .. } = end {
             self.prompt_tokens = *prompt_tokens;
-            let mut estimate = lock(&self.traffic.estimate);
+            let mut estimate = lock(&self.traffic.token_estimator);
             estimate.record(
                 &self.meta.model,
                 self.prompt.len(),
@@ -402,7 +406,7 @@
         telemetry::count_outcome(&outcome, self.meta.prompt_tokens, took);
         log_outcome(self.id, &outcome, took.as_millis() as u64);
         let prompt_tokens = self.prompt_tokens;
-        let end = ToCaller::End {
+        let end = ResponseEvent::End {
             outcome,
             prompt_tokens,
         };
--- a/daemon/src/routes.rs
+++ b/daemon/src/routes.rs
@@ -41,21 +41,21 @@
 use crate::api_error::ApiError;
 use crate::api_error::RAN_HEADER;
 use crate::api_error::Ran;
-use crate::api_error::json_answer;
+use crate::api_error::json_response;
 use crate::caller;
 use crate::caller::Caller;
 use crate::chat;
-use crate::chat::AnswerWriter;
 use crate::chat::Interface;
 use crate::chat::ModelRequest;
+use crate::chat::ResponseWriter;
 use crate::control;
-use crate::once_claim;
-use crate::once_claim::Claim;
-use crate::request_run;
-use crate::request_run::PreparedRequest;
-use crate::request_run::ToCaller;
-use crate::service_run;
-use crate::service_run::PreparedCall;
+use crate::request_driver;
+use crate::request_driver::PreparedRequest;
+use crate::request_driver::ResponseEvent;
+use crate::request_key_claim;
+use crate::request_key_claim::Claim;
+use crate::service_driver;
+use crate::service_driver::PreparedCall;
 use crate::traffic::InFlightGuard;
 use crate::traffic::Traffic;
 use crate::traffic::lock;
@@ -219,7 +219,7 @@
 ) -> Result<Option<Claim>, ApiError> {
     match &caller.request_key {
         Some(key) if caller.repeatable != Some(true) => {
-            let claim = once_claim::claim(traffic, &caller.workspace, key, id).await;
+            let claim = request_key_claim::claim(traffic, &caller.workspace, key, id).await;
             claim.map(Some).map_err(refusal)
         }
         _ => Ok(None),
@@ -283,7 +283,7 @@
     let ratio = caller.class.bytes_per_token;
     let prompt_bytes = model_request.prompt.len();
     request.prompt_tokens =
-        lock(&traffic.estimate).estimate(&model_request.model, prompt_bytes, ratio);
+        lock(&traffic.token_estimator).estimate(&model_request.model, prompt_bytes, ratio);
     if request.prompt_tokens > caller.class.max_prompt {
         return Err(refusal(RefusalReason::PromptTooLong));
     }
@@ -299,10 +299,10 @@
         prompt: model_request.prompt.as_str().into(),
         class: caller.class,
     };
-    tokio::spawn(request_run::run(Arc::clone(traffic), prepared, tx));
+    tokio::spawn(request_driver::run(Arc::clone(traffic), prepared, tx));
     let answering = Answering {
         traffic: Arc::clone(traffic),
-        writer: AnswerWriter::new(&model_request, id),
+        writer: ResponseWriter::new(&model_request, id),
         rx,
         claim,
         _guard: guard,
@@ -313,8 +313,8 @@
 /// Turns what the run says into the caller's answer.
 struct Answering {
     traffic: Shared,
-    writer: AnswerWriter,
-    rx: mpsc::Receiver<ToCaller>,
+    writer: ResponseWriter,
+    rx: mpsc::Receiver<ResponseEvent>,
     claim: Option<Claim>,
     _guard: InFlightGuard,
 }
@@ -323,18 +323,18 @@
     /// The error for an outcome; a refusal gives the claim back.
     fn error_of(&mut self, outcome: &Outcome) -> Option<ApiError> {
         if let (Outcome::Refused(_), Some(claim)) = (outcome, self.claim.take()) {
-            once_claim::release(&self.traffic, claim);
+            request_key_claim::release(&self.traffic, claim);
         }
-        ApiError::of(outcome)
+        ApiError::from_outcome(outcome)
     }
 
     async fn answer(mut self, request: &ModelRequest) -> Response {
         // The first word decides between an error's status and a stream.
         let first = self.rx.recv().await;
         match first {
-            Some(ToCaller::Text(text)) if request.stream => self.stream(text),
-            Some(ToCaller::Text(text)) => self.whole(text).await,
-            Some(ToCaller::End {
+            Some(ResponseEvent::Text(text)) if request.stream => self.stream(text),
+            Some(ResponseEvent::Text(text)) => self.whole(text).await,
+            Some(ResponseEvent::End {
                 outcome,
                 prompt_tokens,
             }) => match self.error_of(&outcome) {
@@ -342,7 +342,7 @@
                 None if request.stream => self.stream(String::new()),
                 None => self.finished(&outcome, "", prompt_tokens),
             },
-            None => ApiError::of(&Outcome::Cancelled)
+            None => ApiError::from_outcome(&Outcome::Cancelled)
                 .expect("a cancelled request is an error")
                 .response(),
         }
@@ -351,8 +351,8 @@
     async fn whole(mut self, mut text: String) -> Response {
         loop {
             match self.rx.recv().await {
-                Some(ToCaller::Text(piece)) => text.push_str(&piece),
-                Some(ToCaller::End {
+                Some(ResponseEvent::Text(piece)) => text.push_str(&piece),
+                Some(ResponseEvent::End {
                     outcome,
                     prompt_tokens,
                 }) => {
@@ -362,7 +362,7 @@
                     };
                 }
                 None => {
-                    let error = ApiError::of(&Outcome::Cancelled);
+                    let error = ApiError::from_outcome(&Outcome::Cancelled);
                     return error.expect("a cancelled request is an error").response();
                 }
             }
@@ -375,7 +375,7 @@
             _ => 0,
         };
         let body = self.writer.whole(text, prompt_tokens, tokens);
-        json_answer(body.to_string(), Ran::Yes)
+        json_response(body.to_string(), Ran::Yes)
     }
 
     fn stream(self, first: String) -> Response {
@@ -386,9 +386,9 @@
                 return Some((Ok::<_, Infallible>(event), (answering, None)));
             }
             let event = match answering.rx.recv().await? {
-                ToCaller::Text(text) => answering.writer.piece(&text),
-                ToCaller::End { outcome, .. } => match answering.error_of(&outcome) {
-                    Some(error) => AnswerWriter::failure(&error),
+                ResponseEvent::Text(text) => answering.writer.piece(&text),
+                ResponseEvent::End { outcome, .. } => match answering.error_of(&outcome) {
+                    Some(error) => ResponseWriter::failure(&error),
                     None => answering.writer.end(),
                 },
             };
@@ -426,11 +426,11 @@
         call: passed_on(&req, &pool, body),
         class: caller.class,
     };
-    let end = service_run::run(traffic, prepared).await;
+    let end = service_driver::run(traffic, prepared).await;
     if let (Outcome::Refused(_), Some(claim)) = (&end.outcome, claim) {
-        once_claim::release(traffic, claim);
+        request_key_claim::release(traffic, claim);
     }
-    match (ApiError::of(&end.outcome), end.answer) {
+    match (ApiError::from_outcome(&end.outcome), end.answer) {
         (None, Some(found)) => {
             let mut answer = found.body.into_response();
             *answer.status_mut() = found.status;
--- a/daemon/src/service_run.rs
+++ b/daemon/src/service_driver.rs
@@ -18,7 +18,7 @@
 use badgerferry_lib::workspace_limit::HallLimit;
 use tokio::sync::mpsc;
 
-use crate::request_run::log_outcome;
+use crate::request_driver::log_outcome;
 use crate::telemetry;
 use crate::traffic::Traffic;
 
@@ -51,7 +51,7 @@
 /// If the caller goes away, the future is dropped and the call with it.
 pub async fn run(traffic: &Arc<Traffic>, prepared: PreparedCall) -> CallEnd {
     let id = prepared.request.id;
-    let mut decisions = traffic.wait_for(id);
+    let mut decisions = traffic.subscribe(id);
     let registered = Registered { traffic, id };
     let end = run_registered(traffic, prepared, &mut decisions).await;
     drop(registered);
--- a/daemon/src/settings_watch.rs
+++ b/daemon/src/settings_watch.rs
@@ -35,7 +35,7 @@
         let taken = match answer {
             Ok(None) => {
                 traffic.platform_answered();
-                lock(&traffic.follow).confirm(asked_at);
+                lock(&traffic.settings_follower).confirm(asked_at);
                 publish_status(traffic);
                 version
             }
@@ -63,16 +63,16 @@
         Ok(head) => head,
         Err(fault) => {
             // Noted before it is told, or `status` would show it a whole watch later.
-            lock(&traffic.follow).record_error(fault.clone());
+            lock(&traffic.settings_follower).record_error(fault.clone());
             settle(traffic, FollowOutcome::Rejected(fault));
             return Some(found.version);
         }
     };
-    let offered = lock(&traffic.follow).on_platform_head(asked_at, head.clone(), None);
+    let offered = lock(&traffic.settings_follower).on_platform_head(asked_at, head.clone(), None);
     let followed = match offered {
         FollowOutcome::NeedsCheckpoint(key) => {
             let checkpoint = read_checkpoint(traffic, &key).await?;
-            lock(&traffic.follow).on_platform_head(asked_at, head, Some(checkpoint))
+            lock(&traffic.settings_follower).on_platform_head(asked_at, head, Some(checkpoint))
         }
         other => other,
     };
@@ -109,9 +109,9 @@
 }
 
 fn publish_status(traffic: &Traffic) {
-    let follow = lock(&traffic.follow);
+    let settings_follower = lock(&traffic.settings_follower);
     let mut status = lock(&traffic.status);
-    status.settings.revision = follow.revision();
-    status.settings.fault = follow.last_error().map(ToString::to_string);
-    status.confirmed_at = follow.confirmed_at();
+    status.settings.revision = settings_follower.revision();
+    status.settings.fault = settings_follower.last_error().map(ToString::to_string);
+    status.confirmed_at = settings_follower.confirmed_at();
 }
--- a/daemon/src/traffic.rs
+++ b/daemon/src/traffic.rs
@@ -50,18 +50,18 @@
 
 /// What this box holds at one engine.
 #[derive(Debug, Default)]
-pub struct HeldAt {
+pub struct EngineHoldings {
     /// Attempts and reservations.
-    pub held: BTreeSet<AttemptId>,
+    pub attempts: BTreeSet<AttemptId>,
     /// Renewals since nothing is held.
-    pub quiet_rounds: u32,
+    pub empty_renewals: u32,
 }
 
 /// What this box holds at the engines, to be renewed there.
 #[derive(Debug, Default)]
 pub struct Holdings {
     /// By server.
-    pub held: BTreeMap<ServerName, HeldAt>,
+    pub by_server: BTreeMap<ServerName, EngineHoldings>,
 }
 
 /// What the traffic threads share.
@@ -84,7 +84,7 @@
     /// The platform.
     pub platform: HttpPlatform,
     /// Prompt token estimates.
-    pub estimate: Mutex<TokenEstimator>,
+    pub token_estimator: Mutex<TokenEstimator>,
     /// What is held at engines.
     pub holdings: Mutex<Holdings>,
     /// Requests whose answers are not yet out.
@@ -94,7 +94,7 @@
     /// Whether a signal has begun a planned stop, which nothing takes back.
     pub stop_signalled: AtomicBool,
     /// The settings' follower; control and the peers' listener feed it.
-    pub follow: Mutex<SettingsFollower>,
+    pub settings_follower: Mutex<SettingsFollower>,
     /// What control last told of the box's state, for `status`.
     pub status: Mutex<control::ControlStatus>,
     /// Metrics.
@@ -136,12 +136,12 @@
             engine: HttpEngine::new(CONTROL_CALL),
             service: HttpService,
             platform: HttpPlatform::new(&config.platform.to_string(), CONTROL_CALL),
-            estimate: Mutex::default(),
+            token_estimator: Mutex::default(),
             holdings: Mutex::default(),
             in_flight: AtomicUsize::new(0),
             leaving: AtomicBool::new(false),
             stop_signalled: AtomicBool::new(false),
-            follow: Mutex::default(),
+            settings_follower: Mutex::default(),
             status: Mutex::default(),
             metrics,
             dispatcher: Mutex::new(dispatcher),
@@ -176,7 +176,7 @@
     }
 
     /// Registers a request for decisions.
-    pub fn wait_for(&self, id: RequestId) -> mpsc::UnboundedReceiver<Decision> {
+    pub fn subscribe(&self, id: RequestId) -> mpsc::UnboundedReceiver<Decision> {
         let (tx, rx) = mpsc::unbounded_channel();
         lock(&self.waiters).insert(id, tx);
         rx
@@ -199,20 +199,20 @@
     }
 
     /// Records that the box holds something at an engine.
-    pub fn hold(&self, server: &ServerName, id: AttemptId) {
+    pub fn add_holding(&self, server: &ServerName, id: AttemptId) {
         let mut holdings = lock(&self.holdings);
         holdings
-            .held
+            .by_server
             .entry(server.clone())
             .or_default()
-            .held
+            .attempts
             .insert(id);
     }
 
     /// Records that it is no longer wanted.
-    pub fn let_go(&self, server: &ServerName, id: AttemptId) {
-        if let Some(row) = lock(&self.holdings).held.get_mut(server) {
-            row.held.remove(&id);
+    pub fn remove_holding(&self, server: &ServerName, id: AttemptId) {
+        if let Some(row) = lock(&self.holdings).by_server.get_mut(server) {
+            row.attempts.remove(&id);
         }
     }
 }
