--- a/daemon/src/api_error.rs
+++ b/daemon/src/api_error.rs
@@ -1,7 +1,7 @@
-//! Errors as callers see them: JSON of the shape that clients of `OpenAI` know.
+//! Error responses to callers, in the JSON format of the `OpenAI` API.
 //!
-//! Each has a stable `code`, says whether the request ran, and tells when to come back
-//! where that is known. `docs/callers.md` lists them.
+//! Each has a stable `code`, states whether the request ran and, if known, when to retry. See
+//! `docs/callers.md` for the list.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 use viz::IntoResponse;
 use viz::Response;
 
-/// Header that says whether the request ran: `no`, `maybe` or `yes`.
+/// Header that states whether the request ran: `no`, `maybe` or `yes`.
 pub const RAN_HEADER: &str = "x-badgerferry-ran";
 
 /// Whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// Certainly not.
+    /// No server ran it.
     No,
-    /// It may have.
+    /// A server may have run it, in part or completely.
     Maybe,
-    /// To its end.
+    /// A server ran it to completion.
     Yes,
 }
 
 impl Ran {
-    /// Text of the header.
+    /// Value of [`RAN_HEADER`].
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::No => "no",
@@ -40,7 +40,7 @@
     }
 }
 
-/// An error for a caller.
+/// An error response to a caller.
 #[derive(Debug, Clone)]
 pub struct ApiError {
     status: StatusCode,
@@ -51,12 +51,12 @@
 }
 
 #[derive(Serialize)]
-struct Body<'a> {
-    error: Detail<'a>,
+struct ErrorBody<'a> {
+    error: ErrorDetail<'a>,
 }
 
 #[derive(Serialize)]
-struct Detail<'a> {
+struct ErrorDetail<'a> {
     message: &'a str,
     r#type: &'static str,
     code: &'static str,
@@ -66,12 +66,12 @@
 }
 
 impl ApiError {
-    /// A request that is wrong in itself; it was not run.
+    /// A malformed request (status 400), which did not run.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> Self {
         Self::refused(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// Any refusal before the request was admitted; it was not run.
+    /// A refusal before the request was admitted; it did not run.
     pub fn refused(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -82,14 +82,18 @@
         }
     }
 
-    /// A refusal by a filter, before the request was handed to the dispatcher.
+    /// A refusal by a filter, before the request was submitted to the dispatcher.
     pub fn before_dispatch(reason: RefusalReason, retry_after: Duration) -> Self {
-        let mut error = Self::refused(refusal_status(reason), reason.code(), refusal_text(reason));
+        let mut error = Self::refused(
+            refusal_status(reason),
+            reason.code(),
+            refusal_message(reason),
+        );
         error.retry_after = Some(retry_after);
         error
     }
 
-    /// The error for an outcome; none for a completed request.
+    /// The error of an outcome; `None` for a completed request.
     pub fn from_outcome(outcome: &Outcome) -> Option<Self> {
         match outcome {
             Outcome::Completed { .. } => None,
@@ -101,61 +105,61 @@
             Outcome::Failed(reason) => Some(Self {
                 status: failure_status(*reason),
                 code: reason.code(),
-                message: failure_text(*reason).to_owned(),
+                message: failure_message(*reason).to_owned(),
                 ran: Ran::Maybe,
                 retry_after: None,
             }),
             Outcome::Cancelled => Some(Self {
                 status: StatusCode::BAD_REQUEST,
                 code: "cancelled",
-                message: "the caller went away".to_owned(),
+                message: "the caller disconnected".to_owned(),
                 ran: Ran::Maybe,
                 retry_after: None,
             }),
         }
     }
 
-    /// Stable code.
+    /// Stable code for callers and logs.
     pub const fn code(&self) -> &'static str {
         self.code
     }
 
-    /// The JSON text.
+    /// The response body, as JSON.
     pub fn json(&self) -> String {
-        let body = Body {
-            error: Detail {
+        let body = ErrorBody {
+            error: ErrorDetail {
                 message: &self.message,
                 r#type: error_type(self.status),
                 code: self.code,
                 ran: self.ran,
-                retry_after_ms: self.retry_after.map(|span| span.as_millis() as u64),
+                retry_after_ms: self.retry_after.map(|delay| delay.as_millis() as u64),
             },
         };
         serde_json::to_string(&body).expect("plain data always encodes")
     }
 
-    /// The whole answer.
+    /// The complete response with status and headers.
     pub fn response(&self) -> Response {
-        let mut answer = json_response(self.json(), self.ran);
-        *answer.status_mut() = self.status;
-        let headers = answer.headers_mut();
-        if let Some(span) = self.retry_after {
-            // Whole seconds, rounded up: earlier would be in vain.
-            let seconds = span.as_millis().div_ceil(1_000) as u64;
+        let mut response = json_response(self.json(), self.ran);
+        *response.status_mut() = self.status;
+        let headers = response.headers_mut();
+        if let Some(delay) = self.retry_after {
+            // Whole seconds, rounded up, since an earlier retry would be refused again.
+            let seconds = delay.as_millis().div_ceil(1_000) as u64;
             headers.insert("retry-after", seconds.into());
         }
-        answer
+        response
     }
 }
 
-/// An answer of JSON that says whether the request ran.
+/// A JSON response that states whether the request ran.
 pub fn json_response(body: String, ran: Ran) -> Response {
-    let mut answer = body.into_response();
-    let headers = answer.headers_mut();
+    let mut response = body.into_response();
+    let headers = response.headers_mut();
     let json = HeaderValue::from_static("application/json");
     headers.insert("content-type", json);
     headers.insert(RAN_HEADER, HeaderValue::from_static(ran.as_str()));
-    answer
+    response
 }
 
 const fn error_type(status: StatusCode) -> &'static str {
@@ -186,27 +190,33 @@
     }
 }
 
-const fn refusal_text(reason: RefusalReason) -> &'static str {
+const fn refusal_message(reason: RefusalReason) -> &'static str {
     match reason {
-        RefusalReason::WouldMissDeadline => "it could not have finished within its time limit",
-        RefusalReason::DeadlineWhileWaiting => "its time limit can't be met any more",
-        RefusalReason::QueueFull => "too many requests of the workspace wait here",
-        RefusalReason::WorkspaceLimit => "the workspace is over its limit",
-        RefusalReason::NoServer => "no live server has what it asks for",
-        RefusalReason::PromptTooLong => "the prompt is longer than the limit or the fleet's memory",
-        RefusalReason::Leaving => "this box is leaving; send it to another",
-        RefusalReason::NoSettings => "this box has no settings yet",
+        RefusalReason::WouldMissDeadline => {
+            "the request could not have completed within its time limit"
+        }
+        RefusalReason::DeadlineWhileWaiting => "the time limit of the request can no longer be met",
+        RefusalReason::QueueFull => "the workspace has too many requests queued at this box",
+        RefusalReason::WorkspaceLimit => "the workspace exceeded its rate limit",
+        RefusalReason::NoServer => "no live server offers the requested model or service",
+        RefusalReason::PromptTooLong => "the prompt exceeds the limit or the memory of the fleet",
+        RefusalReason::Leaving => "this box is shutting down; send the request to another box",
+        RefusalReason::NoSettings => "this box has not received settings yet",
         RefusalReason::DuplicateKey => {
-            "this submission was not run; an earlier one with the same key may have been"
+            "this submission did not run; an earlier one with the same key may have run"
         }
         RefusalReason::KeyNotChecked => {
-            "its key can't be checked while the platform is out of reach"
+            "the request key can't be checked while the platform is unreachable"
+        }
+        RefusalReason::CrashesServers => {
+            "servers crashed during each of the last runs of this request"
         }
-        RefusalReason::CrashesServers => "servers ended under each of the last runs of it",
-        RefusalReason::SuspectRunning => "servers ended under it, and another run of it goes on",
-        RefusalReason::ServersLimited => "the servers take no more calls now",
-        RefusalReason::ServersShedding => "the servers shed load",
-        RefusalReason::ServersLeaving => "all servers that could take it leave",
+        RefusalReason::SuspectRunning => {
+            "servers crashed during this request, and another run of it is in progress"
+        }
+        RefusalReason::ServersLimited => "all eligible servers have reached their limits",
+        RefusalReason::ServersShedding => "all eligible servers shed load",
+        RefusalReason::ServersLeaving => "all eligible servers are leaving",
     }
 }
 
@@ -220,12 +230,14 @@
     }
 }
 
-const fn failure_text(reason: FailureReason) -> &'static str {
+const fn failure_message(reason: FailureReason) -> &'static str {
     match reason {
-        FailureReason::DeadlineWhileRunning => "the time limit passed while a server worked on it",
-        FailureReason::ServerLost => "the server was lost and the request may not be repeated",
-        FailureReason::AttemptsUsed => "every attempt that is allowed was used",
-        FailureReason::NoOtherServer => "no other server could take it over",
-        FailureReason::ServerError => "the server answered with an error of its own",
+        FailureReason::DeadlineWhileRunning => {
+            "the time limit passed while a server was processing the request"
+        }
+        FailureReason::ServerLost => "the server was lost and the request may not be retried",
+        FailureReason::AttemptsUsed => "all allowed attempts were used",
+        FailureReason::NoOtherServer => "no other server could take over the request",
+        FailureReason::ServerError => "the server responded with an error",
     }
 }
--- a/daemon/src/chat.rs
+++ b/daemon/src/chat.rs
@@ -1,7 +1,8 @@
-//! The callers' interface of model requests: chat completions and completions.
+//! The API of model requests: chat completions and completions.
 //!
-//! Only what badgerferry acts on is read from a body; it is checked before anything is
-//! held. Answers are written in the same shapes, whole or as server-sent events.
+//! Only the fields that badgerferry uses are parsed from a body. They are validated before any
+//! resource is reserved. Responses have the format of the same API, either complete or streamed as
+//! server-sent events.
 
 use badgerferry_lib::ids::ModelName;
 use badgerferry_lib::ids::RequestId;
@@ -11,27 +12,27 @@
 
 use crate::api_error::ApiError;
 
-/// Which of the two interfaces a request uses.
+/// Endpoint of a model request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Interface {
+pub enum Endpoint {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
     Text,
 }
 
-/// A model request as its body asks for it.
+/// A model request, parsed from its body.
 #[derive(Debug, Clone)]
 pub struct ModelRequest {
-    /// Which interface it came by.
-    pub interface: Interface,
-    /// The model.
+    /// Endpoint that received the request.
+    pub endpoint: Endpoint,
+    /// Name of the model.
     pub model: ModelName,
-    /// The whole prompt.
+    /// Complete prompt; the messages of a chat are joined, each after its role.
     pub prompt: String,
-    /// Most tokens of the answer, if the caller says.
+    /// Maximum number of tokens in the response; `None` if the caller sets none.
     pub max_tokens: Option<u64>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
@@ -54,7 +55,7 @@
 }
 
 #[derive(Deserialize)]
-struct TextBody {
+struct CompletionBody {
     model: String,
     prompt: String,
     #[serde(default)]
@@ -63,30 +64,30 @@
     stream: bool,
 }
 
-/// Reads a body.
+/// Parses and validates a body.
 ///
 /// # Errors
 ///
-/// It is not JSON of the expected shape, or asks for nothing.
-pub fn parse(interface: Interface, body: &[u8]) -> Result<ModelRequest, ApiError> {
+/// The body is not JSON in the expected format, the prompt is empty, or `max_tokens` is zero.
+pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<ModelRequest, ApiError> {
     let invalid = |cause: serde_json::Error| {
-        ApiError::bad_request("invalid_body", format!("the body can't be read: {cause}"))
+        ApiError::bad_request("invalid_body", format!("invalid body: {cause}"))
     };
-    let request = match interface {
-        Interface::Chat => {
+    let request = match endpoint {
+        Endpoint::Chat => {
             let body: ChatBody = serde_json::from_slice(body).map_err(invalid)?;
             ModelRequest {
-                interface,
-                prompt: prompt_of(&body.messages)?,
+                endpoint,
+                prompt: prompt_from_messages(&body.messages)?,
                 model: ModelName::new(body.model),
                 max_tokens: body.max_completion_tokens.or(body.max_tokens),
                 stream: body.stream,
             }
         }
-        Interface::Text => {
-            let body: TextBody = serde_json::from_slice(body).map_err(invalid)?;
+        Endpoint::Text => {
+            let body: CompletionBody = serde_json::from_slice(body).map_err(invalid)?;
             ModelRequest {
-                interface,
+                endpoint,
                 model: ModelName::new(body.model),
                 prompt: body.prompt,
                 max_tokens: body.max_tokens,
@@ -101,7 +102,7 @@
     }
 }
 
-fn prompt_of(messages: &[Message]) -> Result<String, ApiError> {
+fn prompt_from_messages(messages: &[Message]) -> Result<String, ApiError> {
     let mut prompt = String::new();
     for message in messages {
         prompt.push_str(&message.role);
@@ -118,64 +119,64 @@
         Value::Array(parts) => {
             for part in parts {
                 let text = part.get("text").and_then(Value::as_str).ok_or_else(|| {
-                    ApiError::bad_request("invalid_body", "only text parts are served")
+                    ApiError::bad_request("invalid_body", "only text parts are supported")
                 })?;
                 prompt.push_str(text);
             }
         }
         _ => {
-            let message = "a message's content is text or a list of text parts";
+            let message = "the content of a message must be text or a list of text parts";
             return Err(ApiError::bad_request("invalid_body", message));
         }
     }
     Ok(())
 }
 
-/// Writes answers for one request.
+/// Encodes the response to one request.
 #[derive(Debug, Clone)]
 pub struct ResponseWriter {
-    interface: Interface,
+    endpoint: Endpoint,
     id: RequestId,
     model: ModelName,
 }
 
 impl ResponseWriter {
-    /// A writer for a request.
+    /// A writer that uses the endpoint and the model of the request.
     pub fn new(request: &ModelRequest, id: RequestId) -> Self {
         Self {
-            interface: request.interface,
+            endpoint: request.endpoint,
             id,
             model: request.model.clone(),
         }
     }
 
-    /// An event with a piece of the answer.
-    pub fn piece(&self, text: &str) -> String {
-        let choice = match self.interface {
-            Interface::Chat => json!({"index": 0, "delta": {"content": text}}),
-            Interface::Text => json!({"index": 0, "text": text}),
+    /// An event with a chunk of the response.
+    pub fn chunk(&self, text: &str) -> String {
+        let choice = match self.endpoint {
+            Endpoint::Chat => json!({"index": 0, "delta": {"content": text}}),
+            Endpoint::Text => json!({"index": 0, "text": text}),
         };
         self.event(&choice)
     }
 
-    /// The events after the last piece of a whole answer.
+    /// The events after the last chunk of a complete response.
     pub fn end(&self) -> String {
-        let choice = match self.interface {
-            Interface::Chat => json!({"index": 0, "delta": {}, "finish_reason": "stop"}),
-            Interface::Text => json!({"index": 0, "text": "", "finish_reason": "stop"}),
+        let choice = match self.endpoint {
+            Endpoint::Chat => json!({"index": 0, "delta": {}, "finish_reason": "stop"}),
+            Endpoint::Text => json!({"index": 0, "text": "", "finish_reason": "stop"}),
         };
         format!("{}data: [DONE]\n\n", self.event(&choice))
     }
 
-    /// The event of an answer that broke off; no end marker follows it.
+    /// The event at the end of a failed response; no end marker follows it.
     pub fn failure(error: &ApiError) -> String {
         format!("data: {}\n\n", error.json())
     }
 
     fn event(&self, choice: &Value) -> String {
-        let object = match self.interface {
-            Interface::Chat => "chat.completion.chunk",
-            Interface::Text => "text_completion",
+        let object = match self.endpoint {
+            Endpoint::Chat => "chat.completion.chunk",
+            Endpoint::Text => "text_completion",
         };
         let event = json!({
             "id": self.id,
@@ -186,10 +187,10 @@
         format!("data: {event}\n\n")
     }
 
-    /// A whole answer.
-    pub fn whole(&self, text: &str, prompt_tokens: u64, tokens: u64) -> Value {
-        let (object, choice) = match self.interface {
-            Interface::Chat => (
+    /// A complete response.
+    pub fn complete(&self, text: &str, prompt_tokens: u64, tokens: u64) -> Value {
+        let (object, choice) = match self.endpoint {
+            Endpoint::Chat => (
                 "chat.completion",
                 json!({
                     "index": 0,
@@ -197,7 +198,7 @@
                     "finish_reason": "stop",
                 }),
             ),
-            Interface::Text => (
+            Endpoint::Text => (
                 "text_completion",
                 json!({"index": 0, "text": text, "finish_reason": "stop"}),
             ),
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,8 +1,8 @@
-//! The entry daemon: takes callers' requests and drives the library's decisions.
+//! The entry daemon: receives requests from callers and executes the decisions of the library.
 //!
-//! One thread runs the controllers of state (settings, membership, reports, leases);
-//! others run the filter chain of requests. Traffic reads immutable snapshots and never
-//! waits on control.
+//! One thread runs the control tasks (settings, membership, engine reports, leases); the traffic
+//! threads run the filter chain of requests. Traffic threads read immutable snapshots and never
+//! wait for control.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -29,20 +29,20 @@
 mod telemetry;
 mod traffic;
 
-/// Exit code for a box's own file that can't be used.
-const EXIT_BAD_CONFIG: u8 = 2;
+/// Exit code for an invalid box file or invalid platform settings.
+const EXIT_INVALID_CONFIG: u8 = 2;
 
 /// Entry daemon of the badgerferry serving layer.
 #[derive(FromArgs)]
 struct Args {
-    /// the box's own file, in JSON
+    /// box file, in JSON
     #[argh(option)]
     config: Option<std::path::PathBuf>,
 
-    /// run on the users' platform, whose settings file the environment names
+    /// run on the users' platform, with the settings file that the environment names
     #[argh(switch)]
     platform: bool,
-    /// check the box's own file and end
+    /// check the box file or the platform settings and exit
     #[argh(switch)]
     check: bool,
 }
@@ -50,12 +50,12 @@
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
     match (&args.config, args.platform) {
-        (Some(path), false) => run_own_door(path, args.check),
+        (Some(path), false) => run_with_box_file(path, args.check),
         (None, true) => run_on_platform(args.check),
         _ => {
-            eprintln!("either --config FILE or --platform is needed, and not both");
+            eprintln!("exactly one of --config FILE and --platform is required");
             eprintln!("hint: badgerferryd --help");
-            ExitCode::from(EXIT_BAD_CONFIG)
+            ExitCode::from(EXIT_INVALID_CONFIG)
         }
     }
 }
@@ -64,9 +64,9 @@
     let settings = match badgerferry_platform::settings_file::read() {
         Ok(settings) => settings,
         Err(cause) => {
-            eprintln!("the platform's settings can't be used: {cause}");
-            eprintln!("hint: docs/operators.md tells what is read from them");
-            return ExitCode::from(EXIT_BAD_CONFIG);
+            eprintln!("invalid platform settings: {cause}");
+            eprintln!("hint: see docs/operators.md for the settings that are read");
+            return ExitCode::from(EXIT_INVALID_CONFIG);
         }
     };
     if check {
@@ -74,19 +74,19 @@
         return ExitCode::SUCCESS;
     }
     let _logs = telemetry::start_stdout_logs();
-    end_with(relay::run(settings))
+    exit_code(relay::run(settings))
 }
 
-fn run_own_door(path: &Path, check: bool) -> ExitCode {
+fn run_with_box_file(path: &Path, check: bool) -> ExitCode {
     let config = match box_config::read(path) {
         Ok(config) => config,
-        Err(faults) => {
-            eprintln!("{}: can't be used:", path.display());
-            for fault in &faults {
-                eprintln!("  {fault}");
+        Err(errors) => {
+            eprintln!("{}: invalid box file:", path.display());
+            for error in &errors {
+                eprintln!("  {error}");
             }
-            eprintln!("hint: docs/operators.md lists the fields of a box's own file");
-            return ExitCode::from(EXIT_BAD_CONFIG);
+            eprintln!("hint: see docs/operators.md for the fields of a box file");
+            return ExitCode::from(EXIT_INVALID_CONFIG);
         }
     };
     if check {
@@ -94,14 +94,14 @@
         return ExitCode::SUCCESS;
     }
     telemetry::start_logs(config.log);
-    end_with(traffic::run(config))
+    exit_code(traffic::run(config))
 }
 
-fn end_with(result: anyhow::Result<()>) -> ExitCode {
+fn exit_code(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(cause) => {
-            tracing::error!(cause = format!("{cause:#}"), "the daemon could not run");
+            tracing::error!(cause = format!("{cause:#}"), "daemon failed");
             ExitCode::FAILURE
         }
     }
--- a/daemon/src/request_driver.rs
+++ b/daemon/src/request_driver.rs
@@ -1,4 +1,4 @@
-//! Drives one model request: feeds its exchange what happens and carries out its actions.
+//! Drives one model request: passes events to its exchange and executes the actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,19 +36,19 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Longest wait for a caller to take the outcome from its buffer.
-const LAST_WORD: Duration = Duration::from_secs(5);
+/// Timeout for a caller to read the outcome from its buffer.
+const FINAL_SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the caller's side gets.
+/// Part of a response, sent to the task that writes the response to the caller.
 #[derive(Debug)]
 pub enum ResponseEvent {
-    /// A piece of the answer.
+    /// A chunk of the response.
     Text(String),
-    /// The outcome; nothing follows.
+    /// The outcome; always the last event.
     End {
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// Prompt tokens as the engine counted them, or as estimated.
+        /// Prompt tokens as counted by the engine, or estimated if no engine reported them.
         prompt_tokens: u64,
     },
 }
@@ -56,51 +56,51 @@
 /// A model request ready to run.
 #[derive(Debug)]
 pub struct PreparedRequest {
-    /// What the dispatcher knows of it.
+    /// The request, as submitted to the dispatcher.
     pub request: Request,
-    /// The class's limits.
+    /// Settings of the request class.
     pub class: ClassSettings,
-    /// Whether it may be repeated.
+    /// Whether the request may be retried after it may have run.
     pub repeatable: bool,
-    /// The workspace's limit.
+    /// Rate limit of the workspace.
     pub limit: HallLimit,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: Arc<str>,
 }
 
-/// What a call to an engine came to.
-enum StepDone {
+/// Result of a call to an engine.
+enum EngineCallResult {
     Reserved(bool),
     Prefilled(Result<(), SendError>),
     Streaming(Result<FrameStream, SendError>),
 }
 
-/// What woke the run.
-enum Woken {
-    CallerGone,
-    Decided(Decision),
-    Step(StepDone),
+/// Input that the driver waits for.
+enum Wakeup {
+    CallerDisconnected,
+    Decision(Decision),
+    EngineCall(EngineCallResult),
     Frame(Frame),
     StreamEnded,
     Tick,
 }
 
-struct Run {
+struct RequestDriver {
     traffic: Arc<Traffic>,
     id: RequestId,
-    meta: Request,
+    request: Request,
     prompt: Arc<str>,
     class: ClassSettings,
     decisions: mpsc::UnboundedReceiver<Decision>,
-    step: Option<BoxFuture<'static, StepDone>>,
+    engine_call: Option<BoxFuture<'static, EngineCallResult>>,
     stream: Option<FrameStream>,
     tx: mpsc::Sender<ResponseEvent>,
     prompt_tokens: u64,
     last_token: Option<Time>,
-    held: Vec<(ServerName, AttemptId)>,
+    holdings: Vec<(ServerName, AttemptId)>,
 }
 
-/// Runs a request to its outcome.
+/// Runs a request until its outcome is sent to the caller.
 pub async fn run(
     traffic: Arc<Traffic>,
     prepared: PreparedRequest,
@@ -121,79 +121,79 @@
         max_attempts: class.max_attempts,
         repeatable,
     });
-    let mut run = Run {
+    let mut driver = RequestDriver {
         decisions: traffic.subscribe(id),
         traffic: Arc::clone(&traffic),
         id,
-        meta: request.clone(),
+        request: request.clone(),
         prompt,
         class,
-        step: None,
+        engine_call: None,
         stream: None,
         tx,
         prompt_tokens: request.prompt_tokens,
         last_token: None,
-        held: Vec::new(),
+        holdings: Vec::new(),
     };
     let now = traffic.clock.now();
     traffic.decide(|dispatcher| dispatcher.submit(now, request, limit, &mut rand::rng()));
     while !exchange.is_done() {
-        let woken = run.wait(&exchange).await;
+        let wakeup = driver.next_wakeup(&exchange).await;
         let now = traffic.clock.now();
-        let actions = run.feed(&mut exchange, now, woken);
+        let actions = driver.handle_wakeup(&mut exchange, now, wakeup);
         for action in actions {
-            run.act(&exchange, now, action).await;
+            driver.execute(&exchange, now, action).await;
         }
     }
     traffic.forget(id);
 }
 
-impl Run {
-    async fn wait(&mut self, exchange: &Exchange) -> Woken {
+impl RequestDriver {
+    async fn next_wakeup(&mut self, exchange: &Exchange) -> Wakeup {
         let tick = self.traffic.clock.instant(exchange.next_tick());
         tokio::select! {
-            () = self.tx.closed() => Woken::CallerGone,
-            Some(decision) = self.decisions.recv() => Woken::Decided(decision),
-            done = pending_step(&mut self.step) => {
-                self.step = None;
-                Woken::Step(done)
+            () = self.tx.closed() => Wakeup::CallerDisconnected,
+            Some(decision) = self.decisions.recv() => Wakeup::Decision(decision),
+            result = engine_call_result(&mut self.engine_call) => {
+                self.engine_call = None;
+                Wakeup::EngineCall(result)
             }
-            frame = pending_frame(&mut self.stream) => frame,
-            () = tokio::time::sleep_until(tick) => Woken::Tick,
+            frame = next_frame(&mut self.stream) => frame,
+            () = tokio::time::sleep_until(tick) => Wakeup::Tick,
         }
     }
 
-    fn feed(&mut self, exchange: &mut Exchange, now: Time, woken: Woken) -> Vec<Action> {
+    fn handle_wakeup(&mut self, exchange: &mut Exchange, now: Time, wakeup: Wakeup) -> Vec<Action> {
         let frame;
-        let event = match woken {
-            Woken::CallerGone => Event::CallerDisconnected,
-            Woken::Decided(decision) => {
+        let event = match wakeup {
+            Wakeup::CallerDisconnected => Event::CallerDisconnected,
+            Wakeup::Decision(decision) => {
                 if let Decision::Start(start) = &decision {
                     self.log_start(start);
                 }
                 decision.into_event()
             }
-            Woken::Step(StepDone::Reserved(true)) => Event::Reserved,
-            Woken::Step(StepDone::Reserved(false)) => Event::ReservationFailed,
-            Woken::Step(StepDone::Prefilled(Ok(()))) => Event::SharePrefilled,
-            Woken::Step(StepDone::Streaming(Ok(stream))) => {
+            Wakeup::EngineCall(EngineCallResult::Reserved(true)) => Event::Reserved,
+            Wakeup::EngineCall(EngineCallResult::Reserved(false)) => Event::ReservationFailed,
+            Wakeup::EngineCall(EngineCallResult::Prefilled(Ok(()))) => Event::SharePrefilled,
+            Wakeup::EngineCall(EngineCallResult::Streaming(Ok(stream))) => {
                 self.stream = Some(stream);
                 return Vec::new();
             }
-            Woken::Step(StepDone::Prefilled(Err(cause)) | StepDone::Streaming(Err(cause))) => {
-                self.failure(&cause)
-            }
-            Woken::Frame(found) => {
-                frame = found;
+            Wakeup::EngineCall(
+                EngineCallResult::Prefilled(Err(cause)) | EngineCallResult::Streaming(Err(cause)),
+            ) => self.failure_event(&cause),
+            Wakeup::Frame(received) => {
+                frame = received;
                 Event::Frame(&frame)
             }
-            Woken::StreamEnded => Event::AttemptLost,
-            Woken::Tick => Event::Tick,
+            Wakeup::StreamEnded => Event::AttemptLost,
+            Wakeup::Tick => Event::Tick,
         };
         exchange.on_event(now, &event, &mut rand::rng())
     }
 
-    fn failure(&self, cause: &SendError) -> Event<'static> {
+    fn failure_event(&self, cause: &SendError) -> Event<'static> {
         tracing::warn!(request = %self.id, cause = %cause, "attempt failed");
         match cause {
             SendError::NoConnection { .. } => Event::NoConnection,
@@ -209,21 +209,21 @@
             .iter()
             .map(ToString::to_string)
             .collect();
-        let weighed: Vec<_> = start.candidates.iter().map(ToString::to_string).collect();
+        let candidates: Vec<_> = start.candidates.iter().map(ToString::to_string).collect();
         tracing::info!(
             request = %self.id,
-            workspace = %self.meta.workspace,
-            model = %self.meta.model,
-            prompt_tokens = self.meta.prompt_tokens,
-            priority = self.meta.priority.as_str(),
+            workspace = %self.request.workspace,
+            model = %self.request.model,
+            prompt_tokens = self.request.prompt_tokens,
+            priority = self.request.priority.as_str(),
             servers = servers.join(","),
             waited_ms = start.waited.as_millis() as u64,
-            weighed = weighed.join(" "),
+            weighed = candidates.join(" "),
             "routing decision"
         );
     }
 
-    async fn act(&mut self, exchange: &Exchange, now: Time, action: Action) {
+    async fn execute(&mut self, exchange: &Exchange, now: Time, action: Action) {
         match action {
             Action::Reserve {
                 server,
@@ -247,70 +247,72 @@
             Action::Forward(text) => self.forward(now, text).await,
             Action::CountDropped(why) => telemetry::count_dropped_frame(why.label()),
             Action::FirstToken => {
-                let took = now.since(self.meta.arrived);
-                telemetry::record_first_token(self.meta.prompt_tokens, took);
+                let elapsed = now.since(self.request.arrived);
+                telemetry::record_first_token(self.request.prompt_tokens, elapsed);
                 self.traffic.dispatcher().record_first_token(now, self.id);
             }
-            Action::PlacementEnded(end) => self.ended(now, &end),
-            Action::Requeue { avoid, is_retry } => self.queue_again(now, avoid, is_retry),
+            Action::PlacementEnded(end) => self.finish_placement(now, &end),
+            Action::Requeue { avoid, is_retry } => self.requeue(now, avoid, is_retry),
             Action::Finish(outcome) => self.finish(now, outcome).await,
         }
     }
 
     fn address(&self, server: &ServerName) -> String {
-        // A server that is no longer listed can't be reached: an address that refuses.
-        let found = self.traffic.address_of(server);
-        found.unwrap_or_else(|| "0.0.0.0:0".to_owned())
+        // An unlisted server is unreachable: use an address that refuses connections.
+        let address = self.traffic.address_of(server);
+        address.unwrap_or_else(|| "0.0.0.0:0".to_owned())
     }
 
-    fn hold(&mut self, server: &ServerName, id: AttemptId) {
+    fn add_holding(&mut self, server: &ServerName, id: AttemptId) {
         self.traffic.add_holding(server, id);
-        self.held.push((server.clone(), id));
+        self.holdings.push((server.clone(), id));
     }
 
     fn reserve(&mut self, server: &ServerName, group: AttemptId, tokens: u64) {
-        self.hold(server, group);
+        self.add_holding(server, group);
         let address = self.address(server);
-        let asked = ReserveRequest {
+        let payload = ReserveRequest {
             group,
             owner: self.traffic.owner.clone(),
             tokens,
         };
         let engine = self.traffic.engine.clone();
-        let call =
-            async move { StepDone::Reserved(engine.reserve(&address, &asked).await.is_ok()) };
-        self.step = Some(call.boxed());
+        let call = async move {
+            EngineCallResult::Reserved(engine.reserve(&address, &payload).await.is_ok())
+        };
+        self.engine_call = Some(call.boxed());
     }
 
     fn prefill(&mut self, server: &ServerName, group: AttemptId, from: u64, tokens: u64) {
         let address = self.address(server);
-        let asked = PrefillRequest {
+        let payload = PrefillRequest {
             group,
             from,
             tokens,
             rank: self.rank(),
-            text: self.slice(from, tokens).to_owned(),
+            text: self.prompt_slice(from, tokens).to_owned(),
         };
         let engine = self.traffic.engine.clone();
         let connect = self.class.connect_timeout;
-        let call =
-            async move { StepDone::Prefilled(engine.prefill(&address, connect, &asked).await) };
-        self.step = Some(call.boxed());
+        let call = async move {
+            EngineCallResult::Prefilled(engine.prefill(&address, connect, &payload).await)
+        };
+        self.engine_call = Some(call.boxed());
     }
 
     fn rank(&self) -> u8 {
-        let long = self.traffic.dispatcher().is_long(&self.meta);
-        self.meta.priority.rank(long).index() as u8
+        let long = self.traffic.dispatcher().is_long(&self.request);
+        self.request.priority.rank(long).index() as u8
     }
 
-    /// The part of the prompt that this many tokens are estimated to be.
-    fn slice(&self, from: u64, tokens: u64) -> &str {
+    /// Text of a range of prompt tokens, by the estimated number of bytes per token.
+    fn prompt_slice(&self, from: u64, tokens: u64) -> &str {
         let bytes = self.prompt.len() as u64;
-        let at = |token: u64| {
-            let byte = (bytes * token).div_ceil(self.meta.prompt_tokens.max(1)) as usize;
-            self.prompt.floor_char_boundary(byte)
+        let byte_offset = |token: u64| {
+            let offset = (bytes * token).div_ceil(self.request.prompt_tokens.max(1)) as usize;
+            self.prompt.floor_char_boundary(offset)
         };
-        &self.prompt[at(from)..at(from + tokens)]
+        &self.prompt[byte_offset(from)..byte_offset(from + tokens)]
     }
 
     fn generate(
@@ -320,19 +322,19 @@
         attempt: AttemptId,
         group: Option<AttemptId>,
     ) {
-        self.hold(server, attempt);
+        self.add_holding(server, attempt);
         let address = self.address(server);
         let prompt = match group {
             Some(_) => String::new(),
             None => self.prompt.to_string(),
         };
-        let asked = GenerateRequest {
+        let payload = GenerateRequest {
             attempt,
             owner: self.traffic.owner.clone(),
-            model: self.meta.model.clone(),
+            model: self.request.model.clone(),
             prompt,
-            prompt_tokens: self.meta.prompt_tokens,
-            max_tokens: self.meta.max_output,
+            prompt_tokens: self.request.prompt_tokens,
+            max_tokens: self.request.max_output,
             rank: self.rank(),
             offset: exchange.join().next_offset(),
             emitted: exchange.join().text().to_owned(),
@@ -340,23 +342,24 @@
         };
         let engine = self.traffic.engine.clone();
         let connect = self.class.connect_timeout;
-        let call =
-            async move { StepDone::Streaming(engine.generate(&address, connect, &asked).await) };
-        self.step = Some(call.boxed());
+        let call = async move {
+            EngineCallResult::Streaming(engine.generate(&address, connect, &payload).await)
+        };
+        self.engine_call = Some(call.boxed());
     }
 
     fn release(&self, server: &ServerName, group: AttemptId) {
         let address = self.address(server);
         let engine = self.traffic.engine.clone();
         tokio::spawn(async move {
-            // If this is lost, the next renewal makes it good.
+            // If the release is lost, the next renewal frees the reservation.
             let _ = engine.release(&address, &ReleaseRequest { group }).await;
         });
     }
 
     fn cancel(&mut self, server: &ServerName, attempt: AttemptId) {
         self.stream = None;
-        self.step = None;
+        self.engine_call = None;
         let address = self.address(server);
         let engine = self.traffic.engine.clone();
         tokio::spawn(async move {
@@ -365,27 +368,27 @@
     }
 
     async fn forward(&mut self, now: Time, text: String) {
-        if let Some(before) = self.last_token.replace(now) {
-            let prompt_tokens = self.meta.prompt_tokens;
-            telemetry::record_between_tokens(prompt_tokens, now.since(before));
+        if let Some(previous) = self.last_token.replace(now) {
+            let prompt_tokens = self.request.prompt_tokens;
+            telemetry::record_between_tokens(prompt_tokens, now.since(previous));
         }
-        let until = self.traffic.clock.instant(self.meta.deadline);
-        // A slow caller holds its own stream up, and no longer than its time limit.
+        let deadline = self.traffic.clock.instant(self.request.deadline);
+        // A slow caller delays only its own stream, and no longer than its time limit.
         let sent = self.tx.send(ResponseEvent::Text(text));
-        let _ = tokio::time::timeout_at(until, sent).await;
+        let _ = tokio::time::timeout_at(deadline, sent).await;
     }
 
-    fn ended(&mut self, now: Time, end: &PlacementEnd) {
+    fn finish_placement(&mut self, now: Time, end: &PlacementEnd) {
         self.stream = None;
-        self.step = None;
-        for (server, id) in self.held.drain(..) {
+        self.engine_call = None;
+        for (server, id) in self.holdings.drain(..) {
             self.traffic.remove_holding(&server, id);
         }
         if let PlacementEnd::Whole { prompt_tokens, .. } = end {
             self.prompt_tokens = *prompt_tokens;
-            let mut estimate = lock(&self.traffic.token_estimator);
-            estimate.record(
-                &self.meta.model,
+            let mut token_estimator = lock(&self.traffic.token_estimator);
+            token_estimator.record(
+                &self.request.model,
                 self.prompt.len(),
                 *prompt_tokens,
                 self.class.bytes_per_token,
@@ -394,28 +397,28 @@
         self.traffic.dispatcher().placement_ended(now, self.id, end);
     }
 
-    fn queue_again(&self, now: Time, avoid: Option<ServerName>, is_retry: bool) {
-        let request = self.meta.clone();
+    fn requeue(&self, now: Time, avoid: Option<ServerName>, is_retry: bool) {
+        let request = self.request.clone();
         self.traffic.decide(|dispatcher| {
             dispatcher.requeue(now, request, avoid, is_retry, &mut rand::rng())
         });
     }
 
     async fn finish(&mut self, now: Time, outcome: Outcome) {
-        let took = now.since(self.meta.arrived);
-        telemetry::count_outcome(&outcome, self.meta.prompt_tokens, took);
-        log_outcome(self.id, &outcome, took.as_millis() as u64);
+        let elapsed = now.since(self.request.arrived);
+        telemetry::count_outcome(&outcome, self.request.prompt_tokens, elapsed);
+        log_outcome(self.id, &outcome, elapsed.as_millis() as u64);
         let prompt_tokens = self.prompt_tokens;
         let end = ResponseEvent::End {
             outcome,
             prompt_tokens,
         };
-        // A caller that does not read its last bytes must not hold this task for ever.
-        let _ = tokio::time::timeout(LAST_WORD, self.tx.send(end)).await;
+        // A caller that does not read the end of its response must not block this task forever.
+        let _ = tokio::time::timeout(FINAL_SEND_TIMEOUT, self.tx.send(end)).await;
     }
 }
 
-/// Logs how a request ended.
+/// Logs the outcome of a request.
 pub fn log_outcome(id: RequestId, outcome: &Outcome, took_ms: u64) {
     match outcome {
         Outcome::Completed { tokens } => {
@@ -432,23 +435,25 @@
     }
 }
 
-/// Logs a refusal.
+/// Logs that a request was refused without running.
 pub fn log_refusal(id: RequestId, reason: RefusalReason, took_ms: u64) {
     tracing::info!(request = %id, reason = %reason, took_ms, "request refused");
 }
 
-async fn pending_step(step: &mut Option<BoxFuture<'static, StepDone>>) -> StepDone {
-    match step {
-        Some(step) => step.await,
+async fn engine_call_result(
+    engine_call: &mut Option<BoxFuture<'static, EngineCallResult>>,
+) -> EngineCallResult {
+    match engine_call {
+        Some(engine_call) => engine_call.await,
         None => std::future::pending().await,
     }
 }
 
-async fn pending_frame(stream: &mut Option<FrameStream>) -> Woken {
+async fn next_frame(stream: &mut Option<FrameStream>) -> Wakeup {
     match stream {
         Some(stream) => match stream.next().await {
-            Ok(frame) => Woken::Frame(frame),
-            Err(_ended) => Woken::StreamEnded,
+            Ok(frame) => Wakeup::Frame(frame),
+            Err(_ended) => Wakeup::StreamEnded,
         },
         None => std::future::pending().await,
     }
--- a/daemon/src/request_key_claim.rs
+++ b/daemon/src/request_key_claim.rs
@@ -1,8 +1,8 @@
-//! Claims the key of a not-repeatable request at the platform.
+//! Claims the key of a non-repeatable request in the platform's store.
 //!
-//! The same key sent again, through whichever box, finds the claim and is refused. A
-//! claim is written before anything is dispatched; if the platform gives no answer the
-//! request is refused, not run. What remains open is in `docs/design/at-most-once.md`.
+//! A request with a key that is already claimed is refused, at any box. The claim is written
+//! before the request is dispatched; if the platform does not respond, the request is refused
+//! without running. See `docs/design/at-most-once.md` for the remaining cases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,20 +17,19 @@
 
 use crate::traffic::Traffic;
 
-/// How long a key stays claimed; callers repeat within minutes, not hours.
+/// How long a key stays claimed. Callers resubmit within minutes, not hours.
 const CLAIM_TTL: Duration = Duration::from_hours(24);
-/// Reads that settle a write whose answer was lost.
-const SETTLE_READS: u32 = 3;
-/// Tries to take back the claim of a request that was not run.
-const RELEASE_TRIES: u32 = 10;
-/// Pause between such tries.
-const RELEASE_PAUSE: Duration = Duration::from_secs(3);
+/// Maximum number of reads to find out whether a write without a response took effect.
+const CONFIRM_READS: u32 = 3;
+/// Maximum number of attempts to release the claim of a request that did not run.
+const RELEASE_ATTEMPTS: u32 = 10;
+const RELEASE_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// A claim that this request holds.
+/// A claim held by a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     key: String,
-    mine: Vec<u8>,
+    own_value: Vec<u8>,
 }
 
 fn platform_key(workspace: &WorkspaceName, request_key: &str) -> String {
@@ -38,11 +37,11 @@
     format!("once/{}", hex::encode(digest))
 }
 
-/// Claims a key for a request.
+/// Claims a request key for the request with this identifier.
 ///
 /// # Errors
 ///
-/// The key is another's, or the platform gave no answer.
+/// Another submission claimed the key, or the platform did not respond.
 pub async fn claim(
     traffic: &Arc<Traffic>,
     workspace: &WorkspaceName,
@@ -50,53 +49,54 @@
     id: RequestId,
 ) -> Result<Claim, RefusalReason> {
     let key = platform_key(workspace, request_key);
-    let mine = id.to_string().into_bytes();
+    let own_value = id.to_string().into_bytes();
     let claim = Claim {
         key: key.clone(),
-        mine: mine.clone(),
+        own_value: own_value.clone(),
     };
     let written = traffic
         .platform
-        .swap(&key, 0, mine.clone(), Some(CLAIM_TTL))
+        .swap(&key, 0, own_value.clone(), Some(CLAIM_TTL))
         .await;
     if written == Ok(SwapResponse::Swapped) {
         return Ok(claim);
     }
-    // A conflict may be with this very write, if its answer was lost below us.
-    for _ in 0..SETTLE_READS {
+    // A conflict may be caused by this same write, if its response was lost at a lower layer.
+    for _ in 0..CONFIRM_READS {
         match traffic.platform.read(&key).await {
-            Ok(found) if found.value.as_ref() == Some(&mine) => return Ok(claim),
+            Ok(found) if found.value.as_ref() == Some(&own_value) => return Ok(claim),
             Ok(found) if found.value.is_some() => return Err(RefusalReason::DuplicateKey),
             Ok(_) | Err(_) => {}
         }
     }
-    // The write may still come; a refusal must not leave its key claimed.
+    // The write may still take effect, and a refused request must not leave its key claimed.
     release(traffic, claim);
     Err(RefusalReason::KeyNotChecked)
 }
 
-/// Takes back the claim of a request that was not run, in the background.
+/// Releases the claim of a request that did not run, in the background.
 pub fn release(traffic: &Arc<Traffic>, claim: Claim) {
     let traffic = Arc::clone(traffic);
     tokio::spawn(async move {
-        for _ in 0..RELEASE_TRIES {
-            if is_released(&traffic, &claim).await {
+        for _ in 0..RELEASE_ATTEMPTS {
+            if try_release(&traffic, &claim).await {
                 return;
             }
-            tokio::time::sleep(RELEASE_PAUSE).await;
+            tokio::time::sleep(RELEASE_RETRY_DELAY).await;
         }
-        tracing::warn!(key = claim.key, "a claim could not be taken back");
+        tracing::warn!(key = claim.key, "claim not released: all attempts failed");
     });
 }
 
-/// Deletes the claim if it is this request's; another's is never touched.
-async fn is_released(traffic: &Traffic, claim: &Claim) -> bool {
+/// Deletes the claim if this request owns it, never that of another request. Returns whether it
+/// is released.
+async fn try_release(traffic: &Traffic, claim: &Claim) -> bool {
     match traffic.platform.read(&claim.key).await {
-        Ok(found) if found.value.as_ref() == Some(&claim.mine) => {
+        Ok(found) if found.value.as_ref() == Some(&claim.own_value) => {
             let deleted = traffic.platform.delete(&claim.key, found.version).await;
             deleted == Ok(SwapResponse::Swapped)
         }
-        // Nothing there: a write whose answer was lost may still come, so look again.
+        // No entry: a write without a response may still take effect, so read again later.
         Ok(found) => found.value.is_some(),
         Err(_) => false,
     }
--- a/daemon/src/routes.rs
+++ b/daemon/src/routes.rs
@@ -1,8 +1,8 @@
-//! The HTTP routes: callers' requests, health, metrics and status.
+//! The HTTP routes: requests of callers, health, metrics and status.
 //!
-//! A caller's request passes a chain of filters, each of which may answer it: settings
-//! present, key and headers, size of the body, shape of the body, claim of its key. Only
-//! then is it handed to the dispatcher.
+//! A request passes a chain of filters, each of which may reject it: settings present, key and
+//! headers, size of the body, format of the body, claim of the request key. Only then is it
+//! submitted to the dispatcher.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use badgerferry_lib::outcome::Outcome;
 use badgerferry_lib::outcome::RefusalReason;
 use badgerferry_lib::request::PrefixHash;
-use badgerferry_lib::request::Request as Asked;
+use badgerferry_lib::request::Request as DispatchRequest;
 use badgerferry_lib::settings_view::SettingsView;
 use badgerferry_lib::workspace_limit::HallLimit;
 use http_body_util::BodyExt;
@@ -45,7 +45,7 @@
 use crate::caller;
 use crate::caller::Caller;
 use crate::chat;
-use crate::chat::Interface;
+use crate::chat::Endpoint;
 use crate::chat::ModelRequest;
 use crate::chat::ResponseWriter;
 use crate::control;
@@ -60,25 +60,25 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Header with the request's identifier, on every answer.
+/// Header with the identifier of the request, set on every response.
 const REQUEST_ID_HEADER: &str = "x-badgerferry-request-id";
-/// Time for a caller to send its request's head; a slow sender holds only its connection.
+/// Timeout for the head of a request. A slow caller occupies only its connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a caller to send its body.
+/// Timeout for the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// When to come back after a refusal by a filter.
-const RETRY_LATER: Duration = Duration::from_secs(2);
-/// Most of a body that is too large which is read and thrown away.
-const DISCARDED_BYTES: usize = 1 << 20;
-/// Pieces buffered for a caller that reads slowly.
-const CALLER_BUFFER: usize = 64;
-/// Bytes of a prompt's beginning that engines are taken to cache together.
+/// Time after which a request refused by a filter may be retried.
+const FILTER_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Maximum number of bytes to read and discard of a body that is too large.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// Chunks of a response buffered for a caller that reads slowly.
+const RESPONSE_BUFFER: usize = 64;
+/// Length of the prompt prefix, in bytes, that engines are assumed to cache as a unit.
 const PREFIX_BYTES: usize = 4_096;
 
-type Shared = Arc<Traffic>;
+type SharedTraffic = Arc<Traffic>;
 
-/// Serves callers until the process ends.
-pub async fn serve(listener: TcpListener, traffic: Shared) {
+/// Serves requests until the process ends.
+pub async fn serve(listener: TcpListener, traffic: SharedTraffic) {
     let router = Router::new()
         .post("/v1/chat/completions", chat_completions)
         .post("/v1/completions", completions)
@@ -95,12 +95,13 @@
         .header_read_timeout(HEAD_TIMEOUT);
     let server = viz::Server::with_builder(PromptListener(listener), router, builder);
     if let Err(cause) = server.await {
-        tracing::error!(cause = %cause, "callers can't be served");
+        tracing::error!(cause = %cause, "HTTP listener failed");
     }
 }
 
-fn shared(req: &Request) -> Shared {
-    req.state::<Shared>().expect("every route has the state")
+fn traffic_state(req: &Request) -> SharedTraffic {
+    req.state::<SharedTraffic>()
+        .expect("the router sets the state of every request")
 }
 
 async fn health(_: Request) -> Result<Response> {
@@ -108,7 +109,7 @@
 }
 
 async fn ready(req: Request) -> Result<Response> {
-    let is_ready = shared(&req).is_ready();
+    let is_ready = traffic_state(&req).is_ready();
     if is_ready {
         return Ok("ready
 "
@@ -123,42 +124,42 @@
 }
 
 async fn metrics(req: Request) -> Result<Response> {
-    let traffic = shared(&req);
+    let traffic = traffic_state(&req);
     control::set_gauges(&traffic);
     Ok(traffic.metrics.render().into_response())
 }
 
 async fn status(req: Request) -> Result<Response> {
-    let status = control::status(&shared(&req));
+    let status = control::status(&traffic_state(&req));
     Response::json(status).map_err(Into::into)
 }
 
 async fn chat_completions(req: Request) -> Result<Response> {
-    Ok(model_request(req, Interface::Chat).await)
+    Ok(serve_model_request(req, Endpoint::Chat).await)
 }
 
 async fn completions(req: Request) -> Result<Response> {
-    Ok(model_request(req, Interface::Text).await)
+    Ok(serve_model_request(req, Endpoint::Text).await)
 }
 
 async fn service(req: Request) -> Result<Response> {
-    let traffic = shared(&req);
+    let traffic = traffic_state(&req);
     let id = RequestId::draw(&mut rand::rng());
-    let answer = match service_call(&traffic, req, id).await {
-        Ok(answer) => answer,
+    let response = match service_call(&traffic, req, id).await {
+        Ok(response) => response,
         Err(error) => rejected(id, &error),
     };
-    Ok(with_id(answer, id))
+    Ok(with_id(response, id))
 }
 
-async fn model_request(req: Request, interface: Interface) -> Response {
-    let traffic = shared(&req);
+async fn serve_model_request(req: Request, endpoint: Endpoint) -> Response {
+    let traffic = traffic_state(&req);
     let id = RequestId::draw(&mut rand::rng());
-    let answer = match start_model_request(&traffic, req, interface, id).await {
-        Ok(answer) => answer,
+    let response = match start_model_request(&traffic, req, endpoint, id).await {
+        Ok(response) => response,
         Err(error) => rejected(id, &error),
     };
-    with_id(answer, id)
+    with_id(response, id)
 }
 
 fn rejected(id: RequestId, error: &ApiError) -> Response {
@@ -166,17 +167,20 @@
     error.response()
 }
 
-fn with_id(mut answer: Response, id: RequestId) -> Response {
-    let value = id.to_string().parse().expect("hexadecimal digits");
-    answer.headers_mut().insert(REQUEST_ID_HEADER, value);
-    answer
+fn with_id(mut response: Response, id: RequestId) -> Response {
+    let value = id
+        .to_string()
+        .parse()
+        .expect("hexadecimal digits are a valid header value");
+    response.headers_mut().insert(REQUEST_ID_HEADER, value);
+    response
 }
 
 fn refusal(reason: RefusalReason) -> ApiError {
-    ApiError::before_dispatch(reason, RETRY_LATER)
+    ApiError::before_dispatch(reason, FILTER_RETRY_DELAY)
 }
 
-fn view_of(traffic: &Traffic) -> Result<Arc<SettingsView>, ApiError> {
+fn active_settings(traffic: &Traffic) -> Result<Arc<SettingsView>, ApiError> {
     traffic
         .settings
         .load_full()
@@ -185,35 +189,38 @@
 
 async fn read_body(req: &mut Request, limit: usize) -> Result<Bytes, ApiError> {
     let too_large = || {
-        let message = format!("the body is larger than {limit} bytes");
+        let message = format!("the body exceeds the limit of {limit} bytes");
         ApiError::refused(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
     };
-    let announced = req.content_length();
+    let declared = req.content_length();
     let Ok(body) = req.incoming() else {
         return Ok(Bytes::new());
     };
-    if announced.is_some_and(|length| length > limit as u64) {
-        // Read some of it, or the caller sees its connection break in place of the error.
-        let some = Limited::new(body, DISCARDED_BYTES).collect();
-        let _ = tokio::time::timeout(BODY_TIMEOUT, some).await;
+    if declared.is_some_and(|length| length > limit as u64) {
+        // Read part of the body, or the caller sees a closed connection instead of the error.
+        let prefix = Limited::new(body, MAX_DISCARDED_BYTES).collect();
+        let _ = tokio::time::timeout(BODY_TIMEOUT, prefix).await;
         return Err(too_large());
     }
-    let whole = Limited::new(body, limit).collect();
-    match tokio::time::timeout(BODY_TIMEOUT, whole).await {
+    let complete = Limited::new(body, limit).collect();
+    match tokio::time::timeout(BODY_TIMEOUT, complete).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(cause)) if cause.is::<http_body_util::LengthLimitError>() => Err(too_large()),
-        Ok(Err(_)) => Err(ApiError::bad_request("broken_body", "the body broke off")),
+        Ok(Err(_)) => Err(ApiError::bad_request(
+            "broken_body",
+            "the body is incomplete",
+        )),
         Err(_elapsed) => Err(ApiError::refused(
             StatusCode::REQUEST_TIMEOUT,
             "slow_body",
-            "the body took too long to arrive",
+            "the body did not arrive in time",
         )),
     }
 }
 
-/// Claims a not-repeatable request's key, if it has one.
+/// Claims the key of a non-repeatable request, if it has one.
 async fn claim_key(
-    traffic: &Shared,
+    traffic: &SharedTraffic,
     caller: &Caller,
     id: RequestId,
 ) -> Result<Option<Claim>, ApiError> {
@@ -226,16 +233,16 @@
     }
 }
 
-fn asked(
+fn dispatch_request(
     traffic: &Traffic,
     view: &SettingsView,
     caller: &Caller,
     id: RequestId,
     model: ModelName,
-) -> Asked {
+) -> DispatchRequest {
     let now = traffic.clock.now();
     let workspace = view.workspace(&caller.workspace);
-    Asked {
+    DispatchRequest {
         id,
         workspace: caller.workspace.clone(),
         weight: workspace.map_or(1, |found| found.weight),
@@ -259,27 +266,29 @@
     }
 }
 
-fn prefix_of(prompt: &str) -> PrefixHash {
+fn prefix_hash(prompt: &str) -> PrefixHash {
     let end = prompt.floor_char_boundary(PREFIX_BYTES);
     let digest = Sha256::digest(&prompt.as_bytes()[..end]);
     PrefixHash(u64::from_be_bytes(
-        digest[..8].try_into().expect("eight bytes of a digest"),
+        digest[..8]
+            .try_into()
+            .expect("a digest has at least eight bytes"),
     ))
 }
 
 async fn start_model_request(
-    traffic: &Shared,
+    traffic: &SharedTraffic,
     mut req: Request,
-    interface: Interface,
+    endpoint: Endpoint,
     id: RequestId,
 ) -> Result<Response, ApiError> {
     let guard = InFlightGuard::new(traffic);
-    let view = view_of(traffic)?;
+    let view = active_settings(traffic)?;
     let caller = caller::identify(&view, req.headers())?;
     let body = read_body(&mut req, view.max_body).await?;
-    let model_request = chat::parse(interface, &body)?;
+    let model_request = chat::parse(endpoint, &body)?;
     drop(body);
-    let mut request = asked(traffic, &view, &caller, id, model_request.model.clone());
+    let mut request = dispatch_request(traffic, &view, &caller, id, model_request.model.clone());
     let ratio = caller.class.bytes_per_token;
     let prompt_bytes = model_request.prompt.len();
     request.prompt_tokens =
@@ -287,11 +296,11 @@
     if request.prompt_tokens > caller.class.max_prompt {
         return Err(refusal(RefusalReason::PromptTooLong));
     }
-    let wanted = model_request.max_tokens.unwrap_or(caller.class.max_output);
-    request.max_output = wanted.min(caller.class.max_output);
-    request.prefix = Some(prefix_of(&model_request.prompt));
+    let requested = model_request.max_tokens.unwrap_or(caller.class.max_output);
+    request.max_output = requested.min(caller.class.max_output);
+    request.prefix = Some(prefix_hash(&model_request.prompt));
     let claim = claim_key(traffic, &caller, id).await?;
-    let (tx, rx) = mpsc::channel(CALLER_BUFFER);
+    let (tx, rx) = mpsc::channel(RESPONSE_BUFFER);
     let prepared = PreparedRequest {
         request,
         repeatable: caller.repeatable.unwrap_or(true),
@@ -300,47 +309,47 @@
         class: caller.class,
     };
     tokio::spawn(request_driver::run(Arc::clone(traffic), prepared, tx));
-    let answering = Answering {
+    let responder = Responder {
         traffic: Arc::clone(traffic),
         writer: ResponseWriter::new(&model_request, id),
         rx,
         claim,
         _guard: guard,
     };
-    Ok(answering.answer(&model_request).await)
+    Ok(responder.respond(&model_request).await)
 }
 
-/// Turns what the run says into the caller's answer.
-struct Answering {
-    traffic: Shared,
+/// Writes the events of a request as the response to its caller.
+struct Responder {
+    traffic: SharedTraffic,
     writer: ResponseWriter,
     rx: mpsc::Receiver<ResponseEvent>,
     claim: Option<Claim>,
     _guard: InFlightGuard,
 }
 
-impl Answering {
-    /// The error for an outcome; a refusal gives the claim back.
-    fn error_of(&mut self, outcome: &Outcome) -> Option<ApiError> {
+impl Responder {
+    /// The error of an outcome, if it is one. Releases the claim of a refused request.
+    fn error_for(&mut self, outcome: &Outcome) -> Option<ApiError> {
         if let (Outcome::Refused(_), Some(claim)) = (outcome, self.claim.take()) {
             request_key_claim::release(&self.traffic, claim);
         }
         ApiError::from_outcome(outcome)
     }
 
-    async fn answer(mut self, request: &ModelRequest) -> Response {
-        // The first word decides between an error's status and a stream.
+    async fn respond(mut self, request: &ModelRequest) -> Response {
+        // The first event decides between an error status and a stream.
         let first = self.rx.recv().await;
         match first {
             Some(ResponseEvent::Text(text)) if request.stream => self.stream(text),
-            Some(ResponseEvent::Text(text)) => self.whole(text).await,
+            Some(ResponseEvent::Text(text)) => self.collect(text).await,
             Some(ResponseEvent::End {
                 outcome,
                 prompt_tokens,
-            }) => match self.error_of(&outcome) {
+            }) => match self.error_for(&outcome) {
                 Some(error) => error.response(),
                 None if request.stream => self.stream(String::new()),
-                None => self.finished(&outcome, "", prompt_tokens),
+                None => self.complete_response(&outcome, "", prompt_tokens),
             },
             None => ApiError::from_outcome(&Outcome::Cancelled)
                 .expect("a cancelled request is an error")
@@ -348,17 +357,17 @@
         }
     }
 
-    async fn whole(mut self, mut text: String) -> Response {
+    async fn collect(mut self, mut text: String) -> Response {
         loop {
             match self.rx.recv().await {
-                Some(ResponseEvent::Text(piece)) => text.push_str(&piece),
+                Some(ResponseEvent::Text(chunk)) => text.push_str(&chunk),
                 Some(ResponseEvent::End {
                     outcome,
                     prompt_tokens,
                 }) => {
-                    return match self.error_of(&outcome) {
+                    return match self.error_for(&outcome) {
                         Some(error) => error.response(),
-                        None => self.finished(&outcome, &text, prompt_tokens),
+                        None => self.complete_response(&outcome, &text, prompt_tokens),
                     };
                 }
                 None => {
@@ -369,53 +378,60 @@
         }
     }
 
-    fn finished(&self, outcome: &Outcome, text: &str, prompt_tokens: u64) -> Response {
+    fn complete_response(&self, outcome: &Outcome, text: &str, prompt_tokens: u64) -> Response {
         let tokens = match outcome {
             Outcome::Completed { tokens } => *tokens,
             _ => 0,
         };
-        let body = self.writer.whole(text, prompt_tokens, tokens);
+        let body = self.writer.complete(text, prompt_tokens, tokens);
         json_response(body.to_string(), Ran::Yes)
     }
 
     fn stream(self, first: String) -> Response {
         let state = (self, Some(first));
-        let events = futures::stream::unfold(state, |(mut answering, first)| async move {
+        let events = futures::stream::unfold(state, |(mut responder, first)| async move {
             if let Some(text) = first {
-                let event = answering.writer.piece(&text);
-                return Some((Ok::<_, Infallible>(event), (answering, None)));
+                let event = responder.writer.chunk(&text);
+                return Some((Ok::<_, Infallible>(event), (responder, None)));
             }
-            let event = match answering.rx.recv().await? {
-                ResponseEvent::Text(text) => answering.writer.piece(&text),
-                ResponseEvent::End { outcome, .. } => match answering.error_of(&outcome) {
+            let event = match responder.rx.recv().await? {
+                ResponseEvent::Text(text) => responder.writer.chunk(&text),
+                ResponseEvent::End { outcome, .. } => match responder.error_for(&outcome) {
                     Some(error) => ResponseWriter::failure(&error),
-                    None => answering.writer.end(),
+                    None => responder.writer.end(),
                 },
             };
-            Some((Ok(event), (answering, None)))
+            Some((Ok(event), (responder, None)))
         });
-        let mut answer = Response::stream(events);
-        let headers = answer.headers_mut();
+        let mut response = Response::stream(events);
+        let headers = response.headers_mut();
         headers.insert(
             "content-type",
-            "text/event-stream".parse().expect("a fixed header"),
+            "text/event-stream"
+                .parse()
+                .expect("a constant is a valid header value"),
+        );
+        headers.insert(
+            "cache-control",
+            "no-store"
+                .parse()
+                .expect("a constant is a valid header value"),
         );
-        headers.insert("cache-control", "no-store".parse().expect("a fixed header"));
-        answer
+        response
     }
 }
 
 async fn service_call(
-    traffic: &Shared,
+    traffic: &SharedTraffic,
     mut req: Request,
     id: RequestId,
 ) -> Result<Response, ApiError> {
     let _guard = InFlightGuard::new(traffic);
-    let view = view_of(traffic)?;
+    let view = active_settings(traffic)?;
     let caller = caller::identify(&view, req.headers())?;
     let body = read_body(&mut req, view.max_body).await?;
     let pool = req.param::<String>("pool").unwrap_or_default();
-    let request = asked(traffic, &view, &caller, id, ModelName::new(&pool));
+    let request = dispatch_request(traffic, &view, &caller, id, ModelName::new(&pool));
     let claim = claim_key(traffic, &caller, id).await?;
     let prepared = PreparedCall {
         request,
@@ -423,53 +439,60 @@
             .repeatable
             .unwrap_or_else(|| is_repeatable(req.method())),
         limit: hall_limit(&view, &caller),
-        call: passed_on(&req, &pool, body),
+        call: forwarded_call(&req, &pool, body),
         class: caller.class,
     };
     let end = service_driver::run(traffic, prepared).await;
     if let (Outcome::Refused(_), Some(claim)) = (&end.outcome, claim) {
         request_key_claim::release(traffic, claim);
     }
-    match (ApiError::from_outcome(&end.outcome), end.answer) {
+    match (ApiError::from_outcome(&end.outcome), end.response) {
         (None, Some(found)) => {
-            let mut answer = found.body.into_response();
-            *answer.status_mut() = found.status;
-            *answer.headers_mut() = found.headers;
-            let headers = answer.headers_mut();
+            let mut response = found.body.into_response();
+            *response.status_mut() = found.status;
+            *response.headers_mut() = found.headers;
+            let headers = response.headers_mut();
             headers.remove("content-length");
             headers.remove("transfer-encoding");
             headers.remove("connection");
             headers.insert(
                 RAN_HEADER,
-                Ran::Yes.as_str().parse().expect("a fixed header"),
+                Ran::Yes
+                    .as_str()
+                    .parse()
+                    .expect("a constant is a valid header value"),
             );
-            Ok(answer)
+            Ok(response)
         }
         (Some(error), _) => Err(error),
         (None, None) => Err(refusal(RefusalReason::NoServer)),
     }
 }
 
-/// Methods that HTTP calls idempotent may be repeated; others only if a header says so.
+/// Whether HTTP defines the method as idempotent. Requests with other methods may be retried only
+/// if a header says so.
 fn is_repeatable(method: &hyper::Method) -> bool {
     method.is_idempotent()
 }
 
-fn passed_on(req: &Request, pool: &str, body: Bytes) -> ServiceCall {
+fn forwarded_call(req: &Request, pool: &str, body: Bytes) -> ServiceCall {
     let prefix = format!("/services/{pool}");
-    let whole = req
+    let path_and_query = req
         .uri()
         .path_and_query()
         .map_or("/", |found| found.as_str());
-    let path = whole.strip_prefix(&prefix).unwrap_or("/").to_owned();
+    let path = path_and_query
+        .strip_prefix(&prefix)
+        .unwrap_or("/")
+        .to_owned();
     let mut headers = req.headers().clone();
     headers.remove("authorization");
-    let ours: Vec<_> = headers
+    let own_headers: Vec<_> = headers
         .keys()
         .filter(|name| name.as_str().starts_with(caller::HEADER_PREFIX))
         .cloned()
         .collect();
-    for name in ours {
+    for name in own_headers {
         headers.remove(name);
     }
     ServiceCall {
--- a/daemon/src/service_driver.rs
+++ b/daemon/src/service_driver.rs
@@ -1,4 +1,4 @@
-//! Drives one call to a plain service.
+//! Drives one call to a plain service: passes events to its exchange and executes the actions.
 
 use std::sync::Arc;
 
@@ -25,46 +25,46 @@
 /// A service call ready to run.
 #[derive(Debug)]
 pub struct PreparedCall {
-    /// What the dispatcher knows of it.
+    /// The request, as submitted to the dispatcher.
     pub request: Request,
-    /// The class's limits.
+    /// Settings of the request class.
     pub class: ClassSettings,
-    /// Whether it may be repeated.
+    /// Whether the call may be retried after it may have run.
     pub repeatable: bool,
-    /// The workspace's limit.
+    /// Rate limit of the workspace.
     pub limit: HallLimit,
-    /// The call.
+    /// The call to forward.
     pub call: ServiceCall,
 }
 
-/// A call's outcome, and the service's answer if there is one.
+/// Outcome of a call, with the response of the service if there is one.
 #[derive(Debug)]
 pub struct CallEnd {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The service's answer.
-    pub answer: Option<Answer>,
+    /// Response of the service, of any status; `None` if no attempt got one.
+    pub response: Option<Answer>,
 }
 
-/// Runs a call to its outcome.
+/// Runs a call until its outcome is known.
 ///
-/// If the caller goes away, the future is dropped and the call with it.
+/// If the caller disconnects, the future is dropped, which cancels the call.
 pub async fn run(traffic: &Arc<Traffic>, prepared: PreparedCall) -> CallEnd {
     let id = prepared.request.id;
     let mut decisions = traffic.subscribe(id);
-    let registered = Registered { traffic, id };
+    let registration = Registration { traffic, id };
     let end = run_registered(traffic, prepared, &mut decisions).await;
-    drop(registered);
+    drop(registration);
     end
 }
 
-/// Forgets the request on every way out, the caller's going away included.
-struct Registered<'a> {
+/// Removes the request from the dispatcher on drop, also if the caller disconnects.
+struct Registration<'a> {
     traffic: &'a Arc<Traffic>,
     id: badgerferry_lib::ids::RequestId,
 }
 
-impl Drop for Registered<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
         self.traffic.forget(self.id);
     }
@@ -86,17 +86,17 @@
     let now = traffic.clock.now();
     let limit = prepared.limit;
     traffic.decide(|dispatcher| dispatcher.submit(now, request, limit, &mut rand::rng()));
-    let mut answer = None;
+    let mut response = None;
     let mut target = None;
     loop {
         let tick = traffic.clock.instant(exchange.next_tick());
         let event = match target.take() {
             None => tokio::select! {
-                Some(decision) = decisions.recv() => decided(&prepared.request, decision),
+                Some(decision) = decisions.recv() => decision_event(&prepared.request, decision),
                 () = tokio::time::sleep_until(tick) => Event::Tick,
             },
             Some(server) => tokio::select! {
-                done = call(traffic, &prepared, &server) => called(done, &mut answer),
+                result = call(traffic, &prepared, &server) => call_event(result, &mut response),
                 () = tokio::time::sleep_until(tick) => Event::Tick,
             },
         };
@@ -110,18 +110,18 @@
                         .placement_ended(now, prepared.request.id, &end);
                 }
                 Action::Requeue { avoid, is_retry } => {
-                    let again = prepared.request.clone();
+                    let request = prepared.request.clone();
                     traffic.decide(|dispatcher| {
-                        dispatcher.requeue(now, again, avoid, is_retry, &mut rand::rng())
+                        dispatcher.requeue(now, request, avoid, is_retry, &mut rand::rng())
                     });
                 }
                 Action::Finish(outcome) => {
-                    let took = now.since(prepared.request.arrived);
-                    telemetry::count_outcome(&outcome, 0, took);
-                    log_outcome(prepared.request.id, &outcome, took.as_millis() as u64);
-                    return CallEnd { outcome, answer };
+                    let elapsed = now.since(prepared.request.arrived);
+                    telemetry::count_outcome(&outcome, 0, elapsed);
+                    log_outcome(prepared.request.id, &outcome, elapsed.as_millis() as u64);
+                    return CallEnd { outcome, response };
                 }
-                // A service has no stream, no group and nothing to cancel.
+                // A call to a plain service has no stream, no group and nothing to cancel.
                 Action::Reserve { .. }
                 | Action::Release { .. }
                 | Action::Prefill { .. }
@@ -134,7 +134,7 @@
     }
 }
 
-fn decided(request: &Request, decision: Decision) -> Event<'static> {
+fn decision_event(request: &Request, decision: Decision) -> Event<'static> {
     if let Decision::Start(start) = &decision {
         let servers = start.placement.servers();
         let servers: Vec<_> = servers.iter().map(ToString::to_string).collect();
@@ -163,10 +163,10 @@
         .await
 }
 
-fn called(done: Result<Answer, SendError>, answer: &mut Option<Answer>) -> Event<'static> {
-    match done {
-        Ok(found) => {
-            *answer = Some(found);
+fn call_event(result: Result<Answer, SendError>, response: &mut Option<Answer>) -> Event<'static> {
+    match result {
+        Ok(received) => {
+            *response = Some(received);
             Event::ResponseComplete
         }
         Err(SendError::NoConnection { .. }) => Event::NoConnection,
--- a/daemon/src/traffic.rs
+++ b/daemon/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads share, and how the daemon's threads are set up.
+//! State shared by the traffic threads, and the start of the daemon's threads.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -43,67 +43,68 @@
 use crate::stop;
 use crate::telemetry;
 
-/// Longest control call to a server or the platform.
-const CONTROL_CALL: Duration = Duration::from_secs(2);
-/// How often waiting requests are looked at without another cause.
-const TICK: Duration = Duration::from_millis(20);
+/// Timeout of a control call to a server or the platform.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which the dispatcher checks queued requests if no event does.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What this box holds at one engine.
+/// Attempts and reservations of this box at one engine.
 #[derive(Debug, Default)]
 pub struct EngineHoldings {
-    /// Attempts and reservations.
+    /// Identifiers of attempts and reservations.
     pub attempts: BTreeSet<AttemptId>,
-    /// Renewals since nothing is held.
+    /// Number of consecutive renewals without any attempt or reservation.
     pub empty_renewals: u32,
 }
 
-/// What this box holds at the engines, to be renewed there.
+/// Attempts and reservations of this box at all engines, which it renews there.
 #[derive(Debug, Default)]
 pub struct Holdings {
-    /// By server.
+    /// Holdings at each engine.
     pub by_server: BTreeMap<ServerName, EngineHoldings>,
 }
 
-/// What the traffic threads share.
+/// State shared by the traffic threads.
 #[derive(Debug)]
 pub struct Traffic {
-    /// The box's own file.
+    /// Configuration from the box file.
     pub config: BoxConfig,
-    /// The daemon's clock.
+    /// Monotonic clock of the daemon.
     pub clock: Clock,
-    /// This life of this box, as engines know it.
+    /// Name and incarnation of this box, as sent to engines.
     pub owner: Owner,
-    /// The settings in force; none before the first revision.
+    /// Active settings; `None` before the first revision.
     pub settings: ArcSwapOption<SettingsView>,
-    /// The other boxes.
+    /// Membership of the boxes, from gossip.
     pub membership: Mutex<Membership>,
-    /// Engines.
+    /// Client for engines.
     pub engine: HttpEngine,
-    /// Plain services.
+    /// Client for plain services.
     pub service: HttpService,
-    /// The platform.
+    /// Client for the platform.
     pub platform: HttpPlatform,
-    /// Prompt token estimates.
+    /// Estimator of prompt tokens.
     pub token_estimator: Mutex<TokenEstimator>,
-    /// What is held at engines.
+    /// Attempts and reservations at engines.
     pub holdings: Mutex<Holdings>,
-    /// Requests whose answers are not yet out.
+    /// Number of requests whose responses are not complete.
     pub in_flight: AtomicUsize,
-    /// Whether this box is leaving, by a signal or by the platform's list.
+    /// Whether this box is leaving, by a signal or by the platform's list of boxes.
     pub leaving: AtomicBool,
-    /// Whether a signal has begun a planned stop, which nothing takes back.
+    /// Whether a signal started a planned stop, which can't be cancelled.
     pub stop_signalled: AtomicBool,
-    /// The settings' follower; control and the peers' listener feed it.
+    /// Receives settings from the control thread and the listener for peers.
     pub settings_follower: Mutex<SettingsFollower>,
-    /// What control last told of the box's state, for `status`.
+    /// Last state reported by the control thread, for `/status`.
     pub status: Mutex<control::ControlStatus>,
-    /// Metrics.
+    /// Renders the metrics of the process.
     pub metrics: PrometheusHandle,
     dispatcher: Mutex<Dispatcher>,
-    waiters: Mutex<HashMap<RequestId, mpsc::UnboundedSender<Decision>>>,
+    subscribers: Mutex<HashMap<RequestId, mpsc::UnboundedSender<Decision>>>,
 }
 
-/// Locks; a panic elsewhere stops the process, so the state is never half changed.
+/// Locks a mutex, also if it is poisoned: a panic in any thread ends the process, so no thread
+/// sees a partial update.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -133,9 +134,9 @@
                 incarnation,
             },
             settings: ArcSwapOption::empty(),
-            engine: HttpEngine::new(CONTROL_CALL),
+            engine: HttpEngine::new(CONTROL_TIMEOUT),
             service: HttpService,
-            platform: HttpPlatform::new(&config.platform.to_string(), CONTROL_CALL),
+            platform: HttpPlatform::new(&config.platform.to_string(), CONTROL_TIMEOUT),
             token_estimator: Mutex::default(),
             holdings: Mutex::default(),
             in_flight: AtomicUsize::new(0),
@@ -145,50 +146,50 @@
             status: Mutex::default(),
             metrics,
             dispatcher: Mutex::new(dispatcher),
-            waiters: Mutex::default(),
+            subscribers: Mutex::default(),
             config,
         }
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send requests to this box.
     pub fn is_ready(&self) -> bool {
         self.settings.load().is_some() && !self.leaving.load(Ordering::SeqCst)
     }
 
-    /// Reads or changes the dispatcher's state without a decision.
+    /// Locks the dispatcher, for reads and for updates that make no decision.
     pub fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         lock(&self.dispatcher)
     }
 
-    /// Lets the dispatcher decide and tells the requests that wait for it.
-    pub fn decide(&self, f: impl FnOnce(&mut Dispatcher) -> Vec<Decision>) {
-        let decisions = f(&mut self.dispatcher());
+    /// Runs an update of the dispatcher and sends its decisions to the requests.
+    pub fn decide(&self, update: impl FnOnce(&mut Dispatcher) -> Vec<Decision>) {
+        let decisions = update(&mut self.dispatcher());
         if decisions.is_empty() {
             return;
         }
-        let waiters = lock(&self.waiters);
+        let subscribers = lock(&self.subscribers);
         for decision in decisions {
-            if let Some(tx) = waiters.get(&decision.request()) {
-                // A request that has ended in between forgets its placement itself.
+            if let Some(tx) = subscribers.get(&decision.request()) {
+                // If the request has ended in the meantime, it removes its own placement.
                 let _ = tx.send(decision);
             }
         }
     }
 
-    /// Registers a request for decisions.
+    /// Registers a request to receive decisions of the dispatcher.
     pub fn subscribe(&self, id: RequestId) -> mpsc::UnboundedReceiver<Decision> {
         let (tx, rx) = mpsc::unbounded_channel();
-        lock(&self.waiters).insert(id, tx);
+        lock(&self.subscribers).insert(id, tx);
         rx
     }
 
-    /// Ends a request's registration and forgets it in the dispatcher.
+    /// Removes the registration of a request, and the request from the dispatcher.
     pub fn forget(&self, id: RequestId) {
-        lock(&self.waiters).remove(&id);
+        lock(&self.subscribers).remove(&id);
         self.dispatcher().forget(self.clock.now(), id);
     }
 
-    /// The address of a server.
+    /// The address of a server; `None` if it is not listed.
     pub fn address_of(&self, server: &ServerName) -> Option<String> {
         let dispatcher = self.dispatcher();
         let found = dispatcher
@@ -198,7 +199,7 @@
         found.map(|view| view.info().address.clone())
     }
 
-    /// Records that the box holds something at an engine.
+    /// Adds an attempt or reservation at an engine to the renewals.
     pub fn add_holding(&self, server: &ServerName, id: AttemptId) {
         let mut holdings = lock(&self.holdings);
         holdings
@@ -209,10 +210,10 @@
             .insert(id);
     }
 
-    /// Records that it is no longer wanted.
+    /// Removes an attempt or reservation from the renewals, so that the engine frees it.
     pub fn remove_holding(&self, server: &ServerName, id: AttemptId) {
-        if let Some(row) = lock(&self.holdings).by_server.get_mut(server) {
-            row.attempts.remove(&id);
+        if let Some(engine_holdings) = lock(&self.holdings).by_server.get_mut(server) {
+            engine_holdings.attempts.remove(&id);
         }
     }
 }
@@ -222,7 +223,7 @@
 pub struct InFlightGuard(Arc<Traffic>);
 
 impl InFlightGuard {
-    /// Counts one more.
+    /// Increments the number of requests in flight.
     pub fn new(traffic: &Arc<Traffic>) -> Self {
         traffic.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(traffic))
@@ -236,15 +237,15 @@
 }
 
 fn millis_since_epoch() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    since.map_or(0, |span| span.as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    elapsed.map_or(0, |duration| duration.as_millis() as u64)
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a planned stop completes.
 ///
 /// # Errors
 ///
-/// An address can't be listened on, or a thread can't be started.
+/// An address can't be bound, or a thread can't be started.
 pub fn run(config: BoxConfig) -> anyhow::Result<()> {
     let metrics = telemetry::start_metrics()?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -274,7 +275,7 @@
 }
 
 async fn tick(traffic: Arc<Traffic>) {
-    let mut timer = tokio::time::interval(TICK);
+    let mut timer = tokio::time::interval(TICK_INTERVAL);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         timer.tick().await;
