--- a/daemon/tests/runner.rs
+++ b/daemon/tests/runner.rs
@@ -1,11 +1,12 @@
-//! The daemon's tests, in one runner; they start the real programs.
+//! Tests of the daemon in one binary. They start the real programs as processes.
 
 mod engines;
 mod relay_fleet;
-mod test_bad_input;
 mod test_boxes;
 mod test_command_line;
+mod test_end_to_end;
 mod test_failures;
+mod test_invalid_requests;
 mod test_relay_boxes;
 mod test_relay_calls;
 mod test_relay_crashes;
@@ -15,4 +16,3 @@
 mod test_relay_reservations;
 mod test_relay_shedding;
 mod test_relay_slow_engines;
-mod test_whole_path;
--- a/daemon/tests/test_whole_path.rs
+++ b/daemon/tests/test_end_to_end.rs
@@ -1,4 +1,4 @@
-//! A caller's prompt goes in at an entry box and its tokens come out.
+//! Requests from caller to server and back through the real processes.
 
 use badgerferry_testutils::fleet::Fleet;
 use badgerferry_testutils::fleet::FleetPlan;
@@ -8,29 +8,29 @@
 use serde_json::Value;
 
 #[tokio::test]
-async fn short_prompt_is_answered_whole_and_streamed() -> anyhow::Result<()> {
+async fn short_prompt_gets_equal_complete_and_streamed_responses() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
 
-    let whole = fleet.chat(0, "what crashed?", &[]).await?;
+    let complete = fleet.chat(0, "what crashed?", &[]).await?;
     let streamed = fleet.chat_streamed(1, "what crashed?").await?;
 
-    let answer: Value = whole.json()?;
-    let text = answer["choices"][0]["message"]["content"]
+    let response: Value = complete.json()?;
+    let text = response["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or_default();
-    assert_eq!(answer["usage"]["completion_tokens"], 16, "{answer}");
-    assert_eq!(whole.headers["x-badgerferry-ran"], "yes");
+    assert_eq!(response["usage"]["completion_tokens"], 16, "{response}");
+    assert_eq!(complete.headers["x-badgerferry-ran"], "yes");
     assert_eq!(
-        joined(&streamed.text()),
+        streamed_text(&streamed.text()),
         text,
-        "the same prompt has the same answer"
+        "the streamed and the complete response differ"
     );
     assert!(streamed.text().ends_with("data: [DONE]\n\n"));
     Ok(())
 }
 
 #[tokio::test]
-async fn prompt_larger_than_an_engine_is_answered_by_a_group() -> anyhow::Result<()> {
+async fn prompt_larger_than_one_engine_is_served_by_a_group() -> anyhow::Result<()> {
     let engine_args = ["--memory", "4000", "--prefill-rate", "200000"];
     let plan = FleetPlan {
         engine_args: engine_args.map(str::to_owned).to_vec(),
@@ -40,9 +40,9 @@
     let fleet = Fleet::start(&plan).await?;
     let prompt = "x".repeat(4 * 8_500);
 
-    let answer = fleet.chat(0, &prompt, &[]).await?;
+    let response = fleet.chat(0, &prompt, &[]).await?;
 
-    let body: Value = answer.json()?;
+    let body: Value = response.json()?;
     assert_eq!(body["usage"]["completion_tokens"], 16, "{body}");
     let mut prefills = 0;
     for engine in 0..3 {
@@ -50,8 +50,8 @@
             .as_u64()
             .unwrap_or(0);
     }
-    assert_eq!(prefills, 3, "each of three engines holds a share");
-    wait_until("every engine is back at its baseline", async || {
+    assert_eq!(prefills, 3, "each of three engines prefills a share");
+    wait_until("every engine has freed its memory", async || {
         let mut used = 0;
         for engine in 0..3 {
             used += fleet.memory_used(engine).await.unwrap_or(1);
@@ -62,21 +62,21 @@
 }
 
 #[tokio::test]
-async fn service_call_is_passed_on() -> anyhow::Result<()> {
+async fn service_call_is_forwarded() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
 
-    let answer = fleet
+    let response = fleet
         .notify(0, "alert-1", &[("x-badgerferry-not-repeatable", "true")])
         .await?;
 
-    let body: Value = answer.json()?;
+    let body: Value = response.json()?;
     assert_eq!(body["path"], "/alerts");
     assert_eq!(fleet.service_runs("alert-1").await?, 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn edit_is_in_force_on_both_boxes() -> anyhow::Result<()> {
+async fn settings_edit_takes_effect_on_both_boxes() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
 
     let edit = fleet.cli(&["settings", "set", "texas", "request.max_output_tokens", "5"])?;
@@ -86,14 +86,14 @@
     assert!(edit.status.success(), "{}", stderr(&edit));
     assert!(wait.status.success(), "{}", stderr(&wait));
     for index in 0..2 {
-        let answer: Value = fleet.chat(index, "what crashed?", &[]).await?.json()?;
-        assert_eq!(answer["usage"]["completion_tokens"], 5, "{answer}");
+        let response: Value = fleet.chat(index, "what crashed?", &[]).await?.json()?;
+        assert_eq!(response["usage"]["completion_tokens"], 5, "{response}");
     }
     Ok(())
 }
 
-/// The text of a streamed answer.
-fn joined(events: &str) -> String {
+/// The text of a streamed response.
+fn streamed_text(events: &str) -> String {
     let data = events
         .lines()
         .filter_map(|line| line.strip_prefix("data: "));
--- a/daemon/tests/test_failures.rs
+++ b/daemon/tests/test_failures.rs
@@ -1,4 +1,5 @@
-//! Servers die, freeze, refuse and garble; what each caller gets is whole and true.
+//! Faults of servers and of the platform: callers get a complete and correct response, or an error
+//! that states whether the request may have run.
 
 use badgerferry_testutils::fleet::Fleet;
 use badgerferry_testutils::fleet::FleetPlan;
@@ -7,17 +8,17 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Requests until one is drawn to a dying engine; all but never more than a few.
-const MOST_TRIES: usize = 100;
+/// Maximum number of requests until an engine that crashes is selected; usually a few suffice.
+const MAX_REQUESTS: usize = 100;
 
-fn text_of(answer: &Answer) -> anyhow::Result<String> {
-    let body: Value = answer.json()?;
+fn text_of(response: &Answer) -> anyhow::Result<String> {
+    let body: Value = response.json()?;
     let text = body["choices"][0]["message"]["content"].as_str();
     Ok(text.unwrap_or_default().to_owned())
 }
 
-async fn baseline(fleet: &Fleet, engines: usize) -> anyhow::Result<()> {
-    wait_until("every engine is back at its baseline", async || {
+async fn wait_until_memory_is_free(fleet: &Fleet, engines: usize) -> anyhow::Result<()> {
+    wait_until("every engine has freed its memory", async || {
         for engine in 0..engines {
             let used = fleet.memory_used(engine).await;
             if used.is_ok_and(|used| used > 0) {
@@ -30,35 +31,35 @@
 }
 
 #[tokio::test]
-async fn engine_killed_mid_stream_is_joined_by_another() -> anyhow::Result<()> {
+async fn stream_of_a_crashed_engine_resumes_on_another() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(&FleetPlan::default()).await?;
-    let whole = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
+    let complete = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
     for engine in &fleet.engines[..2] {
         let faults = json!({"die_after_tokens": 5});
         fleet.set_faults(engine.address, &faults).await?;
     }
 
-    // Which engine a request goes to is drawn; two of the three die under it.
-    let mut died = false;
-    for _ in 0..MOST_TRIES {
-        let joined = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
-        assert_eq!(joined, whole, "joined without a lost or doubled token");
+    // Engines are selected at random; two of the three crash during a request.
+    let mut has_crashed = false;
+    for _ in 0..MAX_REQUESTS {
+        let resumed = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
+        assert_eq!(resumed, complete, "a token was lost or duplicated");
         for engine in &mut fleet.engines[..2] {
-            died |= engine.ended()? == Some(3);
+            has_crashed |= engine.ended()? == Some(3);
         }
-        if died {
+        if has_crashed {
             break;
         }
     }
 
-    assert!(died, "no engine died mid-stream");
+    assert!(has_crashed, "no engine crashed during a stream");
     Ok(())
 }
 
 #[tokio::test]
-async fn garbled_frames_never_reach_a_caller() -> anyhow::Result<()> {
+async fn foreign_and_duplicate_frames_are_not_forwarded() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
-    let whole = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
+    let complete = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
     let faults = [
         json!({"cross": true}),
         json!({"double": true}),
@@ -69,23 +70,23 @@
         for engine in &fleet.engines {
             fleet.set_faults(engine.address, fault).await?;
         }
-        let answer = fleet.chat(1, "what crashed?", &[]).await?;
-        assert_eq!(text_of(&answer)?, whole, "with {fault}");
+        let response = fleet.chat(1, "what crashed?", &[]).await?;
+        assert_eq!(text_of(&response)?, complete, "with {fault}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn stream_cut_short_or_with_a_gap_is_not_taken_for_whole() -> anyhow::Result<()> {
+async fn truncated_or_gapped_stream_is_not_treated_as_complete() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
-    let whole = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
+    let complete = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
 
     for fault in [json!({"truncate_after": 3}), json!({"skip": true})] {
         for engine in &fleet.engines[..2] {
             fleet.set_faults(engine.address, &fault).await?;
         }
-        let answer = fleet.chat(1, "what crashed?", &[]).await?;
-        assert_eq!(text_of(&answer)?, whole, "with {fault}");
+        let response = fleet.chat(1, "what crashed?", &[]).await?;
+        assert_eq!(text_of(&response)?, complete, "with {fault}");
     }
     for engine in &fleet.engines {
         fleet
@@ -99,11 +100,11 @@
         "{}",
         failed.text()
     );
-    baseline(&fleet, 3).await
+    wait_until_memory_is_free(&fleet, 3).await
 }
 
 #[tokio::test]
-async fn killed_daemon_leaves_nothing_at_the_engines() -> anyhow::Result<()> {
+async fn engines_free_the_memory_of_a_killed_daemon() -> anyhow::Result<()> {
     let engine_args = ["--memory", "4000", "--prefill-rate", "1000"];
     let plan = FleetPlan {
         engine_args: engine_args.map(str::to_owned).to_vec(),
@@ -118,14 +119,14 @@
     let address = fleet.boxes[0].address;
     let prompt = "x".repeat(4 * 8_500);
     let body = badgerferry_testutils::fleet::chat_body(&prompt, false).to_string();
-    let asking = tokio::spawn(async move {
+    let pending_call = tokio::spawn(async move {
         let bearer = [("authorization", "Bearer demo-key")];
         let path = "/v1/chat/completions";
         caller
             .call(hyper::Method::POST, address, path, &bearer, body)
             .await
     });
-    wait_until("a group is reserved", async || {
+    wait_until("memory is reserved for a group", async || {
         fleet.memory_used(0).await.is_ok_and(|used| used > 0)
     })
     .await?;
@@ -133,33 +134,34 @@
     fleet.boxes[0].kill();
 
     assert!(
-        asking.await?.is_err(),
-        "the caller of a killed daemon gets no whole answer"
+        pending_call.await?.is_err(),
+        "the caller of a killed daemon got a complete response"
     );
-    baseline(&fleet, 3).await
+    wait_until_memory_is_free(&fleet, 3).await
 }
 
 #[tokio::test]
-async fn not_repeatable_call_to_a_dying_service_is_told_as_maybe_run() -> anyhow::Result<()> {
+async fn non_repeatable_call_to_a_crashed_service_may_have_run() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
-    let once = [("x-badgerferry-not-repeatable", "true")];
+    let headers = [("x-badgerferry-not-repeatable", "true")];
     fleet
         .set_faults(fleet.service.address, &json!({"refuse": true}))
         .await?;
 
-    let refused = fleet.notify(0, "alert", &once).await?;
+    let refused = fleet.notify(0, "alert", &headers).await?;
     let runs = fleet.service_runs("alert").await?;
     fleet
         .set_faults(fleet.service.address, &json!({"die_after_run": true}))
         .await?;
-    let lost = fleet.notify(0, "alert", &once).await?;
-    // A process that is ending still takes connections for a moment; a call lost there may have run.
+    let lost = fleet.notify(0, "alert", &headers).await?;
+    // A process that is exiting still accepts connections for a moment, and a call lost then may
+    // have run.
     let address = fleet.service.address;
-    wait_until("the service is gone", async || {
+    wait_until("the service refuses connections", async || {
         tokio::net::TcpStream::connect(address).await.is_err()
     })
     .await?;
-    let gone = fleet.notify(0, "alert", &once).await?;
+    let gone = fleet.notify(0, "alert", &headers).await?;
 
     assert_eq!(
         refused.headers["x-badgerferry-ran"],
@@ -168,7 +170,7 @@
         refused.text()
     );
     assert!(refused.headers.contains_key("retry-after"));
-    assert_eq!(runs, 0, "refused as not run, and it ran");
+    assert_eq!(runs, 0, "the call was refused as not run, but ran");
     assert_eq!(
         lost.headers["x-badgerferry-ran"],
         "maybe",
@@ -185,9 +187,9 @@
 }
 
 #[tokio::test]
-async fn request_key_runs_once_though_the_claims_answer_is_lost() -> anyhow::Result<()> {
+async fn request_key_runs_once_if_the_response_to_its_claim_is_lost() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
-    let once = [
+    let headers = [
         ("x-badgerferry-not-repeatable", "true"),
         ("x-badgerferry-request-key", "k1"),
     ];
@@ -195,8 +197,8 @@
         .set_faults(fleet.platform.address, &json!({"lose_write_answers": 1}))
         .await?;
 
-    let first = fleet.notify(0, "alert", &once).await?;
-    let second = fleet.notify(1, "alert", &once).await?;
+    let first = fleet.notify(0, "alert", &headers).await?;
+    let second = fleet.notify(1, "alert", &headers).await?;
 
     assert!(first.status.is_success(), "{}", first.text());
     assert_eq!(second.status, 409, "{}", second.text());
@@ -205,9 +207,9 @@
 }
 
 #[tokio::test]
-async fn request_key_is_refused_not_run_while_the_platform_is_down() -> anyhow::Result<()> {
+async fn request_with_a_key_is_refused_while_the_platform_is_down() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
-    let once = [
+    let headers = [
         ("x-badgerferry-not-repeatable", "true"),
         ("x-badgerferry-request-key", "k2"),
     ];
@@ -215,7 +217,7 @@
         .set_faults(fleet.platform.address, &json!({"down": true}))
         .await?;
 
-    let refused = fleet.notify(0, "alert", &once).await?;
+    let refused = fleet.notify(0, "alert", &headers).await?;
     let unkeyed = fleet.notify(0, "other", &[]).await?;
 
     let body: Value = refused.json()?;
@@ -223,7 +225,7 @@
     assert_eq!(fleet.service_runs("alert").await?, 0);
     assert!(
         unkeyed.status.is_success(),
-        "serving goes on: {}",
+        "a call without a key was not served: {}",
         unkeyed.text()
     );
     Ok(())
--- a/daemon/tests/test_bad_input.rs
+++ b/daemon/tests/test_invalid_requests.rs
@@ -1,4 +1,5 @@
-//! What is wrong with a request is told clearly, and nothing is held for it.
+//! Invalid requests and box files: each error is reported by a specific code or message, and no
+//! resource stays reserved for a rejected request.
 
 use badgerferry_testutils::fleet::Fleet;
 use badgerferry_testutils::fleet::FleetPlan;
@@ -11,16 +12,16 @@
 use tokio::net::TcpStream;
 
 struct Case {
-    what: &'static str,
+    name: &'static str,
     headers: Vec<(&'static str, &'static str)>,
     body: String,
     status: u16,
     code: &'static str,
 }
 
-fn case(what: &'static str, status: u16, code: &'static str) -> Case {
+fn case(name: &'static str, status: u16, code: &'static str) -> Case {
     Case {
-        what,
+        name,
         headers: vec![("authorization", "Bearer demo-key")],
         body: chat_body("hello", false).to_string(),
         status,
@@ -29,14 +30,14 @@
 }
 
 fn cases() -> Vec<Case> {
-    let header = |what, name, value, status, code| {
-        let mut found = case(what, status, code);
-        found.headers.push((name, value));
-        found
+    let with_header = |name, header, value, status, code| {
+        let mut new_case = case(name, status, code);
+        new_case.headers.push((header, value));
+        new_case
     };
-    let body = |what, body: &str, status, code| Case {
+    let with_body = |name, body: &str, status, code| Case {
         body: body.to_owned(),
-        ..case(what, status, code)
+        ..case(name, status, code)
     };
     vec![
         Case {
@@ -47,75 +48,75 @@
             headers: vec![("authorization", "Bearer other")],
             ..case("a wrong key", 401, "wrong_key")
         },
-        header(
+        with_header(
             "two keys",
             "authorization",
             "Bearer other",
             400,
             "duplicate_header",
         ),
-        header(
-            "no such class",
+        with_header(
+            "an unknown class",
             "x-badgerferry-class",
             "nope",
             400,
             "unknown_class",
         ),
-        header(
-            "a bad limit",
+        with_header(
+            "an invalid time limit",
             "x-badgerferry-time-limit-ms",
             "soon",
             400,
             "bad_header",
         ),
-        header(
-            "a zero limit",
+        with_header(
+            "a time limit of zero",
             "x-badgerferry-time-limit-ms",
             "0",
             400,
             "bad_header",
         ),
-        header(
-            "a bad mark",
+        with_header(
+            "an invalid not-repeatable header",
             "x-badgerferry-not-repeatable",
             "perhaps",
             400,
             "bad_header",
         ),
-        header(
-            "an empty key",
+        with_header(
+            "an empty request key",
             "x-badgerferry-request-key",
             "",
             400,
             "bad_header",
         ),
-        body("no JSON", "{\"model\":", 400, "invalid_body"),
-        body(
+        with_body("not JSON", "{\"model\":", 400, "invalid_body"),
+        with_body(
             "no messages",
             "{\"model\":\"llm-pool\"}",
             400,
             "invalid_body",
         ),
-        body(
-            "no such model",
+        with_body(
+            "an unknown model",
             &chat_body("x", false).to_string().replace("llm-pool", "gpt"),
             503,
             "no_server",
         ),
-        body(
+        with_body(
             "a body over the limit",
             &"x".repeat(70_000),
             413,
             "body_too_large",
         ),
-        body(
-            "too long a prompt",
+        with_body(
+            "a prompt over the limit",
             &chat_body(&"x".repeat(5_000), false).to_string(),
             413,
             "prompt_too_long",
         ),
-        header(
-            "too short a limit",
+        with_header(
+            "a time limit that is too short",
             "x-badgerferry-time-limit-ms",
             "1",
             503,
@@ -125,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn bad_requests_get_a_clear_error() -> anyhow::Result<()> {
+async fn invalid_requests_get_a_specific_error() -> anyhow::Result<()> {
     let plan = FleetPlan {
         boxes: 1,
         settings: vec![
@@ -140,24 +141,28 @@
         let address = fleet.boxes[0].address;
         let path = "/v1/chat/completions";
         let method = hyper::Method::POST;
-        let answer = fleet
+        let response = fleet
             .caller
             .call(method, address, path, &case.headers, case.body)
             .await?;
-        let body: Value = answer.json()?;
-        let what = case.what;
-        assert_eq!(answer.status.as_u16(), case.status, "{what}: {body}");
-        assert_eq!(body["error"]["code"], case.code, "{what}: {body}");
-        assert_eq!(body["error"]["ran"], "no", "{what}: {body}");
+        let body: Value = response.json()?;
+        let name = case.name;
+        assert_eq!(response.status.as_u16(), case.status, "{name}: {body}");
+        assert_eq!(body["error"]["code"], case.code, "{name}: {body}");
+        assert_eq!(body["error"]["ran"], "no", "{name}: {body}");
     }
 
     let status = fleet.status(0).await?;
-    assert_eq!((status.waiting, status.active), (0, 0), "nothing is held");
+    assert_eq!(
+        (status.waiting, status.active),
+        (0, 0),
+        "no request is queued or active"
+    );
     Ok(())
 }
 
 #[tokio::test]
-async fn caller_that_goes_away_frees_the_engine() -> anyhow::Result<()> {
+async fn caller_disconnect_frees_the_engine() -> anyhow::Result<()> {
     let engine_args = ["--iteration-ms", "400"];
     let plan = FleetPlan {
         boxes: 1,
@@ -178,7 +183,7 @@
 
     drop(stream);
 
-    wait_until("no engine holds anything", async || {
+    wait_until("every engine has freed its memory", async || {
         let mut used = 0;
         for engine in 0..3 {
             used += fleet.memory_used(engine).await.unwrap_or(1);
@@ -191,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn box_file_with_faults_tells_all_of_them() -> anyhow::Result<()> {
+async fn all_errors_of_a_box_file_are_reported() -> anyhow::Result<()> {
     let path = std::env::temp_dir().join(format!("badgerferry-bad-{}.json", std::process::id()));
     std::fs::write(
         &path,
@@ -206,7 +211,7 @@
     std::fs::remove_file(&path)?;
     let text = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{text}");
-    for fault in [
+    for error in [
         "name: text is expected",
         "hall: is missing",
         "listen: an address as 10.0.0.1:8080 is expected, not \"here\"",
@@ -215,7 +220,7 @@
         "peer_key: 32 bytes in hexadecimal are expected",
         "colour: there is no such field",
     ] {
-        assert!(text.contains(fault), "{fault} is not in:\n{text}");
+        assert!(text.contains(error), "{error} is not in:\n{text}");
     }
     Ok(())
 }
