--- a/cli/src/session.rs
+++ b/cli/src/session.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 use std::time::SystemTime;
 
-use badgerferry_edges::link::ControlLink;
+use badgerferry_edges::http_client::ControlClient;
 use badgerferry_edges::platform::HttpPlatform;
 use badgerferry_edges::platform::Platform;
 use badgerferry_lib::ids::EditId;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Session {
     platform: HttpPlatform,
-    boxes: ControlLink,
+    boxes: ControlClient,
     address: String,
     patience: Duration,
     start: Instant,
@@ -76,7 +76,7 @@
     pub fn new(address: &str, patience: Duration) -> Self {
         Self {
             platform: HttpPlatform::new(address, CALL),
-            boxes: ControlLink::new(CALL),
+            boxes: ControlClient::new(CALL),
             address: address.to_owned(),
             patience,
             start: Instant::now(),
--- a/daemon/src/box_config.rs
+++ b/daemon/src/box_config.rs
@@ -52,12 +52,12 @@
 
 /// One fault of the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ConfigFault {
+pub struct ConfigError {
     path: String,
     problem: String,
 }
 
-impl fmt::Display for ConfigFault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.path, self.problem)
     }
@@ -68,9 +68,9 @@
 /// # Errors
 ///
 /// Every fault found.
-pub fn read(path: &Path) -> Result<BoxConfig, Vec<ConfigFault>> {
+pub fn read(path: &Path) -> Result<BoxConfig, Vec<ConfigError>> {
     let whole_file = |problem: String| {
-        vec![ConfigFault {
+        vec![ConfigError {
             path: "file".to_owned(),
             problem,
         }]
@@ -86,12 +86,12 @@
 
 struct Fields {
     left: Map<String, Value>,
-    faults: Vec<ConfigFault>,
+    faults: Vec<ConfigError>,
 }
 
 impl Fields {
     fn fault(&mut self, path: &str, problem: impl Into<String>) {
-        self.faults.push(ConfigFault {
+        self.faults.push(ConfigError {
             path: path.to_owned(),
             problem: problem.into(),
         });
@@ -184,7 +184,7 @@
     }
 }
 
-fn check(fields: Map<String, Value>) -> Result<BoxConfig, Vec<ConfigFault>> {
+fn check(fields: Map<String, Value>) -> Result<BoxConfig, Vec<ConfigError>> {
     let mut fields = Fields {
         left: fields,
         faults: Vec::new(),
--- a/daemon/src/box_list.rs
+++ b/daemon/src/box_list.rs
@@ -13,7 +13,7 @@
 use badgerferry_lib::platform_wire::BoxList;
 use badgerferry_lib::time::Time;
 
-use crate::stop::BALANCER_NOTICE;
+use crate::stop::BALANCER_DETECTION_TIME;
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
@@ -27,7 +27,7 @@
     loop {
         let pause = match traffic.platform.boxes().await {
             Ok(list) => {
-                traffic.platform_answered();
+                traffic.record_platform_response();
                 backoff.reset();
                 take(traffic, &list, &mut leaving_since);
                 EVERY
@@ -66,6 +66,6 @@
     }
     *since = listed.then_some(since.unwrap_or(now));
     traffic.leaving.store(listed, Ordering::SeqCst);
-    let refuses = since.is_some_and(|since| now.since(since) >= BALANCER_NOTICE);
+    let refuses = since.is_some_and(|since| now.since(since) >= BALANCER_DETECTION_TIME);
     traffic.dispatcher().set_stopping(refuses);
 }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -42,7 +42,7 @@
 
 impl Traffic {
     /// Records that the platform answered.
-    pub fn platform_answered(&self) {
+    pub fn record_platform_response(&self) {
         lock(&self.status).platform_at = Some(self.clock.now());
     }
 }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -101,7 +101,7 @@
     telemetry::count_peer_bytes("sent", frame.len());
     let address = address.to_owned();
     let peer = NngPeer {
-        limit: LIMIT,
+        timeout: LIMIT,
         max_frame: MAX_FRAME_BYTES,
     };
     let call = tokio::task::spawn_blocking(move || peer.exchange(&address, &frame));
@@ -224,7 +224,7 @@
     let checkpoint = checkpoint.and_then(|bytes| decode(&bytes).ok());
     let followed = lock(&traffic.follow).on_peer_head(head, checkpoint);
     let needs_checkpoint = matches!(followed, FollowOutcome::NeedsCheckpoint(_));
-    settings_watch::settle(traffic, followed);
+    settings_watch::apply_outcome(traffic, followed);
     needs_checkpoint
 }
 
--- a/daemon/src/placement_control.rs
+++ b/daemon/src/placement_control.rs
@@ -58,7 +58,7 @@
     };
     let answer = traffic.platform.lease(&asked).await;
     if answer.is_ok() {
-        traffic.platform_answered();
+        traffic.record_platform_response();
     }
     let held = lease.fence(asked_at);
     let now = traffic.clock.now();
--- a/daemon/src/request_run.rs
+++ b/daemon/src/request_run.rs
@@ -5,7 +5,7 @@
 
 use badgerferry_edges::engine::Engine;
 use badgerferry_edges::engine::FrameStream;
-use badgerferry_edges::link::SendError;
+use badgerferry_edges::http_client::SendError;
 use badgerferry_lib::dispatcher::Decision;
 use badgerferry_lib::dispatcher::Start;
 use badgerferry_lib::engine_wire::CancelRequest;
@@ -363,7 +363,7 @@
     async fn forward(&mut self, now: Time, text: String) {
         if let Some(before) = self.last_token.replace(now) {
             let prompt_tokens = self.meta.prompt_tokens;
-            telemetry::record_between_tokens(prompt_tokens, now.since(before));
+            telemetry::record_inter_token_latency(prompt_tokens, now.since(before));
         }
         let until = self.traffic.clock.instant(self.meta.deadline);
         // A slow caller holds its own stream up, and no longer than its time limit.
--- a/daemon/src/routes.rs
+++ b/daemon/src/routes.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerferry_edges::prompt_listener::PromptListener;
+use badgerferry_edges::no_delay_listener::NoDelayListener;
 use badgerferry_edges::service::ServiceCall;
 use badgerferry_lib::ids::ModelName;
 use badgerferry_lib::ids::RequestId;
@@ -93,7 +93,7 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT);
-    let server = viz::Server::with_builder(PromptListener(listener), router, builder);
+    let server = viz::Server::with_builder(NoDelayListener(listener), router, builder);
     if let Err(cause) = server.await {
         tracing::error!(cause = %cause, "callers can't be served");
     }
--- a/daemon/src/service_run.rs
+++ b/daemon/src/service_run.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use badgerferry_edges::link::Answer;
-use badgerferry_edges::link::SendError;
+use badgerferry_edges::http_client::BufferedResponse;
+use badgerferry_edges::http_client::SendError;
 use badgerferry_edges::service::Service;
 use badgerferry_edges::service::ServiceCall;
 use badgerferry_lib::dispatcher::Decision;
@@ -43,7 +43,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The service's answer.
-    pub answer: Option<Answer>,
+    pub answer: Option<BufferedResponse>,
 }
 
 /// Runs a call to its outcome.
@@ -154,7 +154,7 @@
     traffic: &Traffic,
     prepared: &PreparedCall,
     server: &ServerName,
-) -> Result<Answer, SendError> {
+) -> Result<BufferedResponse, SendError> {
     let address = traffic.address_of(server).unwrap_or_default();
     let connect = prepared.class.connect_timeout;
     traffic
@@ -163,7 +163,10 @@
         .await
 }
 
-fn called(done: Result<Answer, SendError>, answer: &mut Option<Answer>) -> Event<'static> {
+fn called(
+    done: Result<BufferedResponse, SendError>,
+    answer: &mut Option<BufferedResponse>,
+) -> Event<'static> {
     match done {
         Ok(found) => {
             *answer = Some(found);
--- a/daemon/src/settings_watch.rs
+++ b/daemon/src/settings_watch.rs
@@ -34,13 +34,13 @@
         };
         let taken = match answer {
             Ok(None) => {
-                traffic.platform_answered();
+                traffic.record_platform_response();
                 lock(&traffic.follow).confirm(asked_at);
                 publish_status(traffic);
                 version
             }
             Ok(Some(found)) => {
-                traffic.platform_answered();
+                traffic.record_platform_response();
                 take(traffic, asked_at, &found).await
             }
             Err(_silence) => {
@@ -64,7 +64,7 @@
         Err(fault) => {
             // Noted before it is told, or `status` would show it a whole watch later.
             lock(&traffic.follow).record_error(fault.clone());
-            settle(traffic, FollowOutcome::Rejected(fault));
+            apply_outcome(traffic, FollowOutcome::Rejected(fault));
             return Some(found.version);
         }
     };
@@ -76,7 +76,7 @@
         }
         other => other,
     };
-    settle(traffic, followed);
+    apply_outcome(traffic, followed);
     Some(found.version)
 }
 
@@ -86,7 +86,7 @@
 }
 
 /// Puts a newer revision in force, and tells of one that can't be used.
-pub fn settle(traffic: &Traffic, followed: FollowOutcome) {
+pub fn apply_outcome(traffic: &Traffic, followed: FollowOutcome) {
     match followed {
         FollowOutcome::Advanced(in_force) => publish(traffic, &in_force),
         FollowOutcome::Rejected(fault) => {
--- a/daemon/src/stop.rs
+++ b/daemon/src/stop.rs
@@ -10,14 +10,14 @@
 use crate::traffic::Traffic;
 
 /// Time for the balancer to see that readiness failed before arrivals are refused.
-pub const BALANCER_NOTICE: Duration = Duration::from_secs(2);
+pub const BALANCER_DETECTION_TIME: Duration = Duration::from_secs(2);
 /// How often the count of requests in flight is looked at.
 const LOOK: Duration = Duration::from_millis(50);
 /// Quiet time after the last answer, so that its last bytes are out.
 const LAST_BYTES: Duration = Duration::from_millis(300);
 
 /// Returns when the daemon may end: after SIGTERM and the last answer, or a second signal.
-pub async fn wait(traffic: &Arc<Traffic>) {
+pub async fn wait_for_exit(traffic: &Arc<Traffic>) {
     let (Ok(mut term), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -44,7 +44,7 @@
 }
 
 async fn drain(traffic: &Arc<Traffic>) {
-    tokio::time::sleep(BALANCER_NOTICE).await;
+    tokio::time::sleep(BALANCER_DETECTION_TIME).await;
     traffic.dispatcher().set_stopping(true);
     loop {
         while in_flight(traffic) > 0 {
--- a/daemon/src/telemetry.rs
+++ b/daemon/src/telemetry.rs
@@ -117,7 +117,7 @@
 }
 
 /// Records the time between two tokens.
-pub fn record_between_tokens(prompt_tokens: u64, took: Duration) {
+pub fn record_inter_token_latency(prompt_tokens: u64, took: Duration) {
     let band = band(prompt_tokens);
     histogram!("badgerferry_between_tokens_seconds", "band" => band).record(took.as_secs_f64());
 }
--- a/daemon/src/traffic.rs
+++ b/daemon/src/traffic.rs
@@ -268,7 +268,7 @@
         );
         tokio::spawn(tick(Arc::clone(&traffic)));
         tokio::spawn(routes::serve(listener, Arc::clone(&traffic)));
-        stop::wait(&traffic).await;
+        stop::wait_for_exit(&traffic).await;
         Ok(())
     })
 }
--- a/daemon/tests/test_boxes.rs
+++ b/daemon/tests/test_boxes.rs
@@ -253,7 +253,7 @@
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     let address = fleet.list.boxes[0].peer_address.clone();
     let stranger = NngPeer {
-        limit: std::time::Duration::from_millis(500),
+        timeout: std::time::Duration::from_millis(500),
         max_frame: 1_000_000,
     };
     let rng = &mut badgerferry_testutils::fixtures::rng(1);
--- a/edges/src/engine.rs
+++ b/edges/src/engine.rs
@@ -20,11 +20,11 @@
 use hyper::body::Incoming;
 use serde::Serialize;
 
-use crate::link::CallError;
-use crate::link::ControlLink;
-use crate::link::SendError;
-use crate::link::json;
-use crate::link::send_once;
+use crate::http_client::CallError;
+use crate::http_client::ControlClient;
+use crate::http_client::SendError;
+use crate::http_client::json;
+use crate::http_client::send_once;
 
 /// Longest line of a stream; a frame holds one token.
 const MAX_LINE_BYTES: usize = 64 << 10;
@@ -94,14 +94,14 @@
 /// Engines over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
-    link: ControlLink,
+    link: ControlClient,
 }
 
 impl HttpEngine {
     /// A client whose control calls take at most `limit`.
     pub fn new(limit: Duration) -> Self {
         Self {
-            link: ControlLink::new(limit),
+            link: ControlClient::new(limit),
         }
     }
 }
@@ -159,11 +159,11 @@
     if answer.status().is_success() {
         return Ok(answer);
     }
-    Err(fault_of(address, answer).await)
+    Err(read_error(address, answer).await)
 }
 
 /// Reads why a server did not do the work.
-pub(crate) async fn fault_of(address: &str, answer: Response<Incoming>) -> SendError {
+pub(crate) async fn read_error(address: &str, answer: Response<Incoming>) -> SendError {
     let status = answer.status();
     let body = Limited::new(answer.into_body(), MAX_FAULT_BYTES);
     let bytes = match body.collect().await {
--- a/edges/src/link.rs
+++ b/edges/src/http_client.rs
@@ -110,7 +110,7 @@
 pub enum CallError {
     /// No answer that could be understood.
     #[error("no answer from {address}: {cause}")]
-    NoAnswer {
+    NoResponse {
         /// Whom.
         address: String,
         /// Why.
@@ -128,7 +128,7 @@
 
 /// A whole answer to a control call.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -139,12 +139,12 @@
 
 /// Control calls over pooled connections.
 #[derive(Debug, Clone)]
-pub struct ControlLink {
+pub struct ControlClient {
     client: Client<HttpConnector, Body>,
     limit: Duration,
 }
 
-impl ControlLink {
+impl ControlClient {
     /// A link whose calls take at most `limit`.
     pub fn new(limit: Duration) -> Self {
         let mut connector = HttpConnector::new();
@@ -163,15 +163,15 @@
     /// # Errors
     ///
     /// No whole answer came in time.
-    pub async fn call_within(
+    pub async fn call_with_timeout(
         &self,
         limit: Duration,
         method: Method,
         address: &str,
         path: &str,
         body: impl Into<Bytes>,
-    ) -> Result<Answer, CallError> {
-        let no_answer = |cause: String| CallError::NoAnswer {
+    ) -> Result<BufferedResponse, CallError> {
+        let no_answer = |cause: String| CallError::NoResponse {
             address: address.to_owned(),
             cause,
         };
@@ -186,7 +186,7 @@
             let (parts, body) = answer.into_parts();
             let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
             let body = body.map_err(|cause| no_answer(cause.to_string()))?;
-            Ok(Answer {
+            Ok(BufferedResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body: body.to_bytes(),
@@ -209,8 +209,8 @@
         address: &str,
         path: &str,
         body: impl Into<Bytes>,
-    ) -> Result<Answer, CallError> {
-        self.call_within(self.limit, method, address, path, body)
+    ) -> Result<BufferedResponse, CallError> {
+        self.call_with_timeout(self.limit, method, address, path, body)
             .await
     }
 
@@ -224,7 +224,7 @@
         address: &str,
         path: &str,
         value: &T,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let body = json(value);
         let answer = self.call(Method::POST, address, path, body).await?;
         match answer.status {
@@ -251,14 +251,17 @@
     }
 }
 
-pub(crate) fn parse<T: DeserializeOwned>(address: &str, answer: &Answer) -> Result<T, CallError> {
+pub(crate) fn parse<T: DeserializeOwned>(
+    address: &str,
+    answer: &BufferedResponse,
+) -> Result<T, CallError> {
     if !answer.status.is_success() {
         return Err(CallError::Status {
             address: address.to_owned(),
             status: answer.status,
         });
     }
-    serde_json::from_slice(&answer.body).map_err(|cause| CallError::NoAnswer {
+    serde_json::from_slice(&answer.body).map_err(|cause| CallError::NoResponse {
         address: address.to_owned(),
         cause: cause.to_string(),
     })
--- a/edges/src/lib.rs
+++ b/edges/src/lib.rs
@@ -5,8 +5,8 @@
 //! No decision is taken in this crate: a call is made once and its result is told.
 
 pub mod engine;
-pub mod link;
+pub mod http_client;
+pub mod no_delay_listener;
 pub mod peer;
 pub mod platform;
-pub mod prompt_listener;
 pub mod service;
--- a/edges/src/prompt_listener.rs
+++ b/edges/src/no_delay_listener.rs
@@ -11,9 +11,9 @@
 
 /// Accepts connections that hold nothing back.
 #[derive(Debug)]
-pub struct PromptListener(pub TcpListener);
+pub struct NoDelayListener(pub TcpListener);
 
-impl viz::Listener for PromptListener {
+impl viz::Listener for NoDelayListener {
     type Io = TcpStream;
     type Addr = SocketAddr;
 
--- a/edges/src/peer.rs
+++ b/edges/src/peer.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct NngPeer {
     /// Longest exchange.
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Largest frame, in bytes.
     pub max_frame: usize,
 }
@@ -56,8 +56,8 @@
     fn try_exchange(self, address: &str, frame: &[u8]) -> Result<Vec<u8>, nng::Error> {
         let socket = Socket::new(Protocol::Req0)?;
         socket.set_opt::<RecvMaxSize>(self.max_frame)?;
-        socket.set_opt::<SendTimeout>(Some(self.limit))?;
-        socket.set_opt::<RecvTimeout>(Some(self.limit))?;
+        socket.set_opt::<SendTimeout>(Some(self.timeout))?;
+        socket.set_opt::<RecvTimeout>(Some(self.timeout))?;
         // Dialing in the background lets the send's time limit cover the connection too.
         socket.dial_async(&format!("tcp://{address}"))?;
         socket
--- a/edges/src/platform.rs
+++ b/edges/src/platform.rs
@@ -14,10 +14,10 @@
 use hyper::StatusCode;
 use hyper::body::Bytes;
 
-use crate::link::Answer;
-use crate::link::CallError;
-use crate::link::ControlLink;
-use crate::link::parse;
+use crate::http_client::BufferedResponse;
+use crate::http_client::CallError;
+use crate::http_client::ControlClient;
+use crate::http_client::parse;
 
 /// Added to a watch's own waiting time before it is given up.
 const WATCH_SLACK: Duration = Duration::from_secs(3);
@@ -67,7 +67,7 @@
 /// The platform over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
-    link: ControlLink,
+    link: ControlClient,
     address: String,
 }
 
@@ -75,7 +75,7 @@
     /// The platform at an address; each call takes at most `limit`.
     pub fn new(address: &str, limit: Duration) -> Self {
         Self {
-            link: ControlLink::new(limit),
+            link: ControlClient::new(limit),
             address: address.to_owned(),
         }
     }
@@ -85,13 +85,13 @@
         method: Method,
         path: &str,
         body: impl Into<Bytes>,
-    ) -> Result<Answer, NoAnswer> {
+    ) -> Result<BufferedResponse, NoAnswer> {
         let answer = self.link.call(method, &self.address, path, body).await;
         answer.map_err(|_silence| NoAnswer)
     }
 }
 
-fn versioned(answer: &Answer) -> Result<Versioned, NoAnswer> {
+fn versioned(answer: &BufferedResponse) -> Result<Versioned, NoAnswer> {
     let version = answer
         .headers
         .get(VERSION_HEADER)
@@ -110,7 +110,7 @@
     }
 }
 
-const fn swap_answer(answer: &Answer) -> Result<SwapResponse, NoAnswer> {
+const fn swap_answer(answer: &BufferedResponse) -> Result<SwapResponse, NoAnswer> {
     match answer.status {
         StatusCode::OK => Ok(SwapResponse::Swapped),
         StatusCode::CONFLICT => Ok(SwapResponse::Conflict),
@@ -139,9 +139,9 @@
             wait.as_millis()
         );
         let limit = wait + WATCH_SLACK;
-        let call = self
-            .link
-            .call_within(limit, Method::GET, &self.address, &path, Bytes::new());
+        let call =
+            self.link
+                .call_with_timeout(limit, Method::GET, &self.address, &path, Bytes::new());
         let answer = understood(call.await)?;
         match answer.status {
             StatusCode::NOT_MODIFIED => Ok(None),
--- a/edges/src/service.rs
+++ b/edges/src/service.rs
@@ -12,10 +12,10 @@
 use hyper::header::HeaderMap;
 use hyper::header::HeaderName;
 
-use crate::engine::fault_of;
-use crate::link::Answer;
-use crate::link::SendError;
-use crate::link::send_once;
+use crate::engine::read_error;
+use crate::http_client::BufferedResponse;
+use crate::http_client::SendError;
+use crate::http_client::send_once;
 
 /// Largest answer of a service.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
@@ -53,7 +53,7 @@
         address: &str,
         connect: Duration,
         call: &ServiceCall,
-    ) -> impl Future<Output = Result<Answer, SendError>> + Send;
+    ) -> impl Future<Output = Result<BufferedResponse, SendError>> + Send;
 }
 
 /// Plain services over HTTP.
@@ -61,7 +61,7 @@
 pub struct HttpService;
 
 /// Whether a header is passed on.
-pub fn is_passed_on(name: &HeaderName) -> bool {
+pub fn is_end_to_end(name: &HeaderName) -> bool {
     !HOP_HEADERS.contains(&name.as_str())
 }
 
@@ -71,13 +71,13 @@
         address: &str,
         connect: Duration,
         call: &ServiceCall,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<BufferedResponse, SendError> {
         let mut request = Request::builder()
             .method(call.method.clone())
             .uri(&call.path)
             .body(Full::new(call.body.clone()))
             .map_err(|cause| SendError::no_connection(address, &cause))?;
-        let passed = call.headers.iter().filter(|(name, _)| is_passed_on(name));
+        let passed = call.headers.iter().filter(|(name, _)| is_end_to_end(name));
         for (name, value) in passed {
             request.headers_mut().append(name, value.clone());
         }
@@ -87,12 +87,12 @@
         request.headers_mut().insert("host", host);
         let answer = send_once(address, connect, request).await?;
         if answer.status() == StatusCode::SERVICE_UNAVAILABLE {
-            return Err(fault_of(address, answer).await);
+            return Err(read_error(address, answer).await);
         }
         let (parts, body) = answer.into_parts();
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         let body = body.map_err(|cause| SendError::lost(address, &cause))?;
-        Ok(Answer {
+        Ok(BufferedResponse {
             status: parts.status,
             headers: parts.headers,
             body: body.to_bytes(),
--- a/edges/tests/test_peer.rs
+++ b/edges/tests/test_peer.rs
@@ -9,7 +9,7 @@
 const MAX_FRAME: usize = 2_000_000;
 
 const PEER: NngPeer = NngPeer {
-    limit: Duration::from_secs(5),
+    timeout: Duration::from_secs(5),
     max_frame: MAX_FRAME,
 };
 
@@ -39,7 +39,7 @@
 fn listener_goes_on_after_a_frame_without_an_answer() {
     let address = listen();
     let short = NngPeer {
-        limit: Duration::from_millis(200),
+        timeout: Duration::from_millis(200),
         ..PEER
     };
 
--- a/testutils/src/http.rs
+++ b/testutils/src/http.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use badgerferry_edges::prompt_listener::PromptListener;
+use badgerferry_edges::no_delay_listener::NoDelayListener;
 use http_body_util::BodyExt;
 use http_body_util::Full;
 use hyper::Method;
@@ -31,7 +31,7 @@
     let listener = tokio::net::TcpListener::bind(listen).await;
     let listener = listener.with_context(|| format!("failed to listen on {listen}"))?;
     println!("listening on {}", listener.local_addr()?);
-    viz::serve(PromptListener(listener), router).await?;
+    viz::serve(NoDelayListener(listener), router).await?;
     Ok(())
 }
 
