--- a/edges/src/engine.rs
+++ b/edges/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines.
+//! Client of model engines.
 
 use std::time::Duration;
 
@@ -26,64 +26,64 @@
 use crate::http_client::json;
 use crate::http_client::send_once;
 
-/// Longest line of a stream; a frame holds one token.
+/// Maximum size of a line of a response stream; a frame holds one token.
 const MAX_LINE_BYTES: usize = 64 << 10;
-/// Largest fault read from a server.
-const MAX_FAULT_BYTES: usize = 64 << 10;
+/// Maximum size of an error body read from a server.
+const MAX_ERROR_BYTES: usize = 64 << 10;
 
-/// What badgerferry asks of a model engine.
+/// Requests that badgerferry sends to a model engine.
 pub trait Engine {
-    /// Starts or resumes an answer.
+    /// Starts or resumes a generation.
     fn generate(
         &self,
         address: &str,
-        connect: Duration,
-        asked: &GenerateRequest,
+        connect_timeout: Duration,
+        request: &GenerateRequest,
     ) -> impl Future<Output = Result<FrameStream, SendError>> + Send;
 
-    /// Prefills a share of a prompt; returns when that is done.
+    /// Prefills a share of a prompt; returns when the prefill is done.
     fn prefill(
         &self,
         address: &str,
-        connect: Duration,
-        asked: &PrefillRequest,
+        connect_timeout: Duration,
+        request: &PrefillRequest,
     ) -> impl Future<Output = Result<(), SendError>> + Send;
 
-    /// Reserves memory for a share; an error means that it may or may not be reserved.
+    /// Reserves memory for a share; after an error, the memory may or may not be reserved.
     fn reserve(
         &self,
         address: &str,
-        asked: &ReserveRequest,
+        request: &ReserveRequest,
     ) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Gives up a reservation.
+    /// Releases a reservation.
     fn release(
         &self,
         address: &str,
-        asked: &ReleaseRequest,
+        request: &ReleaseRequest,
     ) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Stops an attempt.
+    /// Stops an attempt and frees its memory.
     fn cancel(
         &self,
         address: &str,
-        asked: &CancelRequest,
+        request: &CancelRequest,
     ) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Says what an owner still holds, and that it lives.
+    /// Renews an owner's liveness and lists the attempts and reservations that it still needs.
     fn renew(
         &self,
         address: &str,
-        asked: &RenewRequest,
+        request: &RenewRequest,
     ) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Asks how the engine stands.
+    /// Fetches the engine's state report.
     fn report(
         &self,
         address: &str,
     ) -> impl Future<Output = Result<ReportResponse, CallError>> + Send;
 
-    /// Gives a fenced order.
+    /// Sends an order protected by a fencing token.
     fn order(
         &self,
         address: &str,
@@ -91,50 +91,50 @@
     ) -> impl Future<Output = Result<(), CallError>> + Send;
 }
 
-/// Engines over HTTP.
+/// Client of engines over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
-    link: ControlClient,
+    client: ControlClient,
 }
 
 impl HttpEngine {
-    /// A client whose control calls take at most `limit`.
-    pub fn new(limit: Duration) -> Self {
+    /// Creates a client whose control calls time out after `timeout`.
+    pub fn new(timeout: Duration) -> Self {
         Self {
-            link: ControlClient::new(limit),
+            client: ControlClient::new(timeout),
         }
     }
 }
 
-/// The frames of an answer as they come.
+/// Frames of a generation, read from the response body.
 #[derive(Debug)]
 pub struct FrameStream {
     body: Incoming,
     buf: Vec<u8>,
 }
 
-/// The stream ended, or what came was no frame.
+/// The stream ended, failed or contained a line that is not a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamEnded;
 
 impl FrameStream {
-    /// The next frame. May be dropped and called again without loss.
+    /// Returns the next frame. Cancel-safe: a dropped call loses no data.
     ///
     /// # Errors
     ///
-    /// The stream ended, or what came was no frame.
+    /// The stream ended, failed or contained a line that is not a frame.
     pub async fn next(&mut self) -> Result<Frame, StreamEnded> {
         loop {
             if let Some(end) = self.buf.iter().position(|byte| *byte == b'\n') {
                 let line: Vec<u8> = self.buf.drain(..=end).collect();
-                return serde_json::from_slice(&line).map_err(|_not_a_frame| StreamEnded);
+                return serde_json::from_slice(&line).map_err(|_malformed| StreamEnded);
             }
             if self.buf.len() > MAX_LINE_BYTES {
                 return Err(StreamEnded);
             }
             match self.body.frame().await {
-                Some(Ok(part)) => {
-                    if let Some(data) = part.data_ref() {
+                Some(Ok(chunk)) => {
+                    if let Some(data) = chunk.data_ref() {
                         self.buf.extend_from_slice(data);
                     }
                 }
@@ -146,34 +146,34 @@
 
 async fn post_once<T: Serialize>(
     address: &str,
-    connect: Duration,
+    connect_timeout: Duration,
     path: &str,
-    asked: &T,
+    message: &T,
 ) -> Result<Response<Incoming>, SendError> {
     let request = Request::post(path)
         .header("host", address)
         .header("content-type", "application/json")
-        .body(Full::new(json(asked).into()))
-        .expect("a fixed path and an address make a request");
-    let answer = send_once(address, connect, request).await?;
-    if answer.status().is_success() {
-        return Ok(answer);
+        .body(Full::new(json(message).into()))
+        .expect("a fixed path and a server address form a valid request");
+    let response = send_once(address, connect_timeout, request).await?;
+    if response.status().is_success() {
+        return Ok(response);
     }
-    Err(read_error(address, answer).await)
+    Err(read_error(address, response).await)
 }
 
-/// Reads why a server did not do the work.
-pub(crate) async fn read_error(address: &str, answer: Response<Incoming>) -> SendError {
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_FAULT_BYTES);
+/// Reads an error response and tells whether the server states that it did not start the request.
+pub(crate) async fn read_error(address: &str, response: Response<Incoming>) -> SendError {
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_ERROR_BYTES);
     let bytes = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(cause) => return SendError::lost(address, &cause),
     };
     match serde_json::from_slice::<ServerErrorBody>(&bytes) {
-        Ok(fault) if fault.not_started => SendError::NotStarted {
+        Ok(error) if error.not_started => SendError::NotStarted {
             address: address.to_owned(),
-            message: fault.message,
+            message: error.message,
         },
         _ => SendError::lost(address, &status),
     }
@@ -183,12 +183,12 @@
     async fn generate(
         &self,
         address: &str,
-        connect: Duration,
-        asked: &GenerateRequest,
+        connect_timeout: Duration,
+        request: &GenerateRequest,
     ) -> Result<FrameStream, SendError> {
-        let answer = post_once(address, connect, "/v1/generate", asked).await?;
+        let response = post_once(address, connect_timeout, "/v1/generate", request).await?;
         Ok(FrameStream {
-            body: answer.into_body(),
+            body: response.into_body(),
             buf: Vec::new(),
         })
     }
@@ -196,41 +196,50 @@
     async fn prefill(
         &self,
         address: &str,
-        connect: Duration,
-        asked: &PrefillRequest,
+        connect_timeout: Duration,
+        request: &PrefillRequest,
     ) -> Result<(), SendError> {
-        post_once(address, connect, "/v1/prefill", asked)
+        post_once(address, connect_timeout, "/v1/prefill", request)
             .await
             .map(drop)
     }
 
-    async fn reserve(&self, address: &str, asked: &ReserveRequest) -> Result<(), CallError> {
-        self.link
-            .post(address, "/v1/reserve", asked)
+    async fn reserve(&self, address: &str, request: &ReserveRequest) -> Result<(), CallError> {
+        self.client
+            .post(address, "/v1/reserve", request)
             .await
             .map(drop)
     }
 
-    async fn release(&self, address: &str, asked: &ReleaseRequest) -> Result<(), CallError> {
-        self.link
-            .post(address, "/v1/release", asked)
+    async fn release(&self, address: &str, request: &ReleaseRequest) -> Result<(), CallError> {
+        self.client
+            .post(address, "/v1/release", request)
             .await
             .map(drop)
     }
 
-    async fn cancel(&self, address: &str, asked: &CancelRequest) -> Result<(), CallError> {
-        self.link.post(address, "/v1/cancel", asked).await.map(drop)
+    async fn cancel(&self, address: &str, request: &CancelRequest) -> Result<(), CallError> {
+        self.client
+            .post(address, "/v1/cancel", request)
+            .await
+            .map(drop)
     }
 
-    async fn renew(&self, address: &str, asked: &RenewRequest) -> Result<(), CallError> {
-        self.link.post(address, "/v1/renew", asked).await.map(drop)
+    async fn renew(&self, address: &str, request: &RenewRequest) -> Result<(), CallError> {
+        self.client
+            .post(address, "/v1/renew", request)
+            .await
+            .map(drop)
     }
 
     async fn report(&self, address: &str) -> Result<ReportResponse, CallError> {
-        self.link.get(address, "/v1/report").await
+        self.client.get(address, "/v1/report").await
     }
 
     async fn order(&self, address: &str, order: &Order) -> Result<(), CallError> {
-        self.link.post(address, "/v1/orders", order).await.map(drop)
+        self.client
+            .post(address, "/v1/orders", order)
+            .await
+            .map(drop)
     }
 }
--- a/edges/src/http_client.rs
+++ b/edges/src/http_client.rs
@@ -1,8 +1,8 @@
-//! One HTTP call over a connection of its own, and pooled calls for control.
+//! HTTP calls: requests over a new connection each, and control calls over pooled connections.
 //!
-//! Work goes out on a fresh connection. Then "no connection was made" is a fact that
-//! proves the work was not started, and no client underneath sends anything twice.
-//! Control calls may be repeated without harm and use a pool that does not retry.
+//! Callers' requests use a new connection each. A failure to connect then proves that the
+//! request was not started, and no HTTP client below can send a request twice. Control calls
+//! are idempotent and use a connection pool, with its automatic retries disabled.
 
 use std::time::Duration;
 
@@ -27,36 +27,36 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Largest answer read whole, in bytes; the platform's values are the largest there are.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Idle control connections are closed after this time.
-const IDLE: Duration = Duration::from_secs(30);
+/// Maximum size of a buffered response body; the largest are values from the platform.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Time after which idle control connections are closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why work sent to a server did not come back.
+/// Failure of a request to a server.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// No connection was made, so nothing was sent.
+    /// The connection was not established, so nothing was sent.
     #[error("no connection to {address}: {cause}")]
     NoConnection {
-        /// Where to.
+        /// Address of the server.
         address: String,
-        /// Why.
+        /// Underlying error.
         cause: String,
     },
-    /// The server answered that it did not start the work.
-    #[error("{address} did not start it: {message}")]
+    /// The server responded that it did not start the request.
+    #[error("{address} did not start the request: {message}")]
     NotStarted {
-        /// Which server.
+        /// Address of the server.
         address: String,
-        /// What it said.
+        /// Description from the server.
         message: String,
     },
-    /// Anything else; the work may have run.
-    #[error("lost {address}: {cause}")]
+    /// Any other failure; the request may have run.
+    #[error("request to {address} failed and may have run: {cause}")]
     Lost {
-        /// Which server.
+        /// Address of the server.
         address: String,
-        /// Why.
+        /// Underlying error.
         cause: String,
     },
 }
@@ -77,101 +77,102 @@
     }
 }
 
-/// A body to send.
+/// Body of a request.
 pub type Body = Full<Bytes>;
 
-/// Sends one request over a new connection and gives back the answer's head and body.
+/// Sends one request over a new connection and returns the response head with a streaming body.
 ///
 /// # Errors
 ///
 /// [`SendError::NoConnection`] if nothing was sent, else [`SendError::Lost`].
 pub async fn send_once(
     address: &str,
-    connect: Duration,
+    connect_timeout: Duration,
     request: Request<Body>,
 ) -> Result<Response<Incoming>, SendError> {
-    let stream = match timeout(connect, TcpStream::connect(address)).await {
+    let stream = match timeout(connect_timeout, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(cause)) => return Err(SendError::no_connection(address, &cause)),
         Err(elapsed) => return Err(SendError::no_connection(address, &elapsed)),
     };
-    // Frames are small and must not wait for each other.
+    // Frames are small; with Nagle's algorithm each would wait for the acknowledgement of the
+    // previous one.
     let _ = stream.set_nodelay(true);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) =
         handshake.map_err(|cause| SendError::no_connection(address, &cause))?;
     tokio::spawn(connection);
-    let answer = sender.send_request(request).await;
-    answer.map_err(|cause| SendError::lost(address, &cause))
+    let response = sender.send_request(request).await;
+    response.map_err(|cause| SendError::lost(address, &cause))
 }
 
-/// Why a control call failed.
+/// Failure of a control call.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No answer that could be understood.
-    #[error("no answer from {address}: {cause}")]
+    /// No response arrived in time, or it could not be parsed.
+    #[error("no valid response from {address}: {cause}")]
     NoResponse {
-        /// Whom.
+        /// Address that was called.
         address: String,
-        /// Why.
+        /// Underlying error.
         cause: String,
     },
-    /// An answer that says no.
-    #[error("{address} answered {status}")]
+    /// The response has a status other than success.
+    #[error("{address} responded with status {status}")]
     Status {
-        /// Who.
+        /// Address that was called.
         address: String,
-        /// With what.
+        /// Status of the response.
         status: StatusCode,
     },
 }
 
-/// A whole answer to a control call.
+/// Response with its body read in full.
 #[derive(Debug, Clone)]
 pub struct BufferedResponse {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body as received.
     pub body: Bytes,
 }
 
-/// Control calls over pooled connections.
+/// Client for control calls over pooled connections.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     client: Client<HttpConnector, Body>,
-    limit: Duration,
+    time_limit: Duration,
 }
 
 impl ControlClient {
-    /// A link whose calls take at most `limit`.
-    pub fn new(limit: Duration) -> Self {
+    /// Creates a client whose calls time out after `time_limit`.
+    pub fn new(time_limit: Duration) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(limit));
+        connector.set_connect_timeout(Some(time_limit));
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
-        Self { client, limit }
+        Self { client, time_limit }
     }
 
-    /// Makes a call with a time limit of its own.
+    /// Makes a call with a time limit other than the client's.
     ///
     /// # Errors
     ///
-    /// No whole answer came in time.
+    /// No complete response arrived within the limit.
     pub async fn call_with_timeout(
         &self,
-        limit: Duration,
+        time_limit: Duration,
         method: Method,
         address: &str,
         path: &str,
         body: impl Into<Bytes>,
     ) -> Result<BufferedResponse, CallError> {
-        let no_answer = |cause: String| CallError::NoResponse {
+        let no_response = |cause: String| CallError::NoResponse {
             address: address.to_owned(),
             cause,
         };
@@ -179,30 +180,30 @@
             .method(method)
             .uri(format!("http://{address}{path}"))
             .body(Full::new(body.into()))
-            .map_err(|cause| no_answer(cause.to_string()))?;
+            .map_err(|cause| no_response(cause.to_string()))?;
         let call = async {
-            let answer = self.client.request(request).await;
-            let answer = answer.map_err(|cause| no_answer(cause.to_string()))?;
-            let (parts, body) = answer.into_parts();
-            let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-            let body = body.map_err(|cause| no_answer(cause.to_string()))?;
+            let response = self.client.request(request).await;
+            let response = response.map_err(|cause| no_response(cause.to_string()))?;
+            let (parts, body) = response.into_parts();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+            let body = body.map_err(|cause| no_response(cause.to_string()))?;
             Ok(BufferedResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body: body.to_bytes(),
             })
         };
-        match timeout(limit, call).await {
-            Ok(answer) => answer,
-            Err(elapsed) => Err(no_answer(elapsed.to_string())),
+        match timeout(time_limit, call).await {
+            Ok(response) => response,
+            Err(elapsed) => Err(no_response(elapsed.to_string())),
         }
     }
 
-    /// Makes a call.
+    /// Makes a call with the client's time limit.
     ///
     /// # Errors
     ///
-    /// No whole answer came in time.
+    /// No complete response arrived within the limit.
     pub async fn call(
         &self,
         method: Method,
@@ -210,15 +211,15 @@
         path: &str,
         body: impl Into<Bytes>,
     ) -> Result<BufferedResponse, CallError> {
-        self.call_with_timeout(self.limit, method, address, path, body)
+        self.call_with_timeout(self.time_limit, method, address, path, body)
             .await
     }
 
-    /// Posts JSON and takes any answer of success.
+    /// Posts a value as JSON and returns the response if its status is a success.
     ///
     /// # Errors
     ///
-    /// No answer, or one that says no.
+    /// No complete response arrived in time, or its status is not a success.
     pub async fn post<T: Serialize + Sync>(
         &self,
         address: &str,
@@ -226,9 +227,9 @@
         value: &T,
     ) -> Result<BufferedResponse, CallError> {
         let body = json(value);
-        let answer = self.call(Method::POST, address, path, body).await?;
-        match answer.status {
-            status if status.is_success() => Ok(answer),
+        let response = self.call(Method::POST, address, path, body).await?;
+        match response.status {
+            status if status.is_success() => Ok(response),
             status => Err(CallError::Status {
                 address: address.to_owned(),
                 status,
@@ -236,32 +237,33 @@
         }
     }
 
-    /// Reads JSON.
+    /// Gets a JSON value.
     ///
     /// # Errors
     ///
-    /// No answer, one that says no, or one that is not what was expected.
+    /// No complete response arrived in time, its status is not a success, or its body is not a
+    /// `T`.
     pub async fn get<T: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
     ) -> Result<T, CallError> {
-        let answer = self.call(Method::GET, address, path, Bytes::new()).await?;
-        parse(address, &answer)
+        let response = self.call(Method::GET, address, path, Bytes::new()).await?;
+        parse(address, &response)
     }
 }
 
 pub(crate) fn parse<T: DeserializeOwned>(
     address: &str,
-    answer: &BufferedResponse,
+    response: &BufferedResponse,
 ) -> Result<T, CallError> {
-    if !answer.status.is_success() {
+    if !response.status.is_success() {
         return Err(CallError::Status {
             address: address.to_owned(),
-            status: answer.status,
+            status: response.status,
         });
     }
-    serde_json::from_slice(&answer.body).map_err(|cause| CallError::NoResponse {
+    serde_json::from_slice(&response.body).map_err(|cause| CallError::NoResponse {
         address: address.to_owned(),
         cause: cause.to_string(),
     })
--- a/edges/src/lib.rs
+++ b/edges/src/lib.rs
@@ -1,8 +1,8 @@
-//! The edges: how badgerferry talks to the platform and to backend servers.
+//! Clients of the platform, of backend servers and of peers.
 //!
-//! Each edge is a trait and one implementation over HTTP. The users' real protocols may
-//! differ; then an implementation is added beside the one here and nothing else changes.
-//! No decision is taken in this crate: a call is made once and its result is told.
+//! Each external system is a trait with one implementation, over HTTP or, for peers, over
+//! `nng`. If the users' protocols differ, another implementation is added without changes
+//! elsewhere. This crate makes no decisions: it makes each call once and returns the result.
 
 pub mod engine;
 pub mod http_client;
--- a/edges/src/no_delay_listener.rs
+++ b/edges/src/no_delay_listener.rs
@@ -1,7 +1,7 @@
-//! A listener whose connections send each token as it comes.
+//! TCP listener whose connections have `TCP_NODELAY` set.
 //!
-//! Without `TCP_NODELAY` a token waits for the caller's acknowledgement of the one before,
-//! which the caller's system puts off by 40 ms.
+//! Without it, Nagle's algorithm delays a token until the caller acknowledges the previous
+//! one, and the caller's operating system delays that acknowledgement by 40 ms.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Accepts connections that hold nothing back.
+/// Accepts connections with Nagle's algorithm disabled.
 #[derive(Debug)]
 pub struct NoDelayListener(pub TcpListener);
 
--- a/edges/src/peer.rs
+++ b/edges/src/peer.rs
@@ -1,7 +1,7 @@
-//! Exchanges between boxes, over `nng`'s request and reply sockets.
+//! Gossip exchanges between boxes, over the request and reply sockets of `nng`.
 //!
-//! One exchange is one request and its reply over a connection of its own. The calls block
-//! and are made on threads of their own, never on the traffic threads.
+//! An exchange is one request and its reply, over a new connection. The calls block, so they
+//! run on dedicated threads, never on the traffic threads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 use nng::options::RecvTimeout;
 use nng::options::SendTimeout;
 
-/// Why an exchange came to nothing.
+/// Failure of an exchange, or of listening for peers.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("no exchange with {address}: {cause}")]
+#[error("peer exchange at {address} to_error: {cause}")]
 pub struct PeerError {
     address: String,
     cause: String,
@@ -33,22 +33,22 @@
     }
 }
 
-/// What badgerferry asks of the way to a peer.
+/// Transport of frames to a peer.
 pub trait Peer {
-    /// Sends a frame and gives back the peer's. Blocks.
+    /// Sends a frame and returns the peer's reply. Blocks.
     ///
     /// # Errors
     ///
-    /// No answer came in time.
+    /// The peer is unreachable, or no reply arrived in time.
     fn exchange(&self, address: &str, frame: &[u8]) -> Result<Vec<u8>, PeerError>;
 }
 
-/// Peers over `nng`.
+/// Transport over `nng`.
 #[derive(Debug, Clone, Copy)]
 pub struct NngPeer {
-    /// Longest exchange.
+    /// Time limit of sending, which includes connecting, and of receiving.
     pub timeout: Duration,
-    /// Largest frame, in bytes.
+    /// Maximum size of a received frame, in bytes.
     pub max_frame: usize,
 }
 
@@ -58,51 +58,51 @@
         socket.set_opt::<RecvMaxSize>(self.max_frame)?;
         socket.set_opt::<SendTimeout>(Some(self.timeout))?;
         socket.set_opt::<RecvTimeout>(Some(self.timeout))?;
-        // Dialing in the background lets the send's time limit cover the connection too.
+        // With a background dial, the time limit of `send` also covers connecting.
         socket.dial_async(&format!("tcp://{address}"))?;
         socket
             .send(Message::from(frame))
             .map_err(|(_frame, cause)| cause)?;
-        let answer = socket.recv()?;
-        Ok(answer.to_vec())
+        let reply = socket.recv()?;
+        Ok(reply.to_vec())
     }
 }
 
 impl Peer for NngPeer {
     fn exchange(&self, address: &str, frame: &[u8]) -> Result<Vec<u8>, PeerError> {
-        let answer = self.try_exchange(address, frame);
-        answer.map_err(|cause| PeerError::new(address, &cause))
+        let reply = self.try_exchange(address, frame);
+        reply.map_err(|cause| PeerError::new(address, &cause))
     }
 }
 
-/// Where peers reach this box.
+/// Socket on which this box receives the frames of peers.
 #[derive(Debug)]
 pub struct PeerListener {
     socket: Socket,
-    // Held because dropping it closes the listening socket.
+    // Kept because dropping it closes the listening socket.
     _listener: Listener,
     address: SocketAddr,
 }
 
 impl PeerListener {
-    /// Listens on an address; port 0 takes a free one.
+    /// Listens on an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// The address can't be listened on.
+    /// The socket can't be created or bound to the address.
     pub fn bind(address: SocketAddr, max_frame: usize) -> Result<Self, PeerError> {
-        let failed = |cause: nng::Error| PeerError::new(&address.to_string(), &cause);
-        let socket = Socket::new(Protocol::Rep0).map_err(failed)?;
-        socket.set_opt::<RecvMaxSize>(max_frame).map_err(failed)?;
-        let listener = Listener::new(&socket, &format!("tcp://{address}")).map_err(failed)?;
-        let local = listener.get_opt::<LocalAddr>().map_err(failed)?;
-        // The library gives the port in network order.
-        let address = match local {
-            nng::SocketAddr::Inet(found) => {
-                SocketAddr::new((*found.ip()).into(), u16::from_be(found.port()))
+        let to_error = |cause: nng::Error| PeerError::new(&address.to_string(), &cause);
+        let socket = Socket::new(Protocol::Rep0).map_err(to_error)?;
+        socket.set_opt::<RecvMaxSize>(max_frame).map_err(to_error)?;
+        let listener = Listener::new(&socket, &format!("tcp://{address}")).map_err(to_error)?;
+        let bound = listener.get_opt::<LocalAddr>().map_err(to_error)?;
+        // `nng` returns the port in network byte order.
+        let address = match bound {
+            nng::SocketAddr::Inet(inet) => {
+                SocketAddr::new((*inet.ip()).into(), u16::from_be(inet.port()))
             }
-            nng::SocketAddr::Inet6(found) => {
-                SocketAddr::new((*found.ip()).into(), u16::from_be(found.port()))
+            nng::SocketAddr::Inet6(inet) => {
+                SocketAddr::new((*inet.ip()).into(), u16::from_be(inet.port()))
             }
             _ => address,
         };
@@ -113,19 +113,20 @@
         })
     }
 
-    /// The address that is listened on.
+    /// Returns the address on which the socket listens.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Answers frames until the process ends; a frame without an answer is dropped. Blocks.
-    pub fn serve(&self, answer: impl Fn(&[u8]) -> Option<Vec<u8>>) {
+    /// Replies to frames until the process ends; a frame for which `respond` returns `None` gets no
+    /// reply. Blocks.
+    pub fn serve(&self, respond: impl Fn(&[u8]) -> Option<Vec<u8>>) {
         loop {
             let Ok(frame) = self.socket.recv() else {
                 continue;
             };
-            if let Some(reply) = answer(&frame) {
-                // A peer that is gone by now will ask again.
+            if let Some(reply) = respond(&frame) {
+                // A peer that misses the reply repeats the exchange.
                 let _ = self.socket.send(Message::from(reply.as_slice()));
             }
         }
--- a/edges/src/platform.rs
+++ b/edges/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service and box list.
+//! Client of the platform: key-value service, leases and box list.
 
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
 use crate::http_client::ControlClient;
 use crate::http_client::parse;
 
-/// Added to a watch's own waiting time before it is given up.
+/// Time added to the wait of a watch request for its time limit.
 const WATCH_SLACK: Duration = Duration::from_secs(3);
 
-/// What badgerferry asks of the platform.
+/// Requests that badgerferry sends to the platform.
 pub trait Platform {
-    /// Reads a key.
+    /// Reads a key, with its version.
     fn read(&self, key: &str) -> impl Future<Output = Result<Versioned, NoAnswer>> + Send;
 
-    /// Waits until a key stands past `after`; none if it did not in time.
+    /// Waits until the version of a key is past `after`; returns `None` if `wait` elapses first.
     fn watch(
         &self,
         key: &str,
@@ -35,7 +35,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Option<Versioned>, NoAnswer>> + Send;
 
-    /// Writes a key if it stands at `expect`; zero means that it must not exist.
+    /// Writes a key if its version is `expect`; zero means that the key must not exist.
     fn swap(
         &self,
         key: &str,
@@ -44,38 +44,38 @@
         ttl: Option<Duration>,
     ) -> impl Future<Output = Result<SwapResponse, NoAnswer>> + Send;
 
-    /// Deletes a key if it stands at `expect`.
+    /// Deletes a key if its version is `expect`.
     fn delete(
         &self,
         key: &str,
         expect: Version,
     ) -> impl Future<Output = Result<SwapResponse, NoAnswer>> + Send;
 
-    /// Keys with a prefix.
+    /// Lists the keys with a prefix.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Vec<String>, NoAnswer>> + Send;
 
-    /// Asks for a lease, renews it or gives it up.
+    /// Acquires, renews or releases a lease.
     fn lease(
         &self,
-        asked: &LeaseRequest,
+        request: &LeaseRequest,
     ) -> impl Future<Output = Result<LeaseResponse, NoAnswer>> + Send;
 
-    /// The list of boxes and backend servers.
+    /// Fetches the list of boxes and backend servers.
     fn boxes(&self) -> impl Future<Output = Result<BoxList, NoAnswer>> + Send;
 }
 
-/// The platform over HTTP.
+/// Client of the platform over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
-    link: ControlClient,
+    client: ControlClient,
     address: String,
 }
 
 impl HttpPlatform {
-    /// The platform at an address; each call takes at most `limit`.
-    pub fn new(address: &str, limit: Duration) -> Self {
+    /// Creates a client for the platform at an address, whose calls time out after `time_limit`.
+    pub fn new(address: &str, time_limit: Duration) -> Self {
         Self {
-            link: ControlClient::new(limit),
+            client: ControlClient::new(time_limit),
             address: address.to_owned(),
         }
     }
@@ -86,21 +86,21 @@
         path: &str,
         body: impl Into<Bytes>,
     ) -> Result<BufferedResponse, NoAnswer> {
-        let answer = self.link.call(method, &self.address, path, body).await;
-        answer.map_err(|_silence| NoAnswer)
+        let response = self.client.call(method, &self.address, path, body).await;
+        response.map_err(|_cause| NoAnswer)
     }
 }
 
-fn versioned(answer: &BufferedResponse) -> Result<Versioned, NoAnswer> {
-    let version = answer
+fn parse_versioned(response: &BufferedResponse) -> Result<Versioned, NoAnswer> {
+    let version = response
         .headers
         .get(VERSION_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
-    match (answer.status, version) {
+    match (response.status, version) {
         (StatusCode::OK, Some(version)) => Ok(Versioned {
             version,
-            value: Some(answer.body.to_vec()),
+            value: Some(response.body.to_vec()),
         }),
         (StatusCode::NOT_FOUND, Some(version)) => Ok(Versioned {
             version,
@@ -110,22 +110,22 @@
     }
 }
 
-const fn swap_answer(answer: &BufferedResponse) -> Result<SwapResponse, NoAnswer> {
-    match answer.status {
+const fn parse_swap_response(response: &BufferedResponse) -> Result<SwapResponse, NoAnswer> {
+    match response.status {
         StatusCode::OK => Ok(SwapResponse::Swapped),
         StatusCode::CONFLICT => Ok(SwapResponse::Conflict),
         _ => Err(NoAnswer),
     }
 }
 
-fn understood<T>(result: Result<T, CallError>) -> Result<T, NoAnswer> {
-    result.map_err(|_silence| NoAnswer)
+fn discard_error<T>(result: Result<T, CallError>) -> Result<T, NoAnswer> {
+    result.map_err(|_cause| NoAnswer)
 }
 
 impl Platform for HttpPlatform {
     async fn read(&self, key: &str) -> Result<Versioned, NoAnswer> {
         let path = format!("/v1/kv?key={key}");
-        versioned(&self.call(Method::GET, &path, Bytes::new()).await?)
+        parse_versioned(&self.call(Method::GET, &path, Bytes::new()).await?)
     }
 
     async fn watch(
@@ -138,14 +138,18 @@
             "/v1/watch?key={key}&after={after}&wait_ms={}",
             wait.as_millis()
         );
-        let limit = wait + WATCH_SLACK;
-        let call =
-            self.link
-                .call_with_timeout(limit, Method::GET, &self.address, &path, Bytes::new());
-        let answer = understood(call.await)?;
-        match answer.status {
+        let time_limit = wait + WATCH_SLACK;
+        let call = self.client.call_with_timeout(
+            time_limit,
+            Method::GET,
+            &self.address,
+            &path,
+            Bytes::new(),
+        );
+        let response = discard_error(call.await)?;
+        match response.status {
             StatusCode::NOT_MODIFIED => Ok(None),
-            _ => versioned(&answer).map(Some),
+            _ => parse_versioned(&response).map(Some),
         }
     }
 
@@ -163,26 +167,26 @@
             ),
             None => format!("/v1/kv?key={key}&expect={expect}"),
         };
-        swap_answer(&self.call(Method::PUT, &path, value).await?)
+        parse_swap_response(&self.call(Method::PUT, &path, value).await?)
     }
 
     async fn delete(&self, key: &str, expect: Version) -> Result<SwapResponse, NoAnswer> {
         let path = format!("/v1/kv?key={key}&expect={expect}");
-        swap_answer(&self.call(Method::DELETE, &path, Bytes::new()).await?)
+        parse_swap_response(&self.call(Method::DELETE, &path, Bytes::new()).await?)
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<String>, NoAnswer> {
         let path = format!("/v1/list?prefix={prefix}");
-        let answer = self.call(Method::GET, &path, Bytes::new()).await?;
-        understood(parse(&self.address, &answer))
+        let response = self.call(Method::GET, &path, Bytes::new()).await?;
+        discard_error(parse(&self.address, &response))
     }
 
-    async fn lease(&self, asked: &LeaseRequest) -> Result<LeaseResponse, NoAnswer> {
-        let answer = understood(self.link.post(&self.address, "/v1/lease", asked).await)?;
-        understood(parse(&self.address, &answer))
+    async fn lease(&self, request: &LeaseRequest) -> Result<LeaseResponse, NoAnswer> {
+        let response = discard_error(self.client.post(&self.address, "/v1/lease", request).await)?;
+        discard_error(parse(&self.address, &response))
     }
 
     async fn boxes(&self) -> Result<BoxList, NoAnswer> {
-        understood(self.link.get(&self.address, "/v1/boxes").await)
+        discard_error(self.client.get(&self.address, "/v1/boxes").await)
     }
 }
--- a/edges/src/service.rs
+++ b/edges/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: a call is passed on once, whole, and its whole answer comes back.
+//! Client of plain services: forwards a call once and buffers the complete response.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 use crate::http_client::SendError;
 use crate::http_client::send_once;
 
-/// Largest answer of a service.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Headers that belong to one connection and are not passed on.
-const HOP_HEADERS: [&str; 9] = [
+/// Maximum size of a service's response body.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Headers that apply to one connection only and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -32,44 +32,44 @@
     "content-length",
 ];
 
-/// A call as it is passed on.
+/// Call to forward to a service.
 #[derive(Debug, Clone)]
 pub struct ServiceCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with query.
+    /// Path and query.
     pub path: String,
-    /// Headers, without the caller's key.
+    /// Request headers, without the caller's key.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// What badgerferry asks of a plain service.
+/// Transport of calls to a plain service.
 pub trait Service {
-    /// Makes a call once.
+    /// Makes a call once, without retries.
     fn call(
         &self,
         address: &str,
-        connect: Duration,
+        connect_timeout: Duration,
         call: &ServiceCall,
     ) -> impl Future<Output = Result<BufferedResponse, SendError>> + Send;
 }
 
-/// Plain services over HTTP.
+/// Client of plain services over HTTP.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HttpService;
 
-/// Whether a header is passed on.
+/// Whether a header is forwarded.
 pub fn is_end_to_end(name: &HeaderName) -> bool {
-    !HOP_HEADERS.contains(&name.as_str())
+    !HOP_BY_HOP_HEADERS.contains(&name.as_str())
 }
 
 impl Service for HttpService {
     async fn call(
         &self,
         address: &str,
-        connect: Duration,
+        connect_timeout: Duration,
         call: &ServiceCall,
     ) -> Result<BufferedResponse, SendError> {
         let mut request = Request::builder()
@@ -77,20 +77,20 @@
             .uri(&call.path)
             .body(Full::new(call.body.clone()))
             .map_err(|cause| SendError::no_connection(address, &cause))?;
-        let passed = call.headers.iter().filter(|(name, _)| is_end_to_end(name));
-        for (name, value) in passed {
+        let forwarded = call.headers.iter().filter(|(name, _)| is_end_to_end(name));
+        for (name, value) in forwarded {
             request.headers_mut().append(name, value.clone());
         }
         let host = address
             .parse()
             .map_err(|cause| SendError::no_connection(address, &cause))?;
         request.headers_mut().insert("host", host);
-        let answer = send_once(address, connect, request).await?;
-        if answer.status() == StatusCode::SERVICE_UNAVAILABLE {
-            return Err(read_error(address, answer).await);
+        let response = send_once(address, connect_timeout, request).await?;
+        if response.status() == StatusCode::SERVICE_UNAVAILABLE {
+            return Err(read_error(address, response).await);
         }
-        let (parts, body) = answer.into_parts();
-        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let (parts, body) = response.into_parts();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         let body = body.map_err(|cause| SendError::lost(address, &cause))?;
         Ok(BufferedResponse {
             status: parts.status,
--- a/edges/tests/runner.rs
+++ b/edges/tests/runner.rs
@@ -1,3 +1,3 @@
-//! The edges' tests, in one runner.
+//! Tests of the clients, built as one binary.
 
 mod test_peer;
--- a/edges/tests/test_peer.rs
+++ b/edges/tests/test_peer.rs
@@ -1,4 +1,4 @@
-//! Exchanges over the real sockets.
+//! Peer exchanges over TCP sockets on loopback.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
     max_frame: MAX_FRAME,
 };
 
-fn listen() -> String {
-    let any = "127.0.0.1:0".parse().expect("a fixed address");
-    let listener = PeerListener::bind(any, MAX_FRAME).expect("loopback can be listened on");
+fn start_listener() -> String {
+    let any_port = "127.0.0.1:0".parse().expect("the address is valid");
+    let listener = PeerListener::bind(any_port, MAX_FRAME).expect("a loopback port is available");
     let address = listener.address().to_string();
     std::thread::spawn(move || {
         listener.serve(|frame| match frame {
@@ -27,25 +27,25 @@
 }
 
 #[test]
-fn exchange_brings_the_answer() {
-    let address = listen();
+fn exchange_returns_the_reply() {
+    let address = start_listener();
 
-    let answer = PEER.exchange(&address, b"hello");
+    let reply = PEER.exchange(&address, b"hello");
 
-    assert_eq!(answer.as_deref(), Ok(b"HELLO".as_slice()));
+    assert_eq!(reply.as_deref(), Ok(b"HELLO".as_slice()));
 }
 
 #[test]
-fn listener_goes_on_after_a_frame_without_an_answer() {
-    let address = listen();
-    let short = NngPeer {
+fn listener_continues_after_a_frame_without_reply() {
+    let address = start_listener();
+    let short_timeout = NngPeer {
         timeout: Duration::from_millis(200),
         ..PEER
     };
 
-    let dropped = short.exchange(&address, b"bad");
-    let answer = PEER.exchange(&address, b"good");
+    let dropped = short_timeout.exchange(&address, b"bad");
+    let reply = PEER.exchange(&address, b"good");
 
     assert!(dropped.is_err());
-    assert_eq!(answer.as_deref(), Ok(b"GOOD".as_slice()));
+    assert_eq!(reply.as_deref(), Ok(b"GOOD".as_slice()));
 }
