--- a/daemon/src/box_config.rs
+++ b/daemon/src/box_config.rs
@@ -1,7 +1,7 @@
-//! The box's own file: who it is, where it listens, where the platform is.
+//! Configuration file of a box: its identity, its addresses and the platform's address.
 //!
-//! The file is checked whole at the start and every fault is told at once, each with
-//! its path. What operators change while the system runs is not here but in the tree.
+//! The file is validated at startup, and all errors are reported together, each with its path.
+//! Settings that operators change at run time are in the settings tree instead.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,45 +12,45 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Bytes of the key that peers share.
+/// Size of the key that peers share, in bytes.
 pub const PEER_KEY_BYTES: usize = badgerferry_lib::peer_wire::KEY_BYTES;
-/// Most traffic threads; a small entry box has a few cores.
+/// Maximum number of traffic threads; a small box has only a few cores.
 const MAX_TRAFFIC_THREADS: u64 = 64;
 const DEFAULT_TRAFFIC_THREADS: u64 = 2;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The box's own settings.
+/// Validated contents of the configuration file.
 #[derive(Debug, Clone)]
 pub struct BoxConfig {
-    /// The box's name, as in the platform's list.
+    /// Name of the box, as in the platform's list.
     pub name: BoxName,
-    /// Its data hall.
+    /// Data hall of the box.
     pub hall: HallName,
-    /// Where callers reach it.
+    /// Address on which the box listens for callers.
     pub listen: SocketAddr,
-    /// Where peers reach it.
+    /// Address on which the box listens for peers.
     pub peer_listen: SocketAddr,
-    /// The platform.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Peers to ask while the platform can't be reached.
+    /// Peers to contact while the platform is unreachable.
     pub peers: Vec<SocketAddr>,
-    /// The key that peers share.
+    /// Key that peers share, to authenticate their frames.
     pub peer_key: [u8; PEER_KEY_BYTES],
-    /// Threads for traffic.
+    /// Number of threads that handle requests.
     pub traffic_threads: usize,
-    /// How log lines look.
+    /// Format of log lines.
     pub log: LogFormat,
 }
 
-/// One fault of the file.
+/// Validation error of one field, or of the file as a whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
     path: String,
@@ -63,96 +63,96 @@
     }
 }
 
-/// Reads and checks the file.
+/// Reads and validates a configuration file.
 ///
 /// # Errors
 ///
-/// Every fault found.
+/// All validation errors, or the error that prevented reading or parsing.
 pub fn read(path: &Path) -> Result<BoxConfig, Vec<ConfigError>> {
-    let whole_file = |problem: String| {
+    let file_error = |problem: String| {
         vec![ConfigError {
             path: "file".to_owned(),
             problem,
         }]
     };
-    let text = std::fs::read_to_string(path).map_err(|cause| whole_file(cause.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(|cause| file_error(cause.to_string()))?;
     let value: Value =
-        serde_json::from_str(&text).map_err(|cause| whole_file(cause.to_string()))?;
+        serde_json::from_str(&text).map_err(|cause| file_error(cause.to_string()))?;
     match value {
         Value::Object(fields) => check(fields),
-        _ => Err(whole_file("it is not a JSON object".to_owned())),
+        _ => Err(file_error("a JSON object is expected".to_owned())),
     }
 }
 
 struct Fields {
-    left: Map<String, Value>,
-    faults: Vec<ConfigError>,
+    remaining: Map<String, Value>,
+    errors: Vec<ConfigError>,
 }
 
 impl Fields {
-    fn fault(&mut self, path: &str, problem: impl Into<String>) {
-        self.faults.push(ConfigError {
+    fn add_error(&mut self, path: &str, problem: impl Into<String>) {
+        self.errors.push(ConfigError {
             path: path.to_owned(),
             problem: problem.into(),
         });
     }
 
-    fn text(&mut self, path: &str) -> Option<String> {
-        match self.left.remove(path) {
+    fn string(&mut self, path: &str) -> Option<String> {
+        match self.remaining.remove(path) {
             Some(Value::String(text)) if !text.is_empty() => Some(text),
             Some(_) => {
-                self.fault(path, "text is expected");
+                self.add_error(path, "text is expected");
                 None
             }
             None => {
-                self.fault(path, "is missing");
+                self.add_error(path, "is missing");
                 None
             }
         }
     }
 
     fn address(&mut self, path: &str) -> Option<SocketAddr> {
-        let text = self.text(path)?;
+        let text = self.string(path)?;
         self.parse_address(path, &text)
     }
 
     fn parse_address(&mut self, path: &str, text: &str) -> Option<SocketAddr> {
-        let parsed = text.parse().ok();
-        if parsed.is_none() {
-            self.fault(
+        let address = text.parse().ok();
+        if address.is_none() {
+            self.add_error(
                 path,
                 format!("an address as 10.0.0.1:8080 is expected, not {text:?}"),
             );
         }
-        parsed
+        address
     }
 
     fn addresses(&mut self, path: &str) -> Vec<SocketAddr> {
-        let Some(value) = self.left.remove(path) else {
+        let Some(value) = self.remaining.remove(path) else {
             return Vec::new();
         };
-        let Value::Array(rows) = value else {
-            self.fault(path, "a list of addresses is expected");
+        let Value::Array(entries) = value else {
+            self.add_error(path, "a list of addresses is expected");
             return Vec::new();
         };
-        let mut found = Vec::new();
-        for (index, row) in rows.iter().enumerate() {
-            let at = format!("{path}[{index}]");
-            match row.as_str() {
-                Some(text) => found.extend(self.parse_address(&at, text)),
-                None => self.fault(&at, "an address is expected"),
+        let mut addresses = Vec::new();
+        for (index, entry) in entries.iter().enumerate() {
+            let entry_path = format!("{path}[{index}]");
+            match entry.as_str() {
+                Some(text) => addresses.extend(self.parse_address(&entry_path, text)),
+                None => self.add_error(&entry_path, "an address is expected"),
             }
         }
-        found
+        addresses
     }
 
     fn key(&mut self, path: &str) -> Option<[u8; PEER_KEY_BYTES]> {
-        let text = self.text(path)?;
+        let text = self.string(path)?;
         let bytes = hex::decode(text)
             .ok()
             .and_then(|bytes| bytes.try_into().ok());
         if bytes.is_none() {
-            self.fault(
+            self.add_error(
                 path,
                 format!("{PEER_KEY_BYTES} bytes in hexadecimal are expected"),
             );
@@ -160,24 +160,25 @@
         bytes
     }
 
-    fn threads(&mut self, path: &str) -> usize {
-        match self.left.remove(path).map(|value| value.as_u64()) {
+    fn thread_count(&mut self, path: &str) -> usize {
+        match self.remaining.remove(path).map(|value| value.as_u64()) {
             None => DEFAULT_TRAFFIC_THREADS as usize,
             Some(Some(count)) if (1..=MAX_TRAFFIC_THREADS).contains(&count) => count as usize,
             Some(_) => {
-                let problem = format!("a whole number from 1 to {MAX_TRAFFIC_THREADS} (threads)");
-                self.fault(path, problem);
+                let problem =
+                    format!("a whole number from 1 to {MAX_TRAFFIC_THREADS} (threads) is expected");
+                self.add_error(path, problem);
                 1
             }
         }
     }
 
-    fn log(&mut self, path: &str) -> LogFormat {
-        match self.left.remove(path).as_ref().map(Value::as_str) {
+    fn log_format(&mut self, path: &str) -> LogFormat {
+        match self.remaining.remove(path).as_ref().map(Value::as_str) {
             None | Some(Some("text")) => LogFormat::Text,
             Some(Some("json")) => LogFormat::Json,
             Some(_) => {
-                self.fault(path, "\"text\" or \"json\" is expected");
+                self.add_error(path, "\"text\" or \"json\" is expected");
                 LogFormat::Text
             }
         }
@@ -186,21 +187,21 @@
 
 fn check(fields: Map<String, Value>) -> Result<BoxConfig, Vec<ConfigError>> {
     let mut fields = Fields {
-        left: fields,
-        faults: Vec::new(),
+        remaining: fields,
+        errors: Vec::new(),
     };
-    let name = fields.text("name");
-    let hall = fields.text("hall");
+    let name = fields.string("name");
+    let hall = fields.string("hall");
     let listen = fields.address("listen");
     let peer_listen = fields.address("peer_listen");
     let platform = fields.address("platform");
     let peers = fields.addresses("peers");
     let peer_key = fields.key("peer_key");
-    let traffic_threads = fields.threads("traffic_threads");
-    let log = fields.log("log");
-    let unknown: Vec<_> = fields.left.keys().cloned().collect();
+    let traffic_threads = fields.thread_count("traffic_threads");
+    let log = fields.log_format("log");
+    let unknown: Vec<_> = fields.remaining.keys().cloned().collect();
     for path in unknown {
-        fields.fault(&path, "there is no such field");
+        fields.add_error(&path, "there is no such field");
     }
     match (name, hall, listen, peer_listen, platform, peer_key) {
         (
@@ -210,7 +211,7 @@
             Some(peer_listen),
             Some(platform),
             Some(peer_key),
-        ) if fields.faults.is_empty() => Ok(BoxConfig {
+        ) if fields.errors.is_empty() => Ok(BoxConfig {
             name: BoxName::new(name),
             hall: HallName::new(hall),
             listen,
@@ -221,6 +222,6 @@
             traffic_threads,
             log,
         }),
-        _ => Err(fields.faults),
+        _ => Err(fields.errors),
     }
 }
--- a/daemon/src/box_list.rs
+++ b/daemon/src/box_list.rs
@@ -1,8 +1,8 @@
-//! Reads the platform's list of boxes and backend servers.
+//! Polls the platform's list of boxes and backend servers.
 //!
-//! The list lags. A server that says itself that it is leaving gets no new work whatever
-//! the list says; a box that the list calls leaving fails its readiness at once and
-//! refuses new work soon after, and takes work again if the list takes it back.
+//! The list lags. A server that reports itself as leaving gets no new requests, whatever the
+//! list says. A box that the list marks as leaving fails its readiness check at once, refuses
+//! new requests shortly after, and accepts requests again if the list removes the mark.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,10 +17,10 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Time between readings; 350 daemons make 175 calls a second.
-const EVERY: Duration = Duration::from_secs(2);
+/// Polling interval; 350 daemons make 175 calls per second.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads until the process ends.
+/// Polls the list until the process ends.
 pub async fn run(traffic: &Arc<Traffic>) {
     let mut backoff = Backoff::default();
     let mut leaving_since = None;
@@ -29,16 +29,16 @@
             Ok(list) => {
                 traffic.record_platform_response();
                 backoff.reset();
-                take(traffic, &list, &mut leaving_since);
-                EVERY
+                apply_list(traffic, &list, &mut leaving_since);
+                POLL_INTERVAL
             }
-            Err(_silence) => backoff.next(&mut rand::rng()),
+            Err(_no_response) => backoff.next(&mut rand::rng()),
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-fn take(traffic: &Traffic, list: &BoxList, leaving_since: &mut Option<Time>) {
+fn apply_list(traffic: &Traffic, list: &BoxList, leaving_since: &mut Option<Time>) {
     let serving = {
         let mut membership = lock(&traffic.membership);
         membership.on_list(list);
@@ -52,20 +52,21 @@
     let own = list
         .boxes
         .iter()
-        .find(|found| found.name == traffic.config.name);
+        .find(|info| info.name == traffic.config.name);
     set_leaving(traffic, own.is_some_and(|own| own.leaving), leaving_since);
 }
 
-fn set_leaving(traffic: &Traffic, listed: bool, since: &mut Option<Time>) {
+fn set_leaving(traffic: &Traffic, is_leaving: bool, leaving_since: &mut Option<Time>) {
     if traffic.stop_signalled.load(Ordering::SeqCst) {
         return;
     }
     let now = traffic.clock.now();
-    if listed && since.is_none() {
-        tracing::info!("the platform's list says that this box is leaving");
+    if is_leaving && leaving_since.is_none() {
+        tracing::info!("box marked as leaving in the platform's list");
     }
-    *since = listed.then_some(since.unwrap_or(now));
-    traffic.leaving.store(listed, Ordering::SeqCst);
-    let refuses = since.is_some_and(|since| now.since(since) >= BALANCER_DETECTION_TIME);
-    traffic.dispatcher().set_stopping(refuses);
+    *leaving_since = is_leaving.then_some(leaving_since.unwrap_or(now));
+    traffic.leaving.store(is_leaving, Ordering::SeqCst);
+    let refuses_requests =
+        leaving_since.is_some_and(|since| now.since(since) >= BALANCER_DETECTION_TIME);
+    traffic.dispatcher().set_stopping(refuses_requests);
 }
--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -1,32 +1,32 @@
-//! The daemon's clock: microseconds since it started.
+//! Clock of the daemon, in microseconds since its start.
 
 use std::time::Instant;
 
 use badgerferry_lib::time::Time;
 
-/// Reads the monotonic clock.
+/// Monotonic clock with its own epoch.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at time zero.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// The present.
+    /// Returns the current time.
     pub fn now(self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
 
-    /// The instant of a time; far times are a day ahead.
+    /// Converts a time to an instant, at most one day from now.
     pub fn instant(self, time: Time) -> tokio::time::Instant {
-        const FAR: std::time::Duration = std::time::Duration::from_hours(24);
-        let span = Time::ZERO.until(time).min(self.start.elapsed() + FAR);
+        const MAX_AHEAD: std::time::Duration = std::time::Duration::from_hours(24);
+        let span = Time::ZERO.until(time).min(self.start.elapsed() + MAX_AHEAD);
         (self.start + span).into()
     }
 }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: controllers that keep the box's state in step with the world.
+//! Control thread: controllers that follow the state of the platform, peers and engines.
 //!
-//! Each controller is a loop of its own on one thread. They share nothing with traffic
-//! but snapshots that they publish and short calls into the dispatcher.
+//! Each controller is an independent loop; all run on one thread. They affect the traffic
+//! threads only through published snapshots and short calls into the dispatcher.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,33 +25,33 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// What the controllers last told of the box's state.
+/// State of the box as last published by the controllers.
 #[derive(Debug, Default)]
 pub struct ControlStatus {
-    /// Settings in force.
+    /// Status of the settings in force.
     pub settings: SettingsStatus,
-    /// When the platform last confirmed the settings.
+    /// Time at which the platform last confirmed the settings.
     pub confirmed_at: Option<Time>,
-    /// When the platform last answered.
-    pub platform_at: Option<Time>,
-    /// The hall's placement lease.
+    /// Time at which the platform last responded.
+    pub platform_responded_at: Option<Time>,
+    /// Last known state of the hall's placement lease.
     pub lease: Option<LeaseStatus>,
-    /// Peers.
+    /// Other boxes.
     pub peers: Vec<PeerStatus>,
 }
 
 impl Traffic {
-    /// Records that the platform answered.
+    /// Records the time of a response from the platform.
     pub fn record_platform_response(&self) {
-        lock(&self.status).platform_at = Some(self.clock.now());
+        lock(&self.status).platform_responded_at = Some(self.clock.now());
     }
 }
 
-/// Starts the control thread and gives back where peers reach this box.
+/// Starts the control thread and returns the address on which this box listens for peers.
 ///
 /// # Errors
 ///
-/// The thread or the peers' listener can't be started.
+/// The control thread or the listener for peers can't be started.
 pub fn start(traffic: &Arc<Traffic>) -> anyhow::Result<SocketAddr> {
     let peer_address = peers::listen(traffic)?;
     let traffic = Arc::clone(traffic);
@@ -77,10 +77,10 @@
     );
 }
 
-/// The daemon's whole state, for operators.
+/// Returns the state of the daemon that `/status` shows.
 pub fn status(traffic: &Traffic) -> DaemonStatus {
     let now = traffic.clock.now();
-    let ago = |at: Option<Time>| at.map(|at| now.since(at).as_millis() as u64);
+    let age_ms = |at: Option<Time>| at.map(|at| now.since(at).as_millis() as u64);
     let (load, stopping, servers) = {
         let dispatcher = traffic.dispatcher();
         let views = dispatcher.servers().iter();
@@ -95,10 +95,10 @@
         ready: traffic.is_ready(),
         stopping,
         settings: SettingsStatus {
-            unconfirmed_ms: ago(control.confirmed_at),
+            unconfirmed_ms: age_ms(control.confirmed_at),
             ..control.settings.clone()
         },
-        platform_silent_ms: ago(control.platform_at),
+        platform_silent_ms: age_ms(control.platform_responded_at),
         waiting: load.waiting,
         active: load.active,
         lease: control.lease.clone(),
@@ -129,7 +129,7 @@
     }
 }
 
-/// Sets the gauges that `/metrics` shows.
+/// Updates the gauges that `/metrics` shows.
 pub fn set_gauges(traffic: &Traffic) {
     let status = status(traffic);
     let seconds = |millis: Option<u64>| millis.map_or(-1.0, |millis| millis as f64 / 1_000.0);
@@ -149,8 +149,8 @@
     set("badgerferry_waiting_requests", status.waiting as f64);
     set("badgerferry_active_requests", status.active as f64);
     set("badgerferry_ready", f64::from(u8::from(status.ready)));
-    let holds = status.lease.is_some_and(|lease| lease.in_force_here);
-    set("badgerferry_lease_in_force", f64::from(u8::from(holds)));
+    let is_holder = status.lease.is_some_and(|lease| lease.in_force_here);
+    set("badgerferry_lease_in_force", f64::from(u8::from(is_holder)));
     let live = status.peers.iter().filter(|peer| peer.live).count();
     set("badgerferry_live_peers", live as f64);
 }
--- a/daemon/src/engine_reports.rs
+++ b/daemon/src/engine_reports.rs
@@ -1,4 +1,4 @@
-//! Asks engines how they stand, and renews what this box holds there.
+//! Polls the state reports of engines and renews this box's attempts and reservations there.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,71 +17,82 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Shortest time between two reports of one engine.
-const LEAST_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes of one report with its HTTP around it, as measured on loopback.
+/// Minimum interval between two reports of one engine.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Size of one report exchange including HTTP headers, in bytes, on loopback.
 const REPORT_BYTES: u64 = 550;
-/// Bytes a second that this box spends on reports; half of control's whole budget.
-const BYTES_PER_S: u64 = 1_000;
-/// Renewals within the life of what is held, so that one may be lost.
+/// Bandwidth budget of this box for reports; half of its budget for all control traffic.
+const REPORT_BYTES_PER_S: u64 = 1_000;
+/// Renewals per TTL, so that the loss of one has no effect.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Younger work is never freed by a renewal; longer than any call's time limit.
-const SPARE_YOUNGER: Duration = Duration::from_secs(5);
+/// Age below which a renewal frees nothing; longer than the time limit of any control call.
+const RENEWAL_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
-/// Asks until the process ends.
+/// Polls engines until the process ends.
 ///
-/// The hall's own engines are asked in each round, those of other halls one a round: work
-/// goes there only if the hall's own can't take it, and for that an old report is enough.
+/// Each round polls all engines of the own hall and one engine of the other halls. Requests go to
+/// other halls only if the own hall has no capacity, and for that an old report is sufficient.
 pub async fn run(traffic: &Arc<Traffic>) {
-    let mut asked_all = BTreeSet::new();
+    let mut polled_before = BTreeSet::new();
     for round in 0_usize.. {
-        let (own, others) = engines(traffic);
-        let turn = others.get(round % others.len().max(1));
-        let unknown = others
+        let (own_hall, other_halls) = engines_by_hall(traffic);
+        let rotating = other_halls.get(round % other_halls.len().max(1));
+        let never_polled = other_halls
             .iter()
-            .filter(|engine| !asked_all.contains(&engine.name));
-        let mut asked: Vec<_> = own.iter().chain(turn).chain(unknown).collect();
-        asked.dedup_by_key(|engine| engine.name.clone());
-        join_all(asked.iter().map(|engine| ask(traffic, engine))).await;
-        asked_all.extend(asked.iter().map(|engine| engine.name.clone()));
-        tokio::time::sleep(interval(own.len() + usize::from(turn.is_some()))).await;
+            .filter(|engine| !polled_before.contains(&engine.name));
+        let mut polled: Vec<_> = own_hall
+            .iter()
+            .chain(rotating)
+            .chain(never_polled)
+            .collect();
+        polled.dedup_by_key(|engine| engine.name.clone());
+        join_all(polled.iter().map(|engine| poll(traffic, engine))).await;
+        polled_before.extend(polled.iter().map(|engine| engine.name.clone()));
+        tokio::time::sleep(poll_interval(
+            own_hall.len() + usize::from(rotating.is_some()),
+        ))
+        .await;
     }
 }
 
-/// Time between readings that keeps within the byte budget.
-fn interval(engines: usize) -> Duration {
+/// Polling interval that keeps within the bandwidth budget.
+fn poll_interval(engines: usize) -> Duration {
     let bytes = engines as u64 * REPORT_BYTES;
-    Duration::from_millis(bytes * 1_000 / BYTES_PER_S).max(LEAST_INTERVAL)
+    Duration::from_millis(bytes * 1_000 / REPORT_BYTES_PER_S).max(MIN_POLL_INTERVAL)
 }
 
-/// The live engines of this data hall, and those of others.
-fn engines(traffic: &Traffic) -> (Vec<ServerInfo>, Vec<ServerInfo>) {
+/// Returns the engines of this hall and those of other halls, without those that are leaving.
+fn engines_by_hall(traffic: &Traffic) -> (Vec<ServerInfo>, Vec<ServerInfo>) {
     let dispatcher = traffic.dispatcher();
-    let infos = dispatcher.servers().iter().map(ServerView::info);
-    let engines = infos.filter(|info| info.kind == ServerKind::Engine && !info.leaving);
+    let servers = dispatcher.servers().iter().map(ServerView::info);
+    let engines = servers.filter(|info| info.kind == ServerKind::Engine && !info.leaving);
     engines
         .cloned()
         .partition(|info| info.hall == traffic.config.hall)
 }
 
-async fn ask(traffic: &Traffic, engine: &ServerInfo) {
-    let asked_at = traffic.clock.now();
-    let Ok(answer) = traffic.engine.report(&engine.address).await else {
-        // Silence ages the report; the breaker judges by work, not by reports.
+async fn poll(traffic: &Traffic, engine: &ServerInfo) {
+    let requested_at = traffic.clock.now();
+    let Ok(response) = traffic.engine.report(&engine.address).await else {
+        // Without a response the last report ages; circuit breakers depend on requests only.
         return;
     };
-    let age = Duration::from_millis(answer.age_ms);
-    let taken_at = Time::from_micros(asked_at.as_micros().saturating_sub(age.as_micros() as u64));
+    let age = Duration::from_millis(response.age_ms);
+    let taken_at = Time::from_micros(
+        requested_at
+            .as_micros()
+            .saturating_sub(age.as_micros() as u64),
+    );
     let mut dispatcher = traffic.dispatcher();
-    dispatcher.on_report(&engine.name, answer.report, taken_at);
+    dispatcher.on_report(&engine.name, response.report, taken_at);
 }
 
-/// Renews until the process ends.
+/// Renews attempts and reservations at engines until the process ends.
 pub async fn renew_holdings(traffic: &Arc<Traffic>) {
     loop {
         let ttl = holding_ttl(traffic);
-        let rows = take_holdings(traffic);
-        let calls = rows
+        let renewals = next_renewals(traffic);
+        let calls = renewals
             .iter()
             .map(|(server, keep)| renew(traffic, server, keep, ttl));
         join_all(calls).await;
@@ -90,44 +101,44 @@
 }
 
 fn holding_ttl(traffic: &Traffic) -> Duration {
-    const BEFORE_SETTINGS: Duration = Duration::from_secs(15);
+    const DEFAULT_TTL: Duration = Duration::from_secs(15);
     let view = traffic.settings.load();
     view.as_ref()
-        .map_or(BEFORE_SETTINGS, |view| view.routing.holding_ttl)
+        .map_or(DEFAULT_TTL, |view| view.routing.holding_ttl)
 }
 
-/// What is held by server. A server at which nothing is held any more is renewed for one
-/// more life, which makes good whatever cancel or release was lost.
-fn take_holdings(traffic: &Traffic) -> Vec<(ServerName, BTreeSet<AttemptId>)> {
+/// Returns the holdings to renew, by server. A server without holdings is renewed for one more
+/// TTL, so that a lost cancel or release takes effect with a renewal.
+fn next_renewals(traffic: &Traffic) -> Vec<(ServerName, BTreeSet<AttemptId>)> {
     let mut holdings = lock(&traffic.holdings);
-    let rows = holdings.held.iter();
-    let rows = rows
-        .map(|(server, row)| (server.clone(), row.held.clone()))
+    let renewals = holdings.held.iter();
+    let renewals = renewals
+        .map(|(server, holding)| (server.clone(), holding.held.clone()))
         .collect();
-    for row in holdings.held.values_mut() {
-        row.quiet_rounds = if row.held.is_empty() {
-            row.quiet_rounds + 1
+    for holding in holdings.held.values_mut() {
+        holding.quiet_rounds = if holding.held.is_empty() {
+            holding.quiet_rounds + 1
         } else {
             0
         };
     }
     holdings
         .held
-        .retain(|_, row| row.quiet_rounds <= RENEWALS_PER_TTL);
-    rows
+        .retain(|_, holding| holding.quiet_rounds <= RENEWALS_PER_TTL);
+    renewals
 }
 
 async fn renew(traffic: &Traffic, server: &ServerName, keep: &BTreeSet<AttemptId>, ttl: Duration) {
     let Some(address) = traffic.address_of(server) else {
         return;
     };
-    let asked = RenewRequest {
+    let request = RenewRequest {
         owner: traffic.owner.clone(),
         ttl_ms: ttl.as_millis() as u64,
         keep: keep.iter().copied().collect(),
-        spare_younger_ms: SPARE_YOUNGER.as_millis() as u64,
+        spare_younger_ms: RENEWAL_GRACE_PERIOD.as_millis() as u64,
     };
-    if let Err(cause) = traffic.engine.renew(&address, &asked).await {
+    if let Err(cause) = traffic.engine.renew(&address, &request).await {
         tracing::debug!(server = %server, cause = %cause, "renewal failed");
     }
 }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! Exchanges with other boxes: who lives, which settings they have, what they ask for.
+//! Gossip with other boxes: liveness, settings and demand.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,50 +29,55 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Longest exchange.
-const LIMIT: Duration = Duration::from_secs(2);
-/// Time between exchanges while this box has no settings at all.
-const HURRY: Duration = Duration::from_millis(200);
+/// Time limit of each half of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between exchanges while this box has no settings.
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Starts answering peers and gives back where they reach this box.
+/// Starts serving the frames of peers and returns the address of the listener.
 ///
 /// # Errors
 ///
-/// The address can't be listened on, or the thread can't be started.
+/// The listener can't be bound to its address, or the thread can't be started.
 pub fn listen(traffic: &Arc<Traffic>) -> anyhow::Result<SocketAddr> {
     let listener = PeerListener::bind(traffic.config.peer_listen, MAX_FRAME_BYTES)?;
     let address = listener.address();
     let traffic = Arc::clone(traffic);
     std::thread::Builder::new()
         .name("peers".to_owned())
-        .spawn(move || listener.serve(|frame| answer(&traffic, frame)))
-        .context("failed to start the peers' thread")?;
+        .spawn(move || listener.serve(|frame| respond(&traffic, frame)))
+        .context("failed to start the thread that serves peers")?;
     Ok(address)
 }
 
-/// Exchanges until the process ends.
+/// Initiates exchanges until the process ends.
 pub async fn run(traffic: &Arc<Traffic>) {
     loop {
         if let Some(address) = pick_gossip_peer(traffic) {
             exchange(traffic, address).await;
         }
-        keep_up(traffic);
+        publish_membership(traffic);
         let has_settings = traffic.settings.load().is_some();
-        let pause = if has_settings { GOSSIP_INTERVAL } else { HURRY };
-        // Spread, so that boxes that started together do not stay in step.
-        let spread = rand::rng().random_range(0.75..1.25);
-        tokio::time::sleep(pause.mul_f64(spread)).await;
+        let interval = if has_settings {
+            GOSSIP_INTERVAL
+        } else {
+            BOOTSTRAP_INTERVAL
+        };
+        // The jitter keeps boxes that started at the same time from gossiping in lockstep.
+        let jitter = rand::rng().random_range(0.75..1.25);
+        tokio::time::sleep(interval.mul_f64(jitter)).await;
     }
 }
 
-/// A box of the list, or of this box's own file while the list can't be read.
+/// Picks a box from the platform's list, or from the configuration file while the list is
+/// unavailable.
 fn pick_gossip_peer(traffic: &Traffic) -> Option<String> {
     let membership = lock(&traffic.membership);
     let mut rng = rand::rng();
-    let drawn = membership
+    let listed = membership
         .pick_gossip_peer(&mut rng)
         .map(|info| info.peer_address.clone());
-    drawn.or_else(|| {
+    listed.or_else(|| {
         traffic
             .config
             .peers
@@ -83,35 +88,35 @@
 
 async fn exchange(traffic: &Arc<Traffic>, address: String) {
     let hello = hello(traffic, false);
-    let Some(answer) = ask(traffic, &address, &hello).await else {
+    let Some(response) = send(traffic, &address, &hello).await else {
         return;
     };
-    let needs_checkpoint = take(traffic, answer);
+    let needs_checkpoint = apply_response(traffic, response);
     if needs_checkpoint {
-        let again = self::hello(traffic, true);
-        if let Some(answer) = ask(traffic, &address, &again).await {
-            take(traffic, answer);
+        let second_hello = self::hello(traffic, true);
+        if let Some(response) = send(traffic, &address, &second_hello).await {
+            apply_response(traffic, response);
         }
     }
 }
 
-async fn ask(traffic: &Arc<Traffic>, address: &str, hello: &PeerMessage) -> Option<PeerMessage> {
+async fn send(traffic: &Arc<Traffic>, address: &str, hello: &PeerMessage) -> Option<PeerMessage> {
     let key = traffic.config.peer_key;
     let frame = peer_wire::seal(&key, hello);
     telemetry::count_peer_bytes("sent", frame.len());
     let address = address.to_owned();
     let peer = NngPeer {
-        timeout: LIMIT,
+        timeout: EXCHANGE_TIMEOUT,
         max_frame: MAX_FRAME_BYTES,
     };
     let call = tokio::task::spawn_blocking(move || peer.exchange(&address, &frame));
     match call.await {
         Ok(Ok(frame)) => open(&key, &frame),
         Ok(Err(cause)) => {
-            tracing::debug!(cause = %cause, "exchange failed");
+            tracing::debug!(cause = %cause, "peer exchange failed");
             None
         }
-        Err(_stopped) => None,
+        Err(_join_error) => None,
     }
 }
 
@@ -119,9 +124,9 @@
     telemetry::count_peer_bytes("received", frame.len());
     match peer_wire::open(key, frame) {
         Ok(message) => Some(message),
-        Err(fault) => {
-            telemetry::count_bad_frame(fault.label());
-            tracing::warn!(fault = %fault, bytes = frame.len(), "a peer's frame was dropped");
+        Err(error) => {
+            telemetry::count_bad_frame(error.label());
+            tracing::warn!(fault = %error, bytes = frame.len(), "invalid peer frame dropped");
             None
         }
     }
@@ -153,11 +158,11 @@
     }
 }
 
-/// Answers a peer's frame; none for a bad one.
-fn answer(traffic: &Traffic, frame: &[u8]) -> Option<Vec<u8>> {
+/// Returns the reply to a peer's frame, or `None` if the frame is invalid.
+fn respond(traffic: &Traffic, frame: &[u8]) -> Option<Vec<u8>> {
     let key = &traffic.config.peer_key;
     let PeerMessage::Hello {
-        from: asker,
+        from: requester,
         rows,
         demand,
         wants_checkpoint,
@@ -165,29 +170,31 @@
     else {
         return None;
     };
-    let (head, checkpoint) = settings_for(traffic, &asker, wants_checkpoint);
+    let (head, checkpoint) = settings_for(traffic, &requester, wants_checkpoint);
     let from = own_row(traffic);
-    let answer = PeerMessage::Response {
-        rows: lock(&traffic.membership).rows_for(&asker.hall),
+    let response = PeerMessage::Response {
+        rows: lock(&traffic.membership).rows_for(&requester.hall),
         demand: own_demand(traffic),
         head,
         checkpoint,
         from,
     };
-    merge_rows(traffic, asker, rows, demand);
-    let frame = peer_wire::seal(key, &answer);
+    merge_rows(traffic, requester, rows, demand);
+    let frame = peer_wire::seal(key, &response);
     telemetry::count_peer_bytes("sent", frame.len());
     Some(frame)
 }
 
-/// The settings that an asker who is behind needs.
+/// Returns the encoded head and, if wanted, checkpoint for a peer with an older revision.
 fn settings_for(
     traffic: &Traffic,
-    asker: &BoxRow,
+    requester: &BoxRow,
     wants_checkpoint: bool,
 ) -> (Option<Vec<u8>>, Option<Vec<u8>>) {
     let follow = lock(&traffic.follow);
-    let newer = follow.head().filter(|head| head.revision > asker.revision);
+    let newer = follow
+        .head()
+        .filter(|head| head.revision > requester.revision);
     let checkpoint = follow
         .checkpoint()
         .filter(|_| wants_checkpoint && newer.is_some());
@@ -205,15 +212,15 @@
     }
 }
 
-/// Takes an answer; tells whether the checkpoint behind its head is needed.
-fn take(traffic: &Traffic, answer: PeerMessage) -> bool {
+/// Applies a peer's response; returns whether the checkpoint of its head is needed.
+fn apply_response(traffic: &Traffic, response: PeerMessage) -> bool {
     let PeerMessage::Response {
         from,
         rows,
         demand,
         head,
         checkpoint,
-    } = answer
+    } = response
     else {
         return false;
     };
@@ -222,29 +229,29 @@
         return false;
     };
     let checkpoint = checkpoint.and_then(|bytes| decode(&bytes).ok());
-    let followed = lock(&traffic.follow).on_peer_head(head, checkpoint);
-    let needs_checkpoint = matches!(followed, FollowOutcome::NeedsCheckpoint(_));
-    settings_watch::apply_outcome(traffic, followed);
+    let outcome = lock(&traffic.follow).on_peer_head(head, checkpoint);
+    let needs_checkpoint = matches!(outcome, FollowOutcome::NeedsCheckpoint(_));
+    settings_watch::apply_outcome(traffic, outcome);
     needs_checkpoint
 }
 
-/// Passes what is known of the hall's boxes on to the dispatcher and to `status`.
-fn keep_up(traffic: &Traffic) {
+/// Publishes the known boxes and the demand of peers to the dispatcher and to `/status`.
+fn publish_membership(traffic: &Traffic) {
     let now = traffic.clock.now();
-    let (serving, others, peers) = {
+    let (serving, demand, peers) = {
         let mut membership = lock(&traffic.membership);
         membership.remove_expired(now);
-        let peers = membership.boxes().map(|(name, info, known)| PeerStatus {
+        let peers = membership.boxes().map(|(name, info, entry)| PeerStatus {
             name: name.clone(),
-            hall: known
-                .map(|known| known.row.hall.clone())
+            hall: entry
+                .map(|entry| entry.row.hall.clone())
                 .or_else(|| info.map(|info| info.hall.clone()))
                 .unwrap_or_else(|| traffic.config.hall.clone()),
             live: membership.is_live(now, name),
-            leaving: known.is_some_and(|known| known.row.leaving)
+            leaving: entry.is_some_and(|entry| entry.row.leaving)
                 || info.is_some_and(|info| info.leaving),
-            revision: known.map(|known| known.row.revision).unwrap_or_default(),
-            silent_ms: known.map(|known| now.since(known.heard_at).as_millis() as u64),
+            revision: entry.map(|entry| entry.row.revision).unwrap_or_default(),
+            silent_ms: entry.map(|entry| now.since(entry.heard_at).as_millis() as u64),
         });
         let peers = peers.collect();
         (
@@ -255,7 +262,7 @@
     };
     let mut dispatcher = traffic.dispatcher();
     dispatcher.set_boxes(serving);
-    dispatcher.limits.set_peer_demand(now, &others);
+    dispatcher.limits.set_peer_demand(now, &demand);
     drop(dispatcher);
     lock(&traffic.status).peers = peers;
 }
--- a/daemon/src/placement_control.rs
+++ b/daemon/src/placement_control.rs
@@ -1,4 +1,4 @@
-//! Holds the hall's placement lease if it can, and gives orders while it does.
+//! Acquires the hall's placement lease and sends placement orders while holding it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,57 +20,57 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Time between two comparisons of wanted and seen state.
-const ROUND: Duration = Duration::from_secs(1);
+/// Interval between two comparisons of desired and observed state.
+const RECONCILE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs until the process ends.
+/// Runs the placement controller until the process ends.
 pub async fn run(traffic: &Arc<Traffic>) {
     let name = format!("placement/{}", traffic.config.hall);
     let mut lease = Lease::new(Duration::from_secs(10));
     let mut placement = PlacementController::default();
     loop {
-        if let Some(settings) = wanted_settings(traffic) {
+        if let Some(settings) = placement_settings(traffic) {
             lease.set_ttl(settings.lease_ttl);
-            keep_lease(traffic, &name, &mut lease).await;
-            give_orders(traffic, &lease, &mut placement, &settings).await;
+            maintain_lease(traffic, &name, &mut lease).await;
+            send_orders(traffic, &lease, &mut placement, &settings).await;
         }
-        tell_status(traffic, &lease);
-        tokio::time::sleep(ROUND).await;
+        publish_lease_status(traffic, &lease);
+        tokio::time::sleep(RECONCILE_INTERVAL).await;
     }
 }
 
-/// The placement settings; none while there is nothing to place, so that no lease is asked.
-fn wanted_settings(traffic: &Traffic) -> Option<PlacementSettings> {
+/// Returns the placement settings, or `None` if they place nothing: then no lease is requested.
+fn placement_settings(traffic: &Traffic) -> Option<PlacementSettings> {
     let view = traffic.settings.load();
     let settings = &view.as_ref()?.placement;
     (!settings.copies.is_empty()).then(|| settings.clone())
 }
 
-async fn keep_lease(traffic: &Traffic, name: &str, lease: &mut Lease) {
-    let asked_at = traffic.clock.now();
-    if !lease.is_request_due(asked_at) {
+async fn maintain_lease(traffic: &Traffic, name: &str, lease: &mut Lease) {
+    let requested_at = traffic.clock.now();
+    if !lease.is_request_due(requested_at) {
         return;
     }
-    let asked = LeaseRequest {
+    let request = LeaseRequest {
         name: name.to_owned(),
         holder: format!("{}/{}", traffic.owner.name, traffic.owner.incarnation),
         ttl_ms: lease.ttl().as_millis() as u64,
     };
-    let answer = traffic.platform.lease(&asked).await;
-    if answer.is_ok() {
+    let response = traffic.platform.lease(&request).await;
+    if response.is_ok() {
         traffic.record_platform_response();
     }
-    let held = lease.fence(asked_at);
+    let previous = lease.fence(requested_at);
     let now = traffic.clock.now();
-    lease.on_response(asked_at, now, answer);
-    match (held, lease.fence(now)) {
-        (None, Some(fence)) => tracing::info!(name, fence, "lease taken"),
+    lease.on_response(requested_at, now, response);
+    match (previous, lease.fence(now)) {
+        (None, Some(fence)) => tracing::info!(name, fence, "lease acquired"),
         (Some(fence), None) => tracing::warn!(name, fence, "lease lost"),
         _ => {}
     }
 }
 
-async fn give_orders(
+async fn send_orders(
     traffic: &Traffic,
     lease: &Lease,
     placement: &mut PlacementController,
@@ -80,26 +80,26 @@
     let (Some(since), Some(fence)) = (lease.held_since(now), lease.fence(now)) else {
         return;
     };
-    let tenure = LeaseTerm { fence, since };
-    let wanted = DesiredPlacement {
+    let term = LeaseTerm { fence, since };
+    let desired = DesiredPlacement {
         copies: settings.copies.clone(),
         hysteresis: settings.hysteresis,
         loads_per_min: settings.loads_per_min,
     };
-    let seen = seen_engines(traffic);
-    for order in placement.reconcile(now, tenure, &wanted, &seen) {
-        // Asked again for each order: the clock may have gone past the lease's safe part.
+    let observed = observed_engines(traffic);
+    for order in placement.reconcile(now, term, &desired, &observed) {
+        // Checked again for each order, since the lease may have expired in the meantime.
         let Some(fence) = lease.fence(traffic.clock.now()) else {
-            tracing::warn!(server = %order.server, "order not given: the lease is over");
+            tracing::warn!(server = %order.server, "order not sent: lease expired");
             return;
         };
-        if give(traffic, fence, &order).await {
+        if send_order(traffic, fence, &order).await {
             placement.on_order_accepted(fence, &order.server);
         }
     }
 }
 
-fn seen_engines(traffic: &Traffic) -> Vec<ObservedEngine> {
+fn observed_engines(traffic: &Traffic) -> Vec<ObservedEngine> {
     let now = traffic.clock.now();
     let dispatcher = traffic.dispatcher();
     let views = dispatcher.servers().iter().filter(|view| {
@@ -109,7 +109,7 @@
             && view.report().is_some()
             && view.accepts_work(now)
     });
-    let seen = views.map(|view| ObservedEngine {
+    let observed = views.map(|view| ObservedEngine {
         name: view.info().name.clone(),
         models: view
             .report()
@@ -117,31 +117,31 @@
             .unwrap_or_default(),
         running: view.running(),
     });
-    seen.collect()
+    observed.collect()
 }
 
-/// Gives an order; tells whether the engine took it.
-async fn give(traffic: &Traffic, fence: u64, order: &PlacementOrder) -> bool {
+/// Sends an order; returns whether the engine accepted it.
+async fn send_order(traffic: &Traffic, fence: u64, order: &PlacementOrder) -> bool {
     let Some(address) = traffic.address_of(&order.server) else {
         return false;
     };
-    let asked = Order {
+    let request = Order {
         fence,
         action: order.action.clone(),
     };
-    let done = traffic.engine.order(&address, &asked).await;
+    let result = traffic.engine.order(&address, &request).await;
     tracing::info!(
         server = %order.server,
         action = ?order.action,
         reason = %order.reason,
         fence,
-        taken = done.is_ok(),
+        accepted = result.is_ok(),
         "placement decision"
     );
-    done.is_ok()
+    result.is_ok()
 }
 
-fn tell_status(traffic: &Traffic, lease: &Lease) {
+fn publish_lease_status(traffic: &Traffic, lease: &Lease) {
     let now = traffic.clock.now();
     let status = match (lease.fence(now), lease.other_holder()) {
         (Some(fence), _) => Some(LeaseStatus {
@@ -149,14 +149,14 @@
             fence,
             in_force_here: true,
         }),
-        (None, Some(other)) => Some(LeaseStatus {
-            holder: other
+        (None, Some(other_lease)) => Some(LeaseStatus {
+            holder: other_lease
                 .holder
                 .split('/')
                 .next()
                 .unwrap_or_default()
                 .to_owned(),
-            fence: other.fence,
+            fence: other_lease.fence,
             in_force_here: false,
         }),
         (None, None) => None,
--- a/daemon/src/settings_watch.rs
+++ b/daemon/src/settings_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the committed settings at the platform and puts them in force.
+//! Watches the committed settings on the platform and activates new revisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,37 +19,37 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// How long one watch waits; each counts as one call at the platform.
+/// Wait time of one watch request; each counts as one call at the platform.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// Follows until the process ends.
+/// Watches the settings until the process ends.
 pub async fn run(traffic: &Arc<Traffic>) {
     let mut version = None;
     let mut backoff = Backoff::default();
     loop {
-        let asked_at = traffic.clock.now();
-        let answer = match version {
+        let requested_at = traffic.clock.now();
+        let response = match version {
             None => traffic.platform.read(HEAD_KEY).await.map(Some),
             Some(version) => traffic.platform.watch(HEAD_KEY, version, WATCH_WAIT).await,
         };
-        let taken = match answer {
+        let next_version = match response {
             Ok(None) => {
                 traffic.record_platform_response();
-                lock(&traffic.follow).confirm(asked_at);
+                lock(&traffic.follow).confirm(requested_at);
                 publish_status(traffic);
                 version
             }
-            Ok(Some(found)) => {
+            Ok(Some(versioned)) => {
                 traffic.record_platform_response();
-                take(traffic, asked_at, &found).await
+                apply_head(traffic, requested_at, &versioned).await
             }
-            Err(_silence) => {
-                tracing::warn!("the platform does not answer; settings stay as they are");
+            Err(_no_response) => {
+                tracing::warn!("platform did not respond; keeping the settings in force");
                 None
             }
         };
-        if let Some(taken) = taken {
-            version = Some(taken);
+        if let Some(next_version) = next_version {
+            version = Some(next_version);
             backoff.reset();
         } else {
             tokio::time::sleep(backoff.next(&mut rand::rng())).await;
@@ -57,55 +57,60 @@
     }
 }
 
-/// Takes a head; gives back the version to watch from, or none to ask again.
-async fn take(traffic: &Traffic, asked_at: Time, found: &Versioned) -> Option<Version> {
-    let head = match read_head(found) {
+/// Applies a head; returns the version to watch from, or `None` if the head must be read again.
+async fn apply_head(
+    traffic: &Traffic,
+    requested_at: Time,
+    versioned: &Versioned,
+) -> Option<Version> {
+    let head = match read_head(versioned) {
         Ok(head) => head,
-        Err(fault) => {
-            // Noted before it is told, or `status` would show it a whole watch later.
-            lock(&traffic.follow).record_error(fault.clone());
-            apply_outcome(traffic, FollowOutcome::Rejected(fault));
-            return Some(found.version);
+        Err(error) => {
+            // Recorded before it is published; otherwise `/status` shows it only after the next
+            // watch.
+            lock(&traffic.follow).record_error(error.clone());
+            apply_outcome(traffic, FollowOutcome::Rejected(error));
+            return Some(versioned.version);
         }
     };
-    let offered = lock(&traffic.follow).on_platform_head(asked_at, head.clone(), None);
-    let followed = match offered {
+    let first_outcome = lock(&traffic.follow).on_platform_head(requested_at, head.clone(), None);
+    let outcome = match first_outcome {
         FollowOutcome::NeedsCheckpoint(key) => {
             let checkpoint = read_checkpoint(traffic, &key).await?;
-            lock(&traffic.follow).on_platform_head(asked_at, head, Some(checkpoint))
+            lock(&traffic.follow).on_platform_head(requested_at, head, Some(checkpoint))
         }
         other => other,
     };
-    apply_outcome(traffic, followed);
-    Some(found.version)
+    apply_outcome(traffic, outcome);
+    Some(versioned.version)
 }
 
 async fn read_checkpoint(traffic: &Traffic, key: &str) -> Option<Checkpoint> {
-    let found = traffic.platform.read(key).await.ok()?;
-    decode(&found.value?).ok()
+    let versioned = traffic.platform.read(key).await.ok()?;
+    decode(&versioned.value?).ok()
 }
 
-/// Puts a newer revision in force, and tells of one that can't be used.
-pub fn apply_outcome(traffic: &Traffic, followed: FollowOutcome) {
-    match followed {
-        FollowOutcome::Advanced(in_force) => publish(traffic, &in_force),
-        FollowOutcome::Rejected(fault) => {
-            tracing::error!(fault = %fault, "the newest settings can't be used; the last good stay");
+/// Activates a newer revision, or logs why the latest one is invalid, and publishes the status.
+pub fn apply_outcome(traffic: &Traffic, outcome: FollowOutcome) {
+    match outcome {
+        FollowOutcome::Advanced(active) => publish(traffic, &active),
+        FollowOutcome::Rejected(error) => {
+            tracing::error!(fault = %error, "latest settings invalid; keeping the last valid ones");
         }
         FollowOutcome::Unchanged | FollowOutcome::NeedsCheckpoint(_) => {}
     }
     publish_status(traffic);
 }
 
-fn publish(traffic: &Traffic, in_force: &ActiveSettings) {
-    let view = SettingsView::new(in_force, traffic.config.hall.as_str());
+fn publish(traffic: &Traffic, active: &ActiveSettings) {
+    let view = SettingsView::new(active, traffic.config.hall.as_str());
     traffic.dispatcher().set_settings(view.routing.clone());
-    // Another thread may have published a newer one in between: only forward.
+    // Another thread may have published a newer revision in the meantime; keep that one.
     traffic.settings.rcu(|current| match current {
         Some(newer) if newer.revision >= view.revision => Some(Arc::clone(newer)),
         _ => Some(Arc::new(view.clone())),
     });
-    tracing::info!(revision = in_force.revision.0, "settings in force");
+    tracing::info!(revision = active.revision.0, "settings in force");
 }
 
 fn publish_status(traffic: &Traffic) {
--- a/daemon/src/stop.rs
+++ b/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: readiness fails first, what is in flight finishes, then the end.
+//! Planned stops: readiness fails, requests in flight complete, then the process exits.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,20 +9,21 @@
 
 use crate::traffic::Traffic;
 
-/// Time for the balancer to see that readiness failed before arrivals are refused.
+/// Time for the load balancer to notice the failed readiness before new requests are refused.
 pub const BALANCER_DETECTION_TIME: Duration = Duration::from_secs(2);
-/// How often the count of requests in flight is looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// Quiet time after the last answer, so that its last bytes are out.
-const LAST_BYTES: Duration = Duration::from_millis(300);
+/// Interval at which the number of requests in flight is checked during a stop.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Idle time after the last response, in which its last bytes are sent.
+const FLUSH_TIME: Duration = Duration::from_millis(300);
 
-/// Returns when the daemon may end: after SIGTERM and the last answer, or a second signal.
+/// Waits until the daemon may exit: after SIGTERM or SIGINT and the last response, or after a
+/// second signal.
 pub async fn wait_for_exit(traffic: &Arc<Traffic>) {
     let (Ok(mut term), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
     ) else {
-        // Without signals there is no planned stop; the process runs until it is killed.
+        // Without signal handlers there is no planned stop; the process runs until it is killed.
         return std::future::pending().await;
     };
     tokio::select! {
@@ -34,8 +35,8 @@
     traffic.leaving.store(true, Ordering::SeqCst);
     tokio::select! {
         () = drain(traffic) => tracing::info!("planned stop done"),
-        _ = term.recv() => tracing::warn!(in_flight = in_flight(traffic), "stopped at once"),
-        _ = interrupt.recv() => tracing::warn!(in_flight = in_flight(traffic), "stopped at once"),
+        _ = term.recv() => tracing::warn!(in_flight = in_flight(traffic), "planned stop aborted"),
+        _ = interrupt.recv() => tracing::warn!(in_flight = in_flight(traffic), "planned stop aborted"),
     }
 }
 
@@ -48,9 +49,9 @@
     traffic.dispatcher().set_stopping(true);
     loop {
         while in_flight(traffic) > 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        tokio::time::sleep(LAST_BYTES).await;
+        tokio::time::sleep(FLUSH_TIME).await;
         if in_flight(traffic) == 0 {
             return;
         }
--- a/daemon/src/telemetry.rs
+++ b/daemon/src/telemetry.rs
@@ -1,7 +1,7 @@
 //! Logs and metrics.
 //!
-//! Log lines have a constant message and named fields. Metrics are read at `/metrics`
-//! in the Prometheus text format; names begin with `badgerferry_`.
+//! Log events have a constant message and named fields. Metrics are served at `/metrics` in the
+//! Prometheus text format; their names begin with `badgerferry_`.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -20,12 +20,13 @@
 
 use crate::box_config::LogFormat;
 
-/// Upper bounds of time buckets, in seconds: around the limits of 0.73 s and 54 ms.
+/// Upper bounds of histogram buckets for durations, in seconds. They include the limits of 0.73 s
+/// and 54 ms.
 const TIME_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.025, 0.054, 0.1, 0.25, 0.5, 0.73, 1.0, 2.5, 5.0, 15.0, 60.0, 300.0,
 ];
 
-/// Starts logging; `BADGERFERRY_LOG` filters, `info` by default.
+/// Starts logs on standard error. `BADGERFERRY_LOG` sets the filter, `info` by default.
 pub fn start_logs(format: LogFormat) {
     let filter = EnvFilter::try_from_env("BADGERFERRY_LOG");
     let filter = filter.unwrap_or_else(|_unset| EnvFilter::new("info,viz=warn"));
@@ -38,20 +39,20 @@
     }
 }
 
-/// Lines that wait to be written; beyond that they are dropped and counted.
-const WAITING_LINES: usize = 2_048;
+/// Maximum number of log lines that are buffered; further lines are dropped and counted.
+const MAX_BUFFERED_LINES: usize = 2_048;
 
-/// Counts lines that were dropped.
+/// Counter of dropped log lines.
 static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Starts JSON logs on standard output that never hold the process up.
+/// Starts JSON logs on standard output, which never block the process.
 ///
-/// The guard writes what waits when it is dropped.
+/// Dropping the guard writes the buffered lines.
 pub fn start_stdout_logs() -> WorkerGuard {
     let filter = EnvFilter::try_from_env("BADGERFERRY_LOG");
     let filter = filter.unwrap_or_else(|_unset| EnvFilter::new("info"));
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     let _ = DROPPED_LINES.set(writer.error_counter());
@@ -67,18 +68,18 @@
     guard
 }
 
-/// Log lines dropped since the start.
+/// Number of log lines dropped since the start.
 pub fn dropped_lines() -> f64 {
     DROPPED_LINES
         .get()
         .map_or(0.0, |counter| counter.dropped_lines() as f64)
 }
 
-/// Starts metrics.
+/// Installs the metrics recorder.
 ///
 /// # Errors
 ///
-/// Another recorder is installed.
+/// A recorder is installed already.
 pub fn start_metrics() -> anyhow::Result<PrometheusHandle> {
     let handle = PrometheusBuilder::new()
         .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &TIME_BUCKETS)?
@@ -86,7 +87,7 @@
     Ok(handle)
 }
 
-/// Prompt-length band for labels.
+/// Band of prompt lengths, as the value of the label `band`; `service` if there is no prompt.
 pub const fn band(prompt_tokens: u64) -> &'static str {
     match prompt_tokens {
         0 => "service",
@@ -97,47 +98,47 @@
     }
 }
 
-/// Counts how a request ended.
-pub fn count_outcome(outcome: &Outcome, prompt_tokens: u64, took: Duration) {
+/// Counts a request by its outcome and records its duration.
+pub fn count_outcome(outcome: &Outcome, prompt_tokens: u64, elapsed: Duration) {
     let reason = match outcome {
-        Outcome::Refused(refused) => refused.reason().code(),
+        Outcome::Refused(refusal) => refusal.reason().code(),
         Outcome::Failed(reason) => reason.code(),
         Outcome::Completed { .. } | Outcome::Cancelled => "",
     };
     let band = band(prompt_tokens);
     counter!("badgerferry_requests_total", "outcome" => outcome.label(), "reason" => reason, "band" => band)
         .increment(1);
-    histogram!("badgerferry_request_seconds", "band" => band).record(took.as_secs_f64());
+    histogram!("badgerferry_request_seconds", "band" => band).record(elapsed.as_secs_f64());
 }
 
-/// Records a time to first token.
-pub fn record_first_token(prompt_tokens: u64, took: Duration) {
+/// Records the time to the first token.
+pub fn record_first_token(prompt_tokens: u64, elapsed: Duration) {
     let band = band(prompt_tokens);
-    histogram!("badgerferry_first_token_seconds", "band" => band).record(took.as_secs_f64());
+    histogram!("badgerferry_first_token_seconds", "band" => band).record(elapsed.as_secs_f64());
 }
 
-/// Records the time between two tokens.
-pub fn record_inter_token_latency(prompt_tokens: u64, took: Duration) {
+/// Records the time between two consecutive tokens.
+pub fn record_inter_token_latency(prompt_tokens: u64, elapsed: Duration) {
     let band = band(prompt_tokens);
-    histogram!("badgerferry_between_tokens_seconds", "band" => band).record(took.as_secs_f64());
+    histogram!("badgerferry_between_tokens_seconds", "band" => band).record(elapsed.as_secs_f64());
 }
 
-/// Counts a frame that was not forwarded.
-pub fn count_dropped_frame(why: &'static str) {
-    counter!("badgerferry_dropped_frames_total", "why" => why).increment(1);
+/// Counts a frame from an engine that was not forwarded to the caller.
+pub fn count_dropped_frame(reason: &'static str) {
+    counter!("badgerferry_dropped_frames_total", "why" => reason).increment(1);
 }
 
-/// Sets a gauge by name.
+/// Sets a gauge to a value.
 pub fn set_gauge(name: &'static str, value: f64) {
     gauge!(name).set(value);
 }
 
-/// Counts bytes of exchanges with peers.
-pub fn count_peer_bytes(way: &'static str, bytes: usize) {
-    counter!("badgerferry_peer_bytes_total", "way" => way).increment(bytes as u64);
+/// Counts the bytes that exchanges with peers sent or received.
+pub fn count_peer_bytes(direction: &'static str, bytes: usize) {
+    counter!("badgerferry_peer_bytes_total", "way" => direction).increment(bytes as u64);
 }
 
-/// Counts a peer's frame that was dropped.
-pub fn count_bad_frame(why: &'static str) {
-    counter!("badgerferry_bad_peer_frames_total", "why" => why).increment(1);
+/// Counts an invalid frame from a peer.
+pub fn count_bad_frame(reason: &'static str) {
+    counter!("badgerferry_bad_peer_frames_total", "why" => reason).increment(1);
 }
--- a/daemon/tests/engines.rs
+++ b/daemon/tests/engines.rs
@@ -1,16 +1,16 @@
-//! A box before model engines.
+//! Fixture of a box that serves model engines.
 
 use std::time::Duration;
 
 use badgerferry_standin::relay_box::World;
 use badgerferry_standin::server::Server;
 
-/// A box, a plain server, and engines each of whose events takes so long.
+/// Starts a box, a plain server and engines that take `pace` per event.
 pub async fn world(count: usize, pace: Duration) -> anyhow::Result<(World, Vec<Server>)> {
     let world = World::start(1).await?;
     let mut engines = Vec::new();
-    for at in 0..count {
-        let name = format!("e-{at}");
+    for index in 0..count {
+        let name = format!("e-{index}");
         let engine = Server::start(&name, "engines", pace).await?;
         world.store.put(&engine.key(), &engine.entry("ready"));
         world.relay.wait_line(&["server entry", &name]).await?;
--- a/daemon/tests/test_boxes.rs
+++ b/daemon/tests/test_boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes start, stop, leave, freeze and lose the platform.
+//! Start, stop, removal and suspension of boxes, and loss of the platform.
 
 use badgerferry_testutils::fleet::Fleet;
 use badgerferry_testutils::fleet::FleetPlan;
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 #[tokio::test]
-async fn planned_stop_cuts_nothing_off() -> anyhow::Result<()> {
+async fn planned_stop_completes_requests_in_flight() -> anyhow::Result<()> {
     let engine_args = ["--iteration-ms", "300"];
     let plan = FleetPlan {
         engine_args: engine_args.map(str::to_owned).to_vec(),
@@ -20,7 +20,7 @@
     let caller = fleet.caller.clone();
     let address = fleet.boxes[0].address;
     let body = chat_body("a long answer", true).to_string();
-    let asking = tokio::spawn(async move {
+    let call = tokio::spawn(async move {
         let bearer = format!("Bearer {WORKSPACE_KEY}");
         let headers = [("authorization", bearer.as_str())];
         let path = "/v1/chat/completions";
@@ -28,7 +28,7 @@
             .call(hyper::Method::POST, address, path, &headers, body)
             .await
     });
-    wait_until("the request is at an engine", async || {
+    wait_until("the request is in flight at an engine", async || {
         fleet.status(0).await.is_ok_and(|status| status.active > 0)
     })
     .await?;
@@ -40,13 +40,13 @@
         ready.is_ok_and(|ready| ready.status == 503)
     })
     .await?;
-    let answer = asking.await??;
+    let response = call.await??;
     let log = fleet.log(0)?;
     assert!(log.contains("planned stop begun in_flight=1"), "{log}");
     assert!(
-        answer.text().ends_with("data: [DONE]\n\n"),
-        "cut off: {}",
-        answer.text()
+        response.text().ends_with("data: [DONE]\n\n"),
+        "response incomplete: {}",
+        response.text()
     );
     let daemon = &mut fleet.boxes[0];
     let mut code = daemon.ended()?;
@@ -59,14 +59,14 @@
 }
 
 #[tokio::test]
-async fn box_that_the_list_calls_leaving_gets_no_new_work() -> anyhow::Result<()> {
+async fn box_marked_as_leaving_refuses_new_requests() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet.list.boxes[0].leaving = true;
     fleet.tell_list().await?;
 
-    wait_until("new work is refused", async || {
-        let answer = fleet.chat(0, "hello", &[]).await;
-        answer.is_ok_and(|answer| answer.status == 503)
+    wait_until("new requests are refused", async || {
+        let response = fleet.chat(0, "hello", &[]).await;
+        response.is_ok_and(|response| response.status == 503)
     })
     .await?;
     let refused: Value = fleet.chat(0, "hello", &[]).await?.json()?;
@@ -76,22 +76,25 @@
 
     assert_eq!(refused["error"]["code"], "box_leaving");
     assert!(other.status.is_success());
-    wait_until("a list that flapped does no harm", async || {
-        let answer = fleet.chat(0, "hello", &[]).await;
-        answer.is_ok_and(|answer| answer.status.is_success())
-    })
+    wait_until(
+        "the box accepts requests after the mark is removed",
+        async || {
+            let response = fleet.chat(0, "hello", &[]).await;
+            response.is_ok_and(|response| response.status.is_success())
+        },
+    )
     .await
 }
 
 #[tokio::test]
-async fn leaving_engine_gets_no_new_work_though_the_list_lags() -> anyhow::Result<()> {
+async fn engine_that_reports_leaving_gets_no_new_requests() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
 
     fleet
         .set_faults(fleet.engines[0].address, &json!({"leaving": true}))
         .await?;
 
-    wait_until("the engine's own word is known", async || {
+    wait_until("the box knows that the engine is leaving", async || {
         let status = fleet.status(0).await;
         status.is_ok_and(|status| {
             status
@@ -110,10 +113,10 @@
 }
 
 #[tokio::test]
-async fn box_that_starts_without_the_platform_serves_from_a_peer() -> anyhow::Result<()> {
+async fn box_started_without_platform_gets_settings_from_a_peer() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(&FleetPlan::default()).await?;
-    let edit = fleet.cli(&["settings", "set", "texas", "request.max_output_tokens", "5"])?;
-    assert!(edit.status.success(), "{}", stderr(&edit));
+    let output = fleet.cli(&["settings", "set", "texas", "request.max_output_tokens", "5"])?;
+    assert!(output.status.success(), "{}", stderr(&output));
     assert!(fleet.cli(&["settings", "wait", "2"])?.status.success());
     fleet
         .set_faults(fleet.platform.address, &json!({"down": true}))
@@ -130,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn boxes_that_all_start_without_the_platform_refuse_truthfully() -> anyhow::Result<()> {
+async fn boxes_started_without_platform_refuse_with_no_settings() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet
         .set_faults(fleet.platform.address, &json!({"down": true}))
@@ -156,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn frozen_lease_holder_wakes_without_the_lease() -> anyhow::Result<()> {
+async fn suspended_lease_holder_resumes_without_the_lease() -> anyhow::Result<()> {
     let plan = FleetPlan {
         settings: vec![
             ("lease.ttl_ms", 1_500.into()),
@@ -165,8 +168,8 @@
         ..FleetPlan::default()
     };
     let fleet = Fleet::start(&plan).await?;
-    let holder = async |but: Option<usize>| {
-        for index in (0..2).filter(|index| Some(*index) != but) {
+    let find_holder = async |except: Option<usize>| {
+        for index in (0..2).filter(|index| Some(*index) != except) {
             if let Ok(status) = fleet.status(index).await
                 && let Some(lease) = status.lease.filter(|lease| lease.in_force_here)
             {
@@ -176,25 +179,25 @@
         None
     };
     wait_until("a box holds the lease", async || {
-        holder(None).await.is_some()
+        find_holder(None).await.is_some()
     })
     .await?;
-    let (first, old_fence) = holder(None).await.unwrap_or_default();
+    let (first, old_fence) = find_holder(None).await.unwrap_or_default();
 
     fleet.boxes[first].signal("STOP")?;
-    let taken = wait_until("the other box holds it", async || {
-        holder(Some(first)).await.is_some()
+    let acquired = wait_until("the other box holds the lease", async || {
+        find_holder(Some(first)).await.is_some()
     })
     .await;
     fleet.boxes[first].signal("CONT")?;
-    taken?;
+    acquired?;
 
-    let (second, new_fence) = holder(Some(first)).await.unwrap_or_default();
+    let (second, new_fence) = find_holder(Some(first)).await.unwrap_or_default();
     assert!(
         second != first && new_fence > old_fence,
         "{new_fence} after {old_fence}"
     );
-    wait_until("the woken holder knows", async || {
+    wait_until("the resumed holder knows the new holder", async || {
         let status = fleet.status(first).await;
         status.is_ok_and(|status| {
             status
@@ -206,7 +209,7 @@
 }
 
 #[tokio::test]
-async fn wanted_copies_are_loaded_by_fenced_orders() -> anyhow::Result<()> {
+async fn desired_copies_are_loaded_by_fenced_orders() -> anyhow::Result<()> {
     let plan = FleetPlan {
         settings: vec![
             ("lease.ttl_ms", 1_500.into()),
@@ -217,7 +220,7 @@
     };
     let fleet = Fleet::start(&plan).await?;
 
-    let edit = fleet.cli(&[
+    let output = fleet.cli(&[
         "settings",
         "set",
         "fleet",
@@ -225,7 +228,7 @@
         r#"{"judge@v2": 2}"#,
     ])?;
 
-    assert!(edit.status.success(), "{}", stderr(&edit));
+    assert!(output.status.success(), "{}", stderr(&output));
     wait_until("two engines have the model", async || {
         let Ok(status) = fleet.status(0).await else {
             return false;
@@ -240,19 +243,19 @@
     let loads = log.matches("action=Load").count();
     assert_eq!(
         loads, 2,
-        "one load for each copy:
+        "expected one load per copy:
 {log}"
     );
     Ok(())
 }
 
 #[tokio::test]
-async fn stranger_without_the_key_changes_nothing() -> anyhow::Result<()> {
+async fn invalid_peer_frames_are_rejected() -> anyhow::Result<()> {
     use badgerferry_edges::peer::NngPeer;
     use badgerferry_edges::peer::Peer;
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     let address = fleet.list.boxes[0].peer_address.clone();
-    let stranger = NngPeer {
+    let untrusted_peer = NngPeer {
         timeout: std::time::Duration::from_millis(500),
         max_frame: 1_000_000,
     };
@@ -274,10 +277,10 @@
     };
     let sealed = badgerferry_lib::peer_wire::seal(&[7; 32], &message);
 
-    let answers = [sealed.as_slice(), b"nonsense".as_slice()]
-        .map(|frame| stranger.exchange(&address, frame).is_ok());
+    let responses = [sealed.as_slice(), b"nonsense".as_slice()]
+        .map(|frame| untrusted_peer.exchange(&address, frame).is_ok());
 
-    assert_eq!(answers, [false, false]);
+    assert_eq!(responses, [false, false]);
     let metrics = fleet
         .caller
         .get(fleet.boxes[0].address, "/metrics")
@@ -297,7 +300,7 @@
 }
 
 #[tokio::test]
-async fn settings_that_cannot_be_read_leave_the_last_good_in_force() -> anyhow::Result<()> {
+async fn invalid_settings_leave_the_last_valid_revision_in_force() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     let path = "/v1/kv?key=settings/head";
     let method = hyper::Method::PUT;
@@ -307,7 +310,7 @@
         .call(method, fleet.platform.address, path, &[], "nonsense")
         .await?;
 
-    wait_until("status tells of the fault", async || {
+    wait_until("status shows the error", async || {
         let status = fleet.status(0).await;
         status.is_ok_and(|status| status.settings.fault.is_some())
     })
--- a/daemon/tests/test_command_line.rs
+++ b/daemon/tests/test_command_line.rs
@@ -1,4 +1,4 @@
-//! Operators race, lose answers and wait, with the real command line.
+//! Concurrent edits, lost responses and waits, with the command-line binary.
 
 use badgerferry_testutils::fleet::Fleet;
 use badgerferry_testutils::fleet::FleetPlan;
@@ -9,10 +9,10 @@
 
 const CONFLICT: Option<i32> = Some(3);
 const NOT_IN_FORCE: Option<i32> = Some(5);
-const NO_ANSWER: Option<i32> = Some(6);
+const NO_RESPONSE: Option<i32> = Some(6);
 
 #[tokio::test]
-async fn edits_of_different_parts_both_go_in_and_of_the_same_one_wins() -> anyhow::Result<()> {
+async fn concurrent_edits_conflict_only_on_the_same_setting() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     let set = |key, value| fleet.cli(&["settings", "set", "crashes", key, value, "--base", "1"]);
 
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn edit_whose_answer_is_lost_goes_in_once() -> anyhow::Result<()> {
+async fn edit_is_applied_once_if_its_response_is_lost() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet
         .set_faults(fleet.platform.address, &json!({"lose_write_answers": 3}))
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn racing_command_lines_with_lost_answers_are_each_told_the_truth() -> anyhow::Result<()> {
+async fn concurrent_edits_with_lost_responses_report_their_results() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet
         .set_faults(fleet.platform.address, &json!({"lose_write_answers": 6}))
@@ -68,11 +68,11 @@
 
     let show = stdout(&fleet.cli(&["settings", "show"])?);
     for (number, result) in results.into_iter().enumerate() {
-        let output = result.expect("the command ran")?;
+        let output = result.expect("the thread did not panic")?;
         assert!(output.status.success(), "{}", stderr(&output));
         assert!(
             show.contains(&format!("ws-{number} ")),
-            "accepted and not in:\n{show}"
+            "edit accepted but missing in:\n{show}"
         );
     }
     assert!(show.starts_with("revision 9\n"), "{show}");
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn platform_that_is_down_is_told_so() -> anyhow::Result<()> {
+async fn unavailable_platform_is_reported() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet
         .set_faults(fleet.platform.address, &json!({"down": true}))
@@ -96,7 +96,7 @@
         "2",
     ])?;
 
-    assert_eq!(edit.status.code(), NO_ANSWER, "{}", stderr(&edit));
+    assert_eq!(edit.status.code(), NO_RESPONSE, "{}", stderr(&edit));
     assert!(
         stderr(&edit).contains("hint: check --platform"),
         "{}",
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn wait_names_the_box_that_does_not_follow() -> anyhow::Result<()> {
+async fn wait_reports_the_box_that_lags() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet.boxes[1].signal("STOP")?;
 
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn backup_is_restored_and_a_changed_one_refused() -> anyhow::Result<()> {
+async fn backup_is_restored_and_a_modified_one_rejected() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     let file = std::env::temp_dir().join(format!("badgerferry-backup-{}.json", std::process::id()));
     let path = file.display().to_string();
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test]
-async fn unsound_edits_are_refused_with_their_path() -> anyhow::Result<()> {
+async fn invalid_edits_are_rejected_with_their_path() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     let cases: [(&[&str], &str); 5] = [
         (
@@ -180,15 +180,15 @@
         (&["remove", "texas"], "texas: other nodes inherit from it"),
     ];
 
-    for (words, expected) in cases {
+    for (command, expected) in cases {
         let args: Vec<&str> = std::iter::once("settings")
-            .chain(words.iter().copied())
+            .chain(command.iter().copied())
             .collect();
         let output = fleet.cli(&args)?;
-        assert_eq!(output.status.code(), Some(1), "{words:?}");
+        assert_eq!(output.status.code(), Some(1), "{command:?}");
         assert!(
             stderr(&output).contains(expected),
-            "{words:?}: {}",
+            "{command:?}: {}",
             stderr(&output)
         );
     }
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn edits_and_waits_are_told_as_json() -> anyhow::Result<()> {
+async fn edits_and_waits_print_json() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     let json = |output: &std::process::Output| serde_json::from_str::<Value>(&stdout(output));
 
