--- a/daemon/src/engine_reports.rs
+++ b/daemon/src/engine_reports.rs
@@ -25,13 +25,15 @@
 const REPORT_BYTES_PER_S: u64 = 1_000;
 /// Renewals per TTL, so that the loss of one has no effect.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Age below which a renewal frees nothing; longer than the time limit of any control call.
+/// Age below which a renewal frees nothing. Longer than the time limit of any control call, so that
+/// a renewal which was sent before an attempt or reservation does not free it.
 const RENEWAL_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
 /// Polls engines until the process ends.
 ///
-/// Each round polls all engines of the own hall and one engine of the other halls. Requests go to
-/// other halls only if the own hall has no capacity, and for that an old report is sufficient.
+/// Each round polls all engines of the own hall, one engine of the other halls in rotation, and
+/// those not polled before. Requests go to other halls only if the own hall has no capacity, and
+/// for that an old report is sufficient.
 pub async fn run(traffic: &Arc<Traffic>) {
     let mut polled_before = BTreeSet::new();
     for round in 0_usize.. {
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -185,7 +185,7 @@
     Some(frame)
 }
 
-/// Returns the encoded head and, if wanted, checkpoint for a peer with an older revision.
+/// Returns the encoded head and, on request, its checkpoint if the peer has an older revision.
 fn settings_for(
     traffic: &Traffic,
     requester: &BoxRow,
--- a/edges/src/engine.rs
+++ b/edges/src/engine.rs
@@ -162,7 +162,8 @@
     Err(read_error(address, response).await)
 }
 
-/// Reads an error response and tells whether the server states that it did not start the request.
+/// Converts an error response: [`SendError::NotStarted`] only if the server states so in its body,
+/// otherwise [`SendError::Lost`].
 pub(crate) async fn read_error(address: &str, response: Response<Incoming>) -> SendError {
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_ERROR_BYTES);
