--- a/daemon/src/request_driver.rs
+++ b/daemon/src/request_driver.rs
@@ -5,7 +5,7 @@
 
 use badgerferry_edges::engine::Engine;
 use badgerferry_edges::engine::FrameStream;
-use badgerferry_edges::link::SendError;
+use badgerferry_edges::http_client::SendError;
 use badgerferry_lib::dispatcher::Decision;
 use badgerferry_lib::dispatcher::Start;
 use badgerferry_lib::engine_wire::CancelRequest;
@@ -370,7 +370,7 @@
     async fn forward(&mut self, now: Time, text: String) {
         if let Some(previous) = self.last_token.replace(now) {
             let prompt_tokens = self.request.prompt_tokens;
-            telemetry::record_between_tokens(prompt_tokens, now.since(previous));
+            telemetry::record_inter_token_latency(prompt_tokens, now.since(previous));
         }
         let deadline = self.traffic.clock.instant(self.request.deadline);
         // A slow caller delays only its own stream, and no longer than its time limit.
--- a/daemon/src/service_driver.rs
+++ b/daemon/src/service_driver.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use badgerferry_edges::link::Answer;
-use badgerferry_edges::link::SendError;
+use badgerferry_edges::http_client::BufferedResponse;
+use badgerferry_edges::http_client::SendError;
 use badgerferry_edges::service::Service;
 use badgerferry_edges::service::ServiceCall;
 use badgerferry_lib::dispatcher::Decision;
@@ -43,7 +43,7 @@
     /// The outcome.
     pub outcome: Outcome,
     /// Response of the service, of any status; `None` if no attempt got one.
-    pub response: Option<Answer>,
+    pub response: Option<BufferedResponse>,
 }
 
 /// Runs a call until its outcome is known.
@@ -154,7 +154,7 @@
     traffic: &Traffic,
     prepared: &PreparedCall,
     server: &ServerName,
-) -> Result<Answer, SendError> {
+) -> Result<BufferedResponse, SendError> {
     let address = traffic.address_of(server).unwrap_or_default();
     let connect = prepared.class.connect_timeout;
     traffic
@@ -163,7 +163,10 @@
         .await
 }
 
-fn call_event(result: Result<Answer, SendError>, response: &mut Option<Answer>) -> Event<'static> {
+fn call_event(
+    result: Result<BufferedResponse, SendError>,
+    response: &mut Option<BufferedResponse>,
+) -> Event<'static> {
     match result {
         Ok(received) => {
             *response = Some(received);
