--- a/daemon/src/relay/cluster_view.rs
+++ b/daemon/src/relay/cluster_view.rs
@@ -21,30 +21,30 @@
     pub store_answered_at: Option<Time>,
     /// When a peer last announced that it follows the store.
     pub peer_followed_store_at: Option<Time>,
-    /// Whether a datagram came from a box that is not in `boxes`.
+    /// Whether a datagram came from a box that is not in `boxes`, since `boxes_requested_at`.
     pub has_unknown_peer: bool,
     /// When a pull last requested the list of boxes.
     pub boxes_requested_at: Option<Time>,
 }
 
 impl ClusterView {
-    /// Replaces the known boxes by those listed in the store, but keeps live ones. The store may
-    /// have been restored from a backup that lacks a live box until that registers again.
+    /// Replaces the known boxes with those listed in the store, but keeps live ones: a store that
+    /// was restored from a backup may lack the entry of a live box until the box registers again.
     pub fn merge_boxes(&mut self, now: Time, listed: Boxes) {
         let previous = std::mem::replace(&mut self.boxes, listed);
-        for (name, of) in previous {
+        for (name, addresses) in previous {
             if self.peer_liveness.is_live(now, &name) {
-                self.boxes.entry(name).or_insert(of);
+                self.boxes.entry(name).or_insert(addresses);
             }
         }
     }
 
-    /// Which boxes this one sends its load to; it prefers the engines that these use.
+    /// Which boxes this one sends its load to. It divides the engines that it prefers with them.
     pub fn scope(&self) -> GossipScope {
         GossipScope::of(&self.boxes)
     }
 
-    /// Which box grants the call quota of limited servers of a hall; `own` is this box.
+    /// Owner of the call quotas of a hall's limited servers. `own` is the name of this box.
     pub fn quota_owner(&self, now: Time, own: &str, hall: &HallName) -> QuotaOwner {
         let is_live = |name: &str| self.peer_liveness.is_live(now, name);
         let uptime = now.since(Time::ZERO);
--- a/daemon/src/relay/gossip.rs
+++ b/daemon/src/relay/gossip.rs
@@ -40,15 +40,15 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Minimum interval at which a box forwards datagrams of the same other hall.
+/// Minimum interval between forwarded datagrams of the same other hall.
 const MIN_FORWARD_INTERVAL: Duration = Duration::from_millis(10);
-/// A box that follows the store pulls state from a peer only if that has had newer state for this
-/// long. Its own watch usually delivers the state sooner.
+/// How long a peer must have announced newer state before a box that follows the store pulls it.
+/// The watch of that box usually delivers the state sooner.
 const PULL_DELAY: Duration = Duration::from_millis(250);
-/// Minimum interval between pulls, so that one pull fetches changes that come together.
+/// Minimum interval between pulls, so that one pull fetches changes made in quick succession.
 const MIN_PULL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Sockets for other boxes: load datagrams (UDP) and pulls (TCP).
+/// Sockets for datagrams (UDP) and pulls (TCP) between boxes.
 #[derive(Debug)]
 pub struct PeerSockets {
     load: UdpSocket,
@@ -81,6 +81,8 @@
     );
 }
 
+/// Sends the load of this box to the boxes in its gossip scope. Each round also expires held server
+/// entries, and logs changes of the scope and of the reachability of halls.
 async fn send_own_load(relay: &Arc<Relay>, socket: &UdpSocket) {
     let mut sequence = 0;
     let mut scope = GossipScope::Fleet;
@@ -95,7 +97,7 @@
         let mut datagram = LoadDatagram {
             is_urgent,
             queue_head: lock(&relay.long_prompt_queue).head(now),
-            ..datagram(relay, now, sequence, LoadSource::Box, rows)
+            ..build_datagram(relay, now, sequence, LoadSource::Box, rows)
         };
         let queue_head = datagram.queue_head;
         let peers = peers(relay);
@@ -143,7 +145,7 @@
             if role == DelegateRole::Primary {
                 tokio::time::sleep(MIN_HALL_GOSSIP_INTERVAL).await;
                 let max_wait = MAX_HALL_GOSSIP_INTERVAL.saturating_sub(MIN_HALL_GOSSIP_INTERVAL);
-                // A time-out means that nothing changed; the same load is sent again.
+                // A time-out means that nothing urgent changed; the load is also sent periodically.
                 let _ = timeout(max_wait, relay.hall_changed.notified()).await;
                 continue;
             }
@@ -152,7 +154,7 @@
     }
 }
 
-/// Role of this box as delegate of its hall, if any, and the receivers of this turn.
+/// Role of this box as delegate of its hall, if any, and the boxes that are sent to in this turn.
 fn hall_gossip_targets(
     relay: &Relay,
     now: Time,
@@ -166,7 +168,7 @@
     let is_live = |name: &str| cluster_view.peer_liveness.is_live(now, name);
     let role = gossip_topology::delegate_role(&cluster_view.boxes, &own.name, &own.hall, is_live);
     let targets = gossip_topology::gossip_targets(&cluster_view.boxes, &own.hall, turn).into_iter();
-    let targets = targets.filter_map(|of| of.load.parse().ok());
+    let targets = targets.filter_map(|target| target.load.parse().ok());
     (role, targets.collect())
 }
 
@@ -183,11 +185,12 @@
     };
     LoadDatagram {
         queue_head: lock(&relay.long_prompt_queue).hall_head(now),
-        ..datagram(relay, now, sequence, source, rows)
+        ..build_datagram(relay, now, sequence, source, rows)
     }
 }
 
-fn datagram(
+/// Datagram without a queue head, which the caller adds.
+fn build_datagram(
     relay: &Relay,
     now: Time,
     sequence: u64,
@@ -230,8 +233,8 @@
 }
 
 async fn send_to_all(socket: &UdpSocket, datagram: &mut LoadDatagram, to: &[SocketAddr]) {
-    let left_out = datagram.truncate_rows();
-    counter!("badgerferry_load_rows_left_out_total").increment(left_out as u64);
+    let omitted = datagram.truncate_rows();
+    counter!("badgerferry_load_rows_left_out_total").increment(omitted as u64);
     let bytes = datagram.encode();
     for address in to {
         if let Err(cause) = socket.send_to(&bytes, address).await {
@@ -241,8 +244,8 @@
     }
 }
 
-/// Waits for the next change or heartbeat; true if the change is urgent. Other changes are sent
-/// after at least `min_interval`.
+/// Waits for a change or the next heartbeat, for at least `min_interval`. An urgent change ends the
+/// wait at once, and true is returned.
 async fn wait_for_change(relay: &Relay, min_interval: Duration, heartbeat: Duration) -> bool {
     let changed = async {
         tokio::time::sleep(min_interval).await;
@@ -294,10 +297,13 @@
     let cluster_view = lock(&relay.cluster_view);
     let scope = cluster_view.scope();
     let own = &relay.settings;
-    let peers = cluster_view.boxes.values().filter(|of| of.name != own.name);
+    let peers = cluster_view
+        .boxes
+        .values()
+        .filter(|peer| peer.name != own.name);
     peers
-        .filter(|of| scope.includes(&own.hall, &of.hall))
-        .filter_map(|of| of.load.parse().ok())
+        .filter(|peer| scope.includes(&own.hall, &peer.hall))
+        .filter_map(|peer| peer.load.parse().ok())
         .collect()
 }
 
@@ -309,8 +315,8 @@
     loop {
         let datagram = match socket.recv_from(&mut buf).await {
             Ok((len, from)) if PermitFrame::has_version_byte(&buf[..len]) => {
-                if let Some(answer) = relay.gate.handle_datagram(&buf[..len]) {
-                    relay.gate.permits.send(from, &answer);
+                if let Some(response) = relay.gate.handle_datagram(&buf[..len]) {
+                    relay.gate.permits.send(from, &response);
                 }
                 continue;
             }
@@ -368,7 +374,7 @@
     }
 }
 
-/// When the load of each other hall was last forwarded within this one.
+/// When the load of each other hall was last forwarded to the boxes of this one.
 #[derive(Default)]
 struct ForwardTimes {
     last: HashMap<HallName, Time>,
@@ -433,7 +439,7 @@
                 relay.hall_changed.notify_one();
             }
         }
-        // Boxes of the own hall send their load themselves.
+        // Ignored: the boxes of the own hall send this one their load themselves.
         LoadSource::Hall { hall, .. } if *hall == relay.settings.hall => {}
         LoadSource::Hall { hall, .. } => {
             let rows = datagram.rows.clone();
@@ -444,7 +450,7 @@
     }
 }
 
-/// Records that a peer is live, and its reports on servers.
+/// Records that a peer is live, and applies its reports on servers.
 fn record_peer(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let hall = {
         let mut cluster_view = lock(&relay.cluster_view);
@@ -455,24 +461,24 @@
             .peer_liveness
             .record(now, &datagram.from, datagram.known_state);
         let hall = cluster_view.boxes.get(&datagram.from);
-        let hall = hall.map(|of| HallName::new(&of.hall));
+        let hall = hall.map(|peer| HallName::new(&peer.hall));
         cluster_view.has_unknown_peer |= hall.is_none();
         hall
     };
     let Some(hall) = hall else {
         return;
     };
-    let own = &relay.settings.hall;
-    let origin = if hall == *own {
+    let own_hall = &relay.settings.hall;
+    let origin = if hall == *own_hall {
         ReportOrigin::OwnHall
     } else {
         ReportOrigin::OtherHall
     };
     lock(&relay.slow_engine_tracker).record_gossip(now, origin, &datagram.slow_engines);
     let mut tracker = lock(&relay.tracker);
-    tracker.datagram_received(now, own, &hall, &datagram.from);
+    tracker.datagram_received(now, own_hall, &hall, &datagram.from);
     tracker.apply_departures(now, &datagram.departures);
-    let excluded = tracker.apply_faults(now, own, &hall, &datagram.faults);
+    let excluded = tracker.apply_faults(now, own_hall, &hall, &datagram.faults);
     drop(tracker);
     for server in excluded {
         tracing::info!(%server, from = datagram.from, "server excluded: reported by a peer");
--- a/daemon/src/relay/metrics_page.rs
+++ b/daemon/src/relay/metrics_page.rs
@@ -1,4 +1,4 @@
-//! HTTP endpoints for the load balancer's readiness check and for metrics.
+//! HTTP endpoints of the readiness check, for the load balancer, and of the metrics.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,6 +26,7 @@
 const METRICS_PORT: u16 = 9_464;
 /// Maximum duration of a connection to either endpoint.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
+
 /// Serves the readiness check: 200 while the balancer may send calls to this box, 503 otherwise.
 pub async fn serve_ready(listener: TcpListener, relay: Arc<Relay>) {
     serve_page(listener, move || {
--- a/daemon/src/relay/mod.rs
+++ b/daemon/src/relay/mod.rs
@@ -71,6 +71,7 @@
     })
 }
 
+/// Starts the control thread and waits until it has bound its sockets.
 fn start_control(relay: &Arc<state::Relay>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -85,7 +86,7 @@
                 let sockets = match gossip::bind(&relay.settings).await {
                     Ok(sockets) => sockets,
                     Err(cause) => {
-                        // Can't fail: the receiver waits for this one message.
+                        // Can't fail: the receiver below waits for this one message.
                         let _ = bound_tx.send(Err(cause));
                         return;
                     }
--- a/daemon/src/relay/permit_transport.rs
+++ b/daemon/src/relay/permit_transport.rs
@@ -1,4 +1,4 @@
-//! Transport of permit datagrams: a send queue, and the requests that await their responses.
+//! Transport of permit datagrams: the send queue, and the requests that await a response.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// Connects the threads that request permits to the thread that owns the socket: datagrams are sent
-/// there, and responses arrive there.
+/// Connects the threads that request permits to the thread that owns the socket, which sends the
+/// datagrams and receives the responses.
 #[derive(Debug)]
 pub struct PermitTransport {
     tx: mpsc::Sender<OutgoingDatagram>,
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -29,8 +29,8 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Minimum interval between pulls that request the list of boxes. An unknown box that was heard may
-/// not be listed anywhere yet.
+/// Minimum interval between pulls that request the list of boxes. A box that is unknown here may be
+/// unknown to the peers as well; without the interval each of its datagrams would cause a request.
 const MIN_BOXES_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval between pulls while this box has no routes.
 const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(400);
@@ -41,10 +41,10 @@
 const MAX_CONCURRENT_PULLS: usize = 4;
 
 /// Delay after a box rejected a pull as busy. A table transfer takes about as long, and boxes that
-/// have received the table announce it at once.
+/// have received the table announce it at once, so more boxes can be asked by then.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Pulls in one catch-up while each box asked is busy. After these, the next datagram announces
-/// newer state.
+/// Maximum number of busy boxes asked in one [`catch_up`]. After these, the next datagram that
+/// announces newer state starts another one.
 const MAX_PULL_ATTEMPTS: u32 = 8;
 
 /// The other box already serves its maximum number of pulls.
@@ -55,13 +55,13 @@
 /// Outcome of a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PullOutcome {
-    /// It completed, or failed for another reason than a busy box.
+    /// It completed, or failed for another reason than [`Self::Busy`].
     Done,
     /// The other box is busy with other pulls.
     Busy,
 }
 
-/// Both frames of a response; the second one, with the route table, is sent only if that is newer.
+/// Both frames of a response. The second one is the route table, and is sent only if that is newer.
 type ResponseFrames = (PullResponse, Option<RouteTable>);
 
 /// Whether this box lacks addresses of others and has not requested them recently.
@@ -74,11 +74,11 @@
     (cluster_view.has_unknown_peer || cluster_view.boxes.len() < 2) && !requested_recently
 }
 
-/// Pulls from a box with newer state. While that is busy, tries others that have newer state too.
+/// Pulls from the box `first`, which announced newer state. If it is busy, tries others that did.
 ///
-/// Waiting for the next datagram after a rejected pull would delay new routes by seconds. A box
+/// To wait for the next datagram after a rejected pull would delay new routes by seconds. A box
 /// without routes tries only once: if all boxes start together, few have routes, and repeated pulls
-/// would keep those busy.
+/// would keep these few busy.
 pub async fn catch_up(relay: &Arc<Relay>, first: String) {
     let mut name = first;
     let max_attempts = match relay.routes.load().as_ref() {
@@ -111,11 +111,11 @@
 async fn pull_from(relay: &Arc<Relay>, name: &str, known_state: KnownState) -> PullOutcome {
     let address = {
         let cluster_view = lock(&relay.cluster_view);
-        let named = cluster_view.boxes.get(name).map(|of| of.pull.clone());
+        let named = cluster_view.boxes.get(name).map(|peer| peer.pull.clone());
         named.or_else(|| {
             let others = cluster_view.boxes.values();
-            let others = others.filter(|of| of.name != relay.settings.name);
-            let others: Vec<&str> = others.map(|of| of.pull.as_str()).collect();
+            let others = others.filter(|peer| peer.name != relay.settings.name);
+            let others: Vec<&str> = others.map(|peer| peer.pull.as_str()).collect();
             others
                 .choose(&mut rand::rng())
                 .map(|&address| address.to_owned())
@@ -132,18 +132,19 @@
     while relay.routes.load().is_none() {
         tokio::time::sleep(BOOTSTRAP_INTERVAL).await;
         let settings = &relay.settings;
-        let all = bootstrap_sources(
+        let sources = bootstrap_sources(
             settings.pull,
             &settings.seeds,
             &lock(&relay.cluster_view).boxes,
         );
-        let source = all.choose(&mut rand::rng()).copied();
+        let source = sources.choose(&mut rand::rng()).copied();
         if let (None, Some(address)) = (relay.routes.load().as_ref(), source) {
             pull(relay, address, relay.known_state()).await;
         }
     }
 }
 
+/// Pulls newer state from an address, and the list of boxes if this box wants it. Applies both.
 async fn pull(relay: &Arc<Relay>, address: SocketAddr, known_state: KnownState) -> PullOutcome {
     let request = PullRequest {
         version: FRAME_VERSION,
@@ -192,8 +193,11 @@
         relay.update_routes(table, "neighbour");
     }
     let mut cluster_view = lock(&relay.cluster_view);
-    for of in response.boxes {
-        cluster_view.boxes.entry(of.name.clone()).or_insert(of);
+    for addresses in response.boxes {
+        cluster_view
+            .boxes
+            .entry(addresses.name.clone())
+            .or_insert(addresses);
     }
     PullOutcome::Done
 }
@@ -256,7 +260,8 @@
         if let Some(table) = table {
             write_frame(&mut stream, &table).await?;
         }
-        // Waits until the peer closes, so that the slot is held until the response was received.
+        // Waits until the peer closes the connection, so that the slot is held until the peer has
+        // received the response.
         stream.shutdown().await?;
         let _ = stream.read(&mut [0]).await?;
         Ok(())
--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -47,11 +47,11 @@
 const MAX_ALWAYS_HASHED_BODY: usize = 16 << 10;
 /// Maximum wait for a server's machine to accept or refuse a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a call waits for a process to exit after its connection broke. The call is not sent to
-/// another server before that, since that server may crash as well.
+/// How long a call waits for a server process to exit after their connection broke. The call is not
+/// sent to another server in this time, since it may crash that server as well.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long the process is watched in the background after that; a crash in this time counts as
-/// well.
+/// How long the process is watched in the background after [`EXIT_TIMEOUT`]. A crash in this time
+/// counts as well.
 const EXIT_WATCH_TIME: Duration = Duration::from_secs(1);
 /// Delay between connection attempts to a server that closes each connection at once.
 const RECONNECT_DELAY: Duration = Duration::from_millis(2);
@@ -70,9 +70,9 @@
 }
 
 impl Run {
-    /// Whether the run may still be sent after waiting for other resources. A run without a
-    /// fingerprint, since no request had a record, has to be admitted again once any request has
-    /// one.
+    /// Whether the run may still be sent after the call has waited for other resources. A run that
+    /// was admitted without a fingerprint, because no request had a record, has to be admitted anew
+    /// once any request has one.
     pub fn may_send(&self) -> bool {
         let now = self.relay.clock.now();
         let quarantine = lock(&self.relay.quarantine);
@@ -160,25 +160,25 @@
 
 /// Checks whether the server crashed during a run whose connection broke, and records the crash.
 ///
-/// A broken connection alone proves nothing: connections are reset, and responses are truncated. If
-/// connections are refused, the process has exited. A server that is leaving exits by itself and is
-/// ignored. `began` is the time at which the run was sent.
-pub async fn detect_crash(call: &Arc<Call>, selection: &Selection, began: Time) {
+/// A broken connection alone proves nothing: connections are reset, and responses truncated, for
+/// other reasons too. If new connections are refused, the process has exited. A server that is
+/// leaving exits by itself and is ignored. `run_started` is the time at which the run was sent.
+pub async fn detect_crash(call: &Arc<Call>, selection: &Selection, run_started: Time) {
     let relay = &call.relay;
-    let is_listed = {
+    let is_in_service = {
         let tracker = lock(&relay.tracker);
         let record = tracker.get(&selection.server);
         record.is_some_and(|record| {
             !record.info.leaving && record.life == selection.target.incarnation
         })
     };
-    if !is_listed || relay.gate.is_leaving(&selection.target) {
+    if !is_in_service || relay.gate.is_leaving(&selection.target) {
         return;
     }
     let crash = ServerCrash {
         server: selection.server.clone(),
         incarnation: selection.target.incarnation,
-        began,
+        run_started,
     };
     let address = selection.address.clone();
     match check_exit(&address, EXIT_TIMEOUT).await {
@@ -203,12 +203,12 @@
     }
 }
 
-/// A server crash during a run.
+/// Crash of a server during a run.
 struct ServerCrash {
     server: ServerName,
     incarnation: ServerIncarnation,
     /// When the run was sent.
-    began: Time,
+    run_started: Time,
 }
 
 impl ServerCrash {
@@ -224,8 +224,12 @@
             "server crashed during a call"
         );
         call.saw_crash.store(true, Ordering::Relaxed);
-        let change =
-            lock(&relay.quarantine).record_crash(now, fingerprint, self.incarnation, self.began);
+        let change = lock(&relay.quarantine).record_crash(
+            now,
+            fingerprint,
+            self.incarnation,
+            self.run_started,
+        );
         announce(relay, change, "a run here");
     }
 }
@@ -234,7 +238,7 @@
 enum ProcessState {
     Exited,
     Running,
-    /// It accepted a connection and has not closed it within the given time.
+    /// Accepted a connection and has not closed it within the given time.
     Open(TcpStream),
 }
 
@@ -271,6 +275,7 @@
     /// Reset during connection setup. The process may or may not still be listening.
     Reset,
     Connected(TcpStream),
+    /// Time-out, or an error that doesn't show whether the process is running.
     NoAnswer,
 }
 
@@ -287,9 +292,9 @@
     }
 }
 
-/// Merges the quarantine rows reported by another box or hall. The boxes that this one gossips to
-/// receive them from the same sender, except for boxes of other halls if this box is a delegate of
-/// its hall.
+/// Merges the quarantine rows reported by another box or hall. Only other halls are notified of
+/// changes, if this box is a delegate of its hall: the boxes that it gossips to receive the rows
+/// from the same sender.
 pub fn merge_reports(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let (from, rows) = (source_name(datagram), &datagram.suspects);
     let scope = match datagram.source {
@@ -314,8 +319,8 @@
     announce(relay, change, "the store");
 }
 
-/// Logs a change first observed by this box, and notifies waiting calls, other boxes and the store
-/// writer.
+/// Logs a change that this box observed itself or found in the store, and notifies waiting calls,
+/// other boxes and the store writer.
 fn announce(relay: &Relay, change: Option<QuarantineChange>, source: &str) {
     let Some(change) = change else { return };
     log_change(&change, source);
@@ -342,12 +347,13 @@
     }
 }
 
-/// Runs forever, writing facts observed by this box to the store for boxes that are partitioned
-/// from this one or start later.
+/// Writes facts observed by this box to the store, for boxes that are partitioned from this one or
+/// start later. Never returns.
 pub async fn store_facts(relay: &Arc<Relay>) {
     loop {
         relay.quarantine_changed.notified().await;
-        // Opens a connection each time, since writes are rare and the watch occupies the other one.
+        // Opens a connection each time: writes are rare, and the store follower's connection is
+        // occupied by its watch.
         let mut store = Store::new(relay.settings.store, STORE_TIMEOUT);
         loop {
             let now = relay.clock.now();
--- a/daemon/src/relay/server_gate.rs
+++ b/daemon/src/relay/server_gate.rs
@@ -45,14 +45,14 @@
 use crate::relay::permit_transport::PermitTransport;
 use crate::traffic::lock;
 
-/// Response timeouts of a permit request and of its one retry. The round-trip time is milliseconds
-/// between halls, and some tens of milliseconds between regions.
+/// Response time-outs of a permit request and of its one retry. The round-trip time is a few
+/// milliseconds between halls, and some tens of milliseconds between regions.
 const RESPONSE_TIMEOUTS: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(110)];
 /// How long a server is closed to this box if its quota owner does not respond or is not known yet.
 pub const OWNER_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Maximum number of servers tried per attempt of a call. Each server that does not admit the call
-/// is closed to this box; if this many are limited or their quota owners this slow, the call is
-/// refused.
+/// Maximum number of servers tried per attempt of a call, which is refused after these. A server
+/// whose quota is used up or whose quota owner does not respond is closed to this box and not tried
+/// again meanwhile.
 pub const MAX_SERVERS_PER_ATTEMPT: usize = 8;
 /// Maximum time that a call waits for quota or for the end of a pause, when no other server is
 /// available.
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Admitted(());
 
-/// The server accepts no request of this box at present.
+/// The server accepts no request from this box at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotAdmitted;
 
@@ -99,11 +99,11 @@
     pub cluster_view: Arc<Mutex<ClusterView>>,
     /// Maps incarnations to server names for logs.
     pub tracker: Arc<Mutex<ServerTracker>>,
-    /// Wakes the gossip task of this hall.
+    /// Notifies the sender of this box's load, which waits for its minimum interval.
     pub load_changed: Arc<Notify>,
-    /// Makes the gossip task of this hall send at once.
+    /// Notifies the sender of this box's load to send at once.
     pub urgent_changed: Arc<Notify>,
-    /// Wakes the gossip task for other halls.
+    /// Notifies the sender of the hall's load to other halls.
     pub hall_changed: Arc<Notify>,
 }
 
@@ -115,7 +115,7 @@
     pub notices: Mutex<ServerNotices>,
     /// Quotas owned by this box.
     quotas: Mutex<OwnedQuotas>,
-    /// Permit requests to other boxes, and responses to theirs.
+    /// Sends permit requests and responses, and delivers the responses of other boxes.
     pub permits: PermitTransport,
 }
 
@@ -134,10 +134,10 @@
     ///
     /// # Errors
     ///
-    /// The server accepts no call of this box at present.
+    /// The server accepts no call from this box at present.
     pub async fn admit_call(&self, call: &PendingCall<'_>) -> Result<Admitted, NotAdmitted> {
         let target = call.target;
-        // A paused server is chosen only if no other one is available.
+        // A paused server is chosen only if no other one is available, so the call may wait.
         let pause = lock(&self.notices)
             .shedding
             .pause_remaining(self.now(), target.incarnation);
@@ -194,7 +194,7 @@
         decision.map(|_wait| ()).map_err(|_retry_in| NotAdmitted)
     }
 
-    /// Admits a request that no caller waits for; it never waits for quota.
+    /// Admits a request that no caller waits for. It never waits for quota.
     ///
     /// # Errors
     ///
@@ -217,11 +217,11 @@
     }
 
     /// Admits an order that starts new work, such as a memory reservation. It is charged to the
-    /// quota.
+    /// quota, but admitted even if that is used up.
     ///
     /// # Errors
     ///
-    /// The server is leaving, or accepts nothing of this box at present.
+    /// The server is leaving, or accepts nothing from this box at present.
     pub fn admit_order(&self, target: &Target) -> Result<Admitted, NotAdmitted> {
         if self.availability(target).accepts_chunks() {
             Ok(self.charge(target))
@@ -333,7 +333,7 @@
         max_wait: Duration,
     ) -> PermitDecision {
         let now = self.now();
-        // A newer response, unknown to the requesting box, may have lifted the limit.
+        // A newer response, not yet known to the requesting box, may have lifted the limit.
         let Some(limit) = lock(&self.notices).limits.limit(incarnation) else {
             return PermitDecision::Granted { after: 0 };
         };
@@ -402,7 +402,7 @@
     }
 
     /// Records the notice in a server's response to the call with this ID, and announces changes to
-    /// other boxes.
+    /// other boxes. See [`ServerNotices::record_response`] for `has_proof`.
     pub fn record_response(&self, id: &str, target: &Target, notice: &Notice, has_proof: bool) {
         log_unreadable(id, target, notice);
         let now = self.now();
@@ -473,8 +473,8 @@
     }
 }
 
-/// Whether to inform other boxes at once, since each call they send meanwhile is one too many. A
-/// server that sheds load is reported with the next regular datagram.
+/// Whether to inform other boxes at once, since each call that they send meanwhile is one too many.
+/// A server that sheds load is reported with the next regular datagram.
 fn is_urgent(changes: &NoticeChanges) -> bool {
     changes.limits.iter().any(|change| change.announce_now) || !changes.leaving.is_empty()
 }
@@ -507,7 +507,7 @@
     );
 }
 
-/// Logs and counts notice headers that are present but malformed.
+/// Logs and counts notice headers that are present but unreadable.
 fn log_unreadable(id: &str, target: &Target, notice: &Notice) {
     let unreadable = [
         ("server-limit", notice.limit == ParsedHeader::Unreadable),
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -75,13 +75,13 @@
 /// State shared by the control and traffic threads.
 #[derive(Debug)]
 pub struct Relay {
-    /// Settings of this box from the platform.
+    /// Settings of this box, read from the settings file at the start.
     pub settings: BoxSettings,
     /// Random number that distinguishes this run of the process from others.
     pub incarnation: u64,
     /// Clock of the process.
     pub clock: Clock,
-    /// Current route table; none until the first one is known.
+    /// Current route table, if one is known yet.
     pub routes: ArcSwapOption<RouteIndex>,
     /// Notifies calls that wait for the first route table.
     routes_known: Notify,
@@ -111,13 +111,14 @@
     pub cluster_view: Arc<Mutex<ClusterView>>,
     /// Current route table as sent to other boxes.
     encoded_table: Mutex<Option<EncodedTable>>,
-    /// Notifies the sender of load datagrams, which waits for its minimum interval.
+    /// Notifies the sender of this box's load, which waits for its minimum interval.
     pub load_changed: Arc<Notify>,
-    /// Notifies the sender of load datagrams to send at once: a long prompt is queued, starts or
-    /// has been prefilled, an engine is slow, there are new routes, or servers leave.
+    /// Notifies the sender of this box's load to send at once: a long prompt is queued, starts or
+    /// has been prefilled, an engine is slow, a server is faulty, leaves or changes its limit,
+    /// there are new routes, or a suspect request runs or its record changes.
     pub urgent_changed: Arc<Notify>,
-    /// Notifies the sender of the hall's load to other halls: a long prompt of this hall is queued,
-    /// starts or has been prefilled.
+    /// Notifies the sender of the hall's load to other halls: a box of this hall announces one of
+    /// the changes of `urgent_changed`.
     pub hall_changed: Arc<Notify>,
     /// Set when a planned stop begins.
     pub stopping: AtomicBool,
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Whether the balancer may send calls to this box.
+    /// Whether the load balancer may send calls to this box.
     pub fn is_ready(&self) -> bool {
         self.routes.load().is_some() && !self.is_stopping()
     }
@@ -191,7 +192,7 @@
             Some(routes) => Some(routes),
             None if self.is_stopping() => None,
             None => {
-                // The result doesn't matter: the table is loaded in either case.
+                // Checked again after either the notification or the time-out.
                 let _ = timeout(max_wait, known).await;
                 self.routes.load_full()
             }
@@ -203,7 +204,7 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Rank of an engine in this box's order of preference. Boxes have different orders.
+    /// Rank of an engine in this box's order of preference. Each box has a different order.
     pub fn preference(&self, engine: EngineKey) -> u32 {
         let own = EngineKey::of(&ServerName::new(&self.settings.name));
         (engine.0 ^ own.0).wrapping_mul(0x9E37_79B1)
@@ -258,9 +259,11 @@
     /// that this box prefers.
     pub fn boxes_in_scope(&self, scope: GossipScope) -> usize {
         let cluster_view = lock(&self.cluster_view);
-        let own = &self.settings.hall;
+        let own_hall = &self.settings.hall;
         let in_scope = cluster_view.boxes.values();
-        let in_scope = in_scope.filter(|of| scope.includes(own, &of.hall)).count();
+        let in_scope = in_scope
+            .filter(|member| scope.includes(own_hall, &member.hall))
+            .count();
         in_scope.max(1)
     }
 
@@ -273,14 +276,14 @@
 
     /// Whether the named box is known and in the same hall as this one.
     pub fn is_in_own_hall(&self, boxes: &Boxes, name: &str) -> bool {
-        let of = boxes.get(name);
-        of.is_some_and(|of| of.hall == self.settings.hall.as_str())
+        let peer = boxes.get(name);
+        peer.is_some_and(|peer| peer.hall == self.settings.hall.as_str())
     }
 
-    /// Response to a pull. A newer route table follows it, see [`Self::encoded_table_for`].
+    /// Response to a pull. A newer route table is sent after it, see [`Self::encoded_table_for`].
     pub fn newer_state_for(&self, request: &PullRequest) -> PullResponse {
         let known_state = request.known_state;
-        // Other boxes receive notices with the load datagrams.
+        // Boxes that started earlier have received the notices with load datagrams.
         let has_just_started = known_state.routes.is_none();
         let notices = if has_just_started {
             lock(&self.gate.notices).all_rows(self.clock.now())
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Encoded route table that follows a pull response, if it announces one.
+    /// Encoded route table to send after a pull response, if that announces one.
     pub fn encoded_table_for(&self, response: &PullResponse) -> Option<Bytes> {
         response
             .table_follows
@@ -361,8 +364,8 @@
         self.routes.store(Some(Arc::new(RouteIndex::new(table))));
         drop(cluster_view);
         self.routes_known.notify_waiters();
-        // Announced at once: the gossip interval is long in a hall of a hundred boxes, and would
-        // delay each round in which the routes spread.
+        // Announced at once: the gossip interval is long in a hall of a hundred boxes, and each hop
+        // from box to box would take that much longer.
         self.urgent_changed.notify_one();
     }
 
--- a/daemon/src/relay/store_follower.rs
+++ b/daemon/src/relay/store_follower.rs
@@ -1,7 +1,8 @@
-//! Follows routes, servers and boxes in the platform's store by one watch, and registers this box.
+//! Follows routes, servers, boxes and quarantine facts in the platform's store by one watch, and
+//! registers this box.
 //!
-//! The entry of a box contains its addresses and says nothing about liveness, which peers know from
-//! its datagrams. It is therefore written once, kept across restarts, and removed by peers when the
+//! The entry of a box contains its addresses. It says nothing about liveness, which peers know from
+//! the box's datagrams. So it is written once, kept across restarts, and removed by peers when the
 //! box has been silent for long.
 
 use std::collections::HashMap;
@@ -27,8 +28,8 @@
 use crate::relay::state::Relay;
 use crate::traffic::lock;
 
-/// Time-out of calls to the store, in addition to the duration of a watch. The store
-/// responds within milliseconds.
+/// Time-out of calls to the store, in addition to the duration of a watch. The store responds
+/// within milliseconds.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time-outs used in rotation while the store is unavailable: short ones, so that its recovery is
 /// detected soon, and a long one in case it is only slow.
@@ -37,13 +38,13 @@
     Duration::from_millis(700),
     Duration::from_secs(2),
 ];
-/// Duration of a watch. A silently lost connection is detected after this and the call time-out.
+/// Duration of a watch. A silently lost connection is detected after this plus the call time-out.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 /// Duration of a watch while the store is unavailable.
 const OUTAGE_WATCH_WAIT: Duration = Duration::from_millis(50);
-/// Delay after a response, so that one call fetches changes that come together.
+/// Delay after a response, so that one call fetches changes made in quick succession.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// Delay between the first full read and the first watch. In this time a box hears which peers
+/// Delay between the first full read and the first watch. In this time a box learns whether peers
 /// follow the store, so most boxes never start a watch.
 const FIRST_WATCH_DELAY: Duration = Duration::from_secs(1);
 /// Interval at which a box that relies on its peers checks that they still follow the store.
@@ -95,9 +96,9 @@
     backoff: Backoff,
     /// Entry of this box.
     own: BoxAddresses,
-    /// Latest store era known to contain that entry.
+    /// Latest store era that is known to contain `own`.
     registered_in: Option<u64>,
-    /// When the entry is written again after a restore of the store.
+    /// When `own` is written again after a restore of the store.
     reregister_at: Option<Instant>,
     /// Store position of each box's entry, in the current era.
     box_entries: HashMap<String, StorePosition>,
@@ -120,6 +121,7 @@
         }
     }
 
+    /// Registers this box if needed, makes the next read of the store and applies the result.
     async fn step(&mut self, store: &mut Store) -> Result<(), StoreError> {
         store.set_limit(match self.failures {
             0 => STORE_CALL_TIMEOUT,
@@ -140,10 +142,10 @@
             Some(_) => OUTAGE_WATCH_WAIT,
             None => WATCH_WAIT,
         };
-        let seen = store.watch(after, wait).await?;
+        let watched = store.watch(after, wait).await?;
         self.store_available();
         let mut servers_changed = false;
-        for change in seen.changes {
+        for change in watched.changes {
             servers_changed |= matches!(
                 change,
                 Change::Server { .. }
@@ -156,10 +158,10 @@
             self.apply_change(change);
         }
         if servers_changed {
-            // Once for all changes, since each publication copies the whole list.
+            // Once for all changes, since each call copies the whole list.
             self.relay.publish_store_servers();
         }
-        self.cursor.advance_to(seen.position);
+        self.cursor.advance_to(watched.position);
         self.remove_expired_boxes(store).await
     }
 
@@ -179,8 +181,8 @@
         Ok(())
     }
 
-    /// Registers this box again if its peers announce a new era, that is a restore of the store.
-    /// All boxes hear of a new era at once, so each writes after a random delay.
+    /// Registers this box again if its peers announce a new era, which means that the store was
+    /// restored. All boxes learn of the era at the same time, so each writes after a random delay.
     async fn reregister(&mut self, store: &mut Store) {
         let era = self.relay.known_state().servers.era;
         if self.registered_in >= Some(era) {
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Removes entries of expired boxes, if this box is the one of its hall that has to.
+    /// Removes the entries of expired boxes, if this box is the one of its hall that does so.
     async fn remove_expired_boxes(&mut self, store: &mut Store) -> Result<(), StoreError> {
         if self.expiry_checked_at.elapsed() < EXPIRY_CHECK_INTERVAL {
             return Ok(());
@@ -223,6 +225,7 @@
         Ok(())
     }
 
+    /// Records a response of the store.
     fn store_available(&self) {
         let now = self.relay.clock.now();
         let mut cluster_view = lock(&self.relay.cluster_view);
@@ -230,12 +233,12 @@
         cluster_view.store_answered_at = Some(now);
     }
 
-    /// Advances the cursor to the state known from peers, from which this box would continue if it
-    /// followed the store again.
+    /// Advances the cursor to the state known from peers, from which this box continues if it has
+    /// to follow the store again. Ends a store outage.
     fn follow_peers(&mut self) {
         self.cursor.raise_to(self.relay.known_state().servers);
-        // Updates of the store arrive through peers: entries that disappear from now on are not
-        // held as in an outage.
+        // Updates of the store arrive through peers, so entries that disappear from now on are not
+        // held as they are in an outage.
         let now = self.relay.clock.now();
         lock(&self.relay.cluster_view).servers.store_available(now);
         self.unavailable_since = None;
@@ -251,6 +254,7 @@
         self.backoff = Backoff::default();
     }
 
+    /// Records a failed call and returns the delay before the next one.
     fn record_failure(&mut self, cause: &StoreError) -> Duration {
         let position = self.cursor.position();
         let (era, revision) = position.map(|at| (at.era, at.revision)).unzip();
