--- a/daemon/tests/relay_fleet.rs
+++ b/daemon/tests/relay_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of boxes with servers of one service, and callers that put load on all boxes.
+//! A fleet of boxes with servers of one service, and callers that load all boxes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,18 +11,18 @@
 use badgerferry_standin::server::Server;
 use badgerferry_standin::store::Store;
 
-/// Time after which boxes that have just started know each other.
+/// Time in which newly started boxes discover each other.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// Interval between the response to a caller's call and its next call.
 pub const CALL_INTERVAL: Duration = Duration::from_millis(30);
 /// A call that takes longer counts as hanging: calls have a deadline of five seconds.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// Header with the token counts of short prompts, for calls to engines.
+/// Header line of a call to engines: a prompt of 1,000 tokens and a response of 50.
 pub const SHORT_PROMPT: &str = "Badgerferry-Token-Counts: 1000,50\r\n";
 
 /// A store, servers of one service, and boxes.
 pub struct Fleet {
-    /// Store that all of them use.
+    /// Store with the routes, and the entries of servers and boxes.
     pub store: Store,
     /// Servers, named `i-0` and so on.
     pub servers: Vec<Server>,
@@ -35,59 +35,65 @@
     pub async fn start(boxes: usize, servers: usize, service: &str) -> anyhow::Result<Self> {
         let store = Store::start().await?;
         store.put_routes(&desired_state(3, &["key-1"]));
-        let mut rows = Vec::new();
-        for at in 0..servers {
-            let name = format!("i-{at}");
+        let mut started = Vec::new();
+        for index in 0..servers {
+            let name = format!("i-{index}");
             let server = Server::start(&name, service, Duration::from_millis(5)).await?;
             store.put(&server.key(), &server.entry("ready"));
-            rows.push(server);
+            started.push(server);
         }
         let mut fleet = Self {
             store: store.clone(),
-            servers: rows,
+            servers: started,
             boxes: Vec::new(),
         };
-        for at in 0..boxes {
-            let one = RelayBox::start(&format!("box-{at}"), store.address, &[])?;
-            one.wait_ready().await?;
-            fleet.boxes.push(one);
+        for index in 0..boxes {
+            let relay_box = RelayBox::start(&format!("box-{index}"), store.address, &[])?;
+            relay_box.wait_ready().await?;
+            fleet.boxes.push(relay_box);
         }
         tokio::time::sleep(DISCOVERY_TIME).await;
         Ok(fleet)
     }
 
-    /// Calls all boxes concurrently for `duration`, each one sequentially. Returns each response
-    /// and the time it took.
+    /// Calls all boxes concurrently for `duration`, one call at a time for each box. Returns each
+    /// response and the time it took.
     pub async fn call_all(
         &self,
         path: &str,
-        extra: &str,
+        headers: &str,
         duration: Duration,
     ) -> Vec<(Answer, Duration)> {
         let until = Instant::now() + duration;
-        let callers = self.boxes.iter().enumerate().map(async |(at, one)| {
-            let mut responses = Vec::new();
-            for turn in 0.. {
-                let started_at = Instant::now();
-                if started_at >= until {
-                    break;
+        let callers = self
+            .boxes
+            .iter()
+            .enumerate()
+            .map(async |(index, relay_box)| {
+                let mut responses = Vec::new();
+                for turn in 0.. {
+                    let started_at = Instant::now();
+                    if started_at >= until {
+                        break;
+                    }
+                    let request = call(
+                        "POST",
+                        path,
+                        &format!("call-{index}-{turn}"),
+                        headers,
+                        "a prompt",
+                    );
+                    // A connection closed without a response counts as status 0.
+                    let answer = Caller::once(relay_box.front(), &request)
+                        .await
+                        .unwrap_or_default();
+                    let took = started_at.elapsed();
+                    assert!(took < CALL_TIMEOUT, "{took:?}: {answer:?}; {}", self.logs());
+                    responses.push((answer, took));
+                    tokio::time::sleep(CALL_INTERVAL).await;
                 }
-                let text = call(
-                    "POST",
-                    path,
-                    &format!("call-{at}-{turn}"),
-                    extra,
-                    "a prompt",
-                );
-                // A connection closed without a response counts as status 0.
-                let answer = Caller::once(one.front(), &text).await.unwrap_or_default();
-                let took = started_at.elapsed();
-                assert!(took < CALL_TIMEOUT, "{took:?}: {answer:?}; {}", self.logs());
-                responses.push((answer, took));
-                tokio::time::sleep(CALL_INTERVAL).await;
-            }
-            responses
-        });
+                responses
+            });
         futures::future::join_all(callers).await.concat()
     }
 
@@ -98,8 +104,8 @@
 }
 
 impl Fleet {
-    /// The server that received most calls. Short calls are packed on few servers, so a test on
-    /// another one might check nothing.
+    /// The server that received the most calls. Short calls are concentrated on few servers, so a
+    /// test of a server that gets none would check nothing.
     pub fn busiest(&self) -> &Server {
         let busiest = self.servers.iter().max_by_key(|server| server.seen().len());
         busiest.expect("a server")
--- a/daemon/tests/test_relay_boxes.rs
+++ b/daemon/tests/test_relay_boxes.rs
@@ -56,17 +56,17 @@
     Ok(())
 }
 
-/// Checks that a call is served that arrives before the first routes. The store also lists `others`
+/// Checks that a call that arrives before the first routes is served. The store also lists `others`
 /// servers of another service.
 async fn check_call_before_first_routes(others: usize) -> anyhow::Result<()> {
     let store = Store::start().await?;
     store.put_routes(&desired_state(3, &["key-1"]));
     let server = Server::start("i-0", "boards", Duration::from_millis(20)).await?;
     store.put(&server.key(), &server.entry("ready"));
-    for at in 0..others {
+    for index in 0..others {
         let mut entry = server.entry("ready");
         entry["service"] = "others".into();
-        store.put(&format!("servers/x-{at}"), &entry);
+        store.put(&format!("servers/x-{index}"), &entry);
     }
     store.set_mode(Mode::Busy);
     let relay = RelayBox::start("box-1", store.address, &[])?;
@@ -81,14 +81,14 @@
     Ok(())
 }
 
-/// Guards against refused calls at boxes that have just started and have no routes yet.
+/// Guards against calls that are refused because the box has just started and has no routes yet.
 #[tokio::test]
 async fn call_before_the_first_routes_waits_for_them() -> anyhow::Result<()> {
     check_call_before_first_routes(0).await
 }
 
-/// Guards against routes that take effect before the servers read with them, which takes longer for
-/// many servers.
+/// Guards against routes that take effect before the servers that were read with them. Many servers
+/// take longer to apply.
 #[tokio::test]
 async fn call_before_the_first_routes_waits_for_many_servers() -> anyhow::Result<()> {
     check_call_before_first_routes(4_000).await
@@ -147,10 +147,10 @@
         .await?;
     let before = leaving.seen().len();
 
-    for at in 0..10 {
+    for index in 0..10 {
         Caller::once(
             world.relay.front(),
-            &idempotent_call(&format!("id-{at}"), "key-1"),
+            &idempotent_call(&format!("id-{index}"), "key-1"),
         )
         .await?;
     }
@@ -187,7 +187,7 @@
     world.relay.wait_line(&["store unavailable"]).await?;
     let before = world.store.calls();
 
-    // A call with a long time-out would keep this count from rising.
+    // The count would not rise in time if each call had a long time-out.
     wait_until(|| world.store.calls() >= before + 4).await?;
     world.store.set_mode(Mode::Serving);
 
@@ -223,7 +223,7 @@
 
     wait_status(&world.relay, "key-1", 401).await?;
 
-    // A separate thread writes the log, slightly later.
+    // A separate thread writes the log lines, slightly later.
     let source = "\"source\":\"neighbour\"";
     world
         .relay
@@ -264,8 +264,8 @@
     wait_status(&world.relay, "key-1", 503).await
 }
 
-/// Guards against boxes that switch from the store to peers during an outage and then hold entries
-/// forever that are removed after it.
+/// Guards against boxes that switch from the store to peers during an outage, and then hold forever
+/// the entries that are removed after it.
 #[tokio::test]
 async fn boxes_that_follow_peers_after_an_outage_drop_removed_servers() -> anyhow::Result<()> {
     let world = World::start(2).await?;
@@ -284,7 +284,7 @@
     }
     world.store.set_mode(Mode::Serving);
     world.relay.wait_line(&["store available again"]).await?;
-    // By now, entries held after the outage have expired.
+    // In this time, entries held after the outage expire.
     tokio::time::sleep(Duration::from_secs(4)).await;
 
     world.store.remove("servers/i-0");
@@ -298,10 +298,10 @@
 async fn wait_unused(relay: &RelayBox, server: &Server) -> anyhow::Result<()> {
     for _ in 0..60 {
         let before = server.seen().len();
-        for at in 0..20 {
+        for index in 0..20 {
             Caller::once(
                 relay.front(),
-                &idempotent_call(&format!("id-{at}"), "key-1"),
+                &idempotent_call(&format!("id-{index}"), "key-1"),
             )
             .await?;
         }
@@ -326,14 +326,14 @@
     world.relay.wait_line(&["planned stop begun"]).await?;
     open.send(&idempotent_call("id-2", "key-1")).await?;
     let late = open.answer().await?;
-    let whole = streaming.answer().await?;
+    let streamed = streaming.answer().await?;
 
     assert!(!world.relay.is_ready().await);
     assert_eq!(
         (late.status, late.header("connection")),
         (200, Some("close"))
     );
-    assert!(whole.whole);
+    assert!(streamed.whole);
     let relay = &mut world.relay;
     wait_until(|| relay.ended().is_ok_and(|code| code == Some(0))).await
 }
@@ -362,8 +362,8 @@
     let mut queued = Caller::connect(world.relay.front()).await?;
     // More tokens than fit into the memory of the only engine, so the prompt is queued.
     let tokens = "Badgerferry-Token-Counts: 500000,100\r\n";
-    let text = call("POST", "/long/a", "id-1", tokens, "").replace("Ms: 5000", "Ms: 20000");
-    queued.send(&text).await?;
+    let request = call("POST", "/long/a", "id-1", tokens, "").replace("Ms: 5000", "Ms: 20000");
+    queued.send(&request).await?;
 
     world.relay.signal("TERM")?;
     let answer = queued.answer().await?;
@@ -393,7 +393,7 @@
     let mut world = World::start(1).await?;
     let store = world.store.clone();
     wait_until(|| store.keys("badgerferry/boxes/") == [key]).await?;
-    let entered_at = store.revision_of(key);
+    let registered_at = store.revision_of(key);
 
     world.relay.restart()?;
     world.relay.wait_ready().await?;
@@ -401,7 +401,7 @@
     world.store.put_routes(&desired_state(5, &["key-5"]));
     wait_status(&world.relay, "key-5", 200).await?;
 
-    assert_eq!(store.revision_of(key), entered_at);
+    assert_eq!(store.revision_of(key), registered_at);
     Ok(())
 }
 
@@ -417,8 +417,8 @@
     wait_until(|| store.revision_of(key) > 0).await
 }
 
-/// Guards against a box that only learns of its removed entry by a watch: with the history gone it
-/// has to notice it in a full read.
+/// Guards against a box that notices the removal of its entry only in a watch: if the history has
+/// expired, only a full read shows it.
 #[tokio::test]
 async fn box_whose_entry_is_missing_from_a_full_read_registers_again() -> anyhow::Result<()> {
     let world = World::start(1).await?;
@@ -435,7 +435,7 @@
     wait_until(|| store.revision_of(key) > 0).await
 }
 
-/// Answers one call with an empty list, sent in five pieces with a delay before each.
+/// Responds to one call with an empty list, sent in five pieces with a delay before each.
 async fn respond_in_pieces(listener: TcpListener, delay: Duration) -> anyhow::Result<()> {
     let (mut stream, _peer) = listener.accept().await?;
     let _ = stream.read(&mut [0; 4_096]).await?;
@@ -449,19 +449,19 @@
     Ok(())
 }
 
-/// Guards against a time-out of the whole response: boxes that read the full store concurrently
+/// Guards against a time-out for the whole response: boxes that read the full store concurrently
 /// over one link aborted half-way.
 #[tokio::test]
 async fn slow_store_response_that_makes_progress_does_not_time_out() -> anyhow::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let limit = Duration::from_secs(2);
-    let mut client = Client::new(listener.local_addr()?, limit);
-    let answers = tokio::spawn(respond_in_pieces(listener, limit / 4));
+    let timeout = Duration::from_secs(2);
+    let mut client = Client::new(listener.local_addr()?, timeout);
+    let response = tokio::spawn(respond_in_pieces(listener, timeout / 4));
 
     let all = client.read_all().await?;
 
     assert_eq!(all.position.revision, 7);
-    answers.await?
+    response.await?
 }
 
 #[tokio::test]
@@ -469,20 +469,20 @@
     let store = Store::start().await?;
     let key = "badgerferry/boxes/box-9";
     let mut client = Client::new(store.address, Duration::from_secs(5));
-    let of = BoxAddresses {
+    let addresses = BoxAddresses {
         name: "box-9".to_owned(),
         hall: "hall-a".to_owned(),
         pull: "127.0.0.1:1".to_owned(),
         load: "127.0.0.1:2".to_owned(),
         processor: 250,
     };
-    client.put_box(&of).await?;
+    client.put_box(&addresses).await?;
     let position = || StorePosition {
         era: store.era(),
         revision: store.revision_of(key),
     };
     let first = position();
-    client.put_box(&of).await?;
+    client.put_box(&addresses).await?;
 
     let refused = client.remove_box("box-9", first).await;
     let is_kept = position() > first;
--- a/daemon/tests/test_relay_crashes.rs
+++ b/daemon/tests/test_relay_crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the servers which run them, and their quarantine.
+//! Quarantine of requests that crash the servers which run them.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -21,9 +21,9 @@
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// Maximum number of servers that one request may crash.
 const MAX_CRASHES: usize = 3;
-/// How long a crashing server listens after its connections are closed.
+/// How long a crashing server still listens after its connections are closed.
 const LINGER_TIME: Duration = Duration::from_millis(30);
-/// Interval between crashes that count separately.
+/// Minimum interval between crashes that count separately.
 const CRASH_SPACING: Duration = Duration::from_millis(500);
 /// Store prefix of the box entries, by which boxes discover each other.
 const BOX_ENTRIES: &str = "badgerferry/boxes/";
@@ -72,7 +72,7 @@
             let name = format!("box-{index}");
             fleet.boxes[0].wait_line(&["box entry", &name]).await?;
         }
-        // The other boxes query the box list once they hear an unknown box.
+        // The other boxes request the list of boxes once they hear an unknown one.
         tokio::time::sleep(DISCOVERY_TIME).await;
         Ok(fleet)
     }
@@ -155,7 +155,7 @@
 }
 
 /// Guards against a quarantine that does not reach a box without live peers, or a box that starts
-/// after it.
+/// later.
 #[tokio::test]
 async fn partitioned_and_newly_started_boxes_refuse_quarantined_requests() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(2, 12).await?;
@@ -174,7 +174,7 @@
     fleet.add_box("box-new", &fleet.store.clone()).await?;
     fleet.boxes[0].restart()?;
     fleet.boxes[0].wait_ready().await?;
-    // A partitioned box learns the quarantine from the store within this time.
+    // Within this time a box without live peers learns of the quarantine from the store.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let sends_before = fleet.crashing_sends();
 
@@ -194,8 +194,8 @@
     Ok(())
 }
 
-/// Guards against many crashes when calls reach all boxes at once, so that runs overlap before any
-/// crash is known.
+/// Guards against many crashes by calls that reach all boxes at once, so that runs overlap before
+/// any crash is known.
 #[tokio::test]
 async fn concurrent_calls_at_all_boxes_crash_few_more_servers() -> anyhow::Result<()> {
     let fleet = Fleet::start(4, 16).await?;
@@ -268,8 +268,7 @@
     Ok(())
 }
 
-/// Guards against more crashes by calls that are never retried by a box, but sent again by their
-/// callers.
+/// Guards against further crashes by calls that a box never retries, but that callers send again.
 #[tokio::test]
 async fn quarantined_unary_calls_are_refused_as_not_run() -> anyhow::Result<()> {
     let fleet = Fleet::start(2, 8).await?;
@@ -294,8 +293,8 @@
     Ok(())
 }
 
-/// Guards against missed crashes: a response without a length looks complete when its server
-/// crashes.
+/// Guards against missed crashes: a response without a length also looks complete if its server
+/// crashed.
 #[tokio::test]
 async fn crashes_during_responses_without_length_count() -> anyhow::Result<()> {
     let fleet = Fleet::start(2, 8).await?;
@@ -334,7 +333,7 @@
                 server.lives_ended() == 0 && server.working.load(Ordering::SeqCst) > 0
             };
             if let Some(server) = leaving.iter().find(is_running) {
-                // Crashes that are close together would count as one.
+                // Crashes in quick succession would count as one.
                 tokio::time::sleep(CRASH_SPACING).await;
                 server.usually(Behaviour::Serve);
                 server.crash();
--- a/daemon/tests/test_relay_eras.rs
+++ b/daemon/tests/test_relay_eras.rs
@@ -1,4 +1,4 @@
-//! Boxes while the store is restored from a backup and reuses revisions.
+//! Restores of the store from a backup, after which it reuses revisions in a new era.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use badgerferry_standin::store::Mode;
 use badgerferry_standin::store::Store;
 
-/// Maximum time until a new version takes effect.
+/// Maximum time until a new route table version takes effect.
 const MAX_UPDATE_TIME: Duration = Duration::from_secs(4);
 
 async fn status(relay: &RelayBox, key: &str) -> anyhow::Result<u16> {
@@ -72,8 +72,8 @@
     Ok(())
 }
 
-/// The restored store's revision passes that of the box before its next watch, so no status 410
-/// reveals the restore.
+/// Guards against a missed restore: if the store's revision passes the box's before the next watch,
+/// no status 410 reveals it, only the era.
 #[tokio::test]
 async fn restore_visible_only_by_era_hides_no_version() -> anyhow::Result<()> {
     let world = World::start(1).await?;
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -1,5 +1,4 @@
-//! Servers that announce in their responses that they are leaving, while the store is silent about
-//! it.
+//! Servers that announce in their responses that they are leaving, while the store doesn't say so.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,15 +16,15 @@
 use crate::relay_fleet::SHORT_PROMPT;
 use crate::relay_fleet::count_served;
 
-/// Load before a server starts to leave.
+/// Duration of the load before a server announces that it is leaving.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// Time in which the first notified box informs all others.
+/// Time in which the first box that receives the notice informs all others.
 const PROPAGATION_TIME: Duration = Duration::from_millis(250);
 /// Exceeds the time for which a box relies on what other boxes infer about a server.
 const OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
-/// Counts calls that arrived after all boxes must be informed. The response to the first call after
-/// `since` is the first notice.
+/// Counts calls that arrived after all boxes had to be informed. The response to the first call
+/// after `since` is the first notice.
 fn late_calls(server: &Server, since: Instant) -> usize {
     let times = server.seen().into_iter().filter_map(|seen| seen.at);
     let times: Vec<Instant> = times.filter(|at| *at >= since).collect();
@@ -37,16 +36,16 @@
     boxes: usize,
     service: &str,
     path: &str,
-    extra: &str,
+    headers: &str,
 ) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.call_all(path, extra, WARM_UP).await;
+    fleet.call_all(path, headers, WARM_UP).await;
     fleet.store.set_mode(Mode::Silent);
     let leaving = fleet.busiest();
     leaving.say_leaving(Some("1"));
     let since = Instant::now();
 
-    let answers = fleet.call_all(path, extra, OBSERVATION_TIME).await;
+    let answers = fleet.call_all(path, headers, OBSERVATION_TIME).await;
 
     let late = late_calls(leaving, since);
     assert_eq!(
@@ -120,11 +119,11 @@
     server.crash();
 
     for relay_box in &fleet.boxes {
-        let mut at = 0;
+        let mut attempts = 0;
         let mut status = 0;
-        while status != 200 && at < 200 {
-            at += 1;
-            let request = call("POST", "/again/a", &format!("again-{at}"), "", "");
+        while status != 200 && attempts < 200 {
+            attempts += 1;
+            let request = call("POST", "/again/a", &format!("again-{attempts}"), "", "");
             let answer = Caller::once(relay_box.front(), &request)
                 .await
                 .unwrap_or_default();
@@ -183,8 +182,8 @@
         .expect("a line");
 }
 
-/// Guards against attributing a notice to the expected server when another one responds at its
-/// address.
+/// Guards against a notice that is attributed to the expected server though another one responds at
+/// its address.
 #[tokio::test]
 async fn leaving_header_of_another_server_is_ignored() {
     let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -19,7 +19,7 @@
 const ENFORCEMENT_DELAY: Duration = Duration::from_secs(1);
 /// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests per window by which a limit may be exceeded.
+/// Number of requests by which the limit may be exceeded in a window.
 const ALLOWED_EXCESS: f64 = 2.0;
 
 /// Maximum number of requests in any window that starts at `from` or later.
@@ -35,15 +35,15 @@
     (limit * WINDOW.as_secs_f64() + ALLOWED_EXCESS) as usize
 }
 
-async fn assert_limit_of_one_server_holds(boxes: usize, service: &str, path: &str, extra: &str) {
+async fn assert_limit_of_one_server_holds(boxes: usize, service: &str, path: &str, headers: &str) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.call_all(path, extra, ENFORCEMENT_DELAY).await;
+    fleet.call_all(path, headers, ENFORCEMENT_DELAY).await;
     let busiest = fleet.busiest();
     busiest.name_limit(Some("1"));
-    fleet.call_all(path, extra, ENFORCEMENT_DELAY).await;
+    fleet.call_all(path, headers, ENFORCEMENT_DELAY).await;
     let from = Instant::now();
 
-    let answers = fleet.call_all(path, extra, Duration::from_secs(6)).await;
+    let answers = fleet.call_all(path, headers, Duration::from_secs(6)).await;
 
     let max_arrivals = max_in_window(busiest, from);
     assert!(
@@ -139,8 +139,8 @@
 async fn malformed_limit_is_ignored() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
-    for bad in ["", "-1", "NaN", "much"] {
-        server.name_limit(Some(bad));
+    for malformed in ["", "-1", "NaN", "much"] {
+        server.name_limit(Some(malformed));
 
         let answers = fleet
             .call_all("/again/a", "", Duration::from_millis(300))
@@ -149,7 +149,7 @@
         assert_eq!(
             count_served(&answers),
             answers.len(),
-            "{bad:?}: {}",
+            "{malformed:?}: {}",
             fleet.logs()
         );
     }
@@ -159,8 +159,8 @@
         .expect("a line");
 }
 
-/// Guards against truncated streams: a stream whose server breaks off has to resume if quota is
-/// available within a second, though first attempts of other calls use up the quota.
+/// Guards against truncated streams: a stream that its server breaks off has to resume if quota is
+/// available within a second, although first attempts of other calls use up the quota.
 #[tokio::test]
 async fn started_stream_waits_for_quota_of_a_limited_server() {
     let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
@@ -173,11 +173,17 @@
     let streams = async {
         let mut started = Vec::new();
         server.usually(Behaviour::BreakAfter(3));
-        for at in 0.. {
-            let request = call("POST", "/stream/a", &format!("stream-{at}"), "", "a prompt");
-            let sent = Instant::now();
+        for index in 0.. {
+            let request = call(
+                "POST",
+                "/stream/a",
+                &format!("stream-{index}"),
+                "",
+                "a prompt",
+            );
+            let sent_at = Instant::now();
             let answer = Caller::once(front, &request).await.unwrap_or_default();
-            let took = sent.elapsed();
+            let took = sent_at.elapsed();
             assert!(
                 took < CALL_TIMEOUT,
                 "{took:?}: {answer:?}; {}",
--- a/daemon/tests/test_relay_shedding.rs
+++ b/daemon/tests/test_relay_shedding.rs
@@ -14,22 +14,22 @@
 use crate::relay_fleet::SHORT_PROMPT;
 use crate::relay_fleet::count_served;
 
-/// Load before a server starts to shed.
+/// Duration of the load before a server starts to shed.
 const WARM_UP: Duration = Duration::from_millis(500);
 /// Requested pause, as header value in seconds and as a duration.
 const PAUSE_TEXT: &str = "2";
 const PAUSE: Duration = Duration::from_secs(2);
-/// Time in which calls may still arrive that were in flight when a server requested a pause.
+/// Time in which calls that were in flight when a server requested a pause may still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 /// Time for three pauses.
 const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
-/// Box index in the ID of a call of [`Fleet::press`].
+/// Box index in the ID of a call by [`Fleet::call_all`].
 fn box_of(seen: &Seen) -> Option<&str> {
     seen.id().split('-').nth(1)
 }
 
-/// Maximum number of calls of one box in a pause that the server requested from it.
+/// Maximum number of calls from one box during a pause that the server requested of it.
 fn max_calls_in_pause(server: &Server) -> usize {
     let seen = server.seen();
     let within = |rejected: &Seen| {
@@ -49,10 +49,10 @@
     boxes: usize,
     service: &str,
     path: &str,
-    extra: &str,
+    headers: &str,
 ) {
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.call_all(path, extra, WARM_UP).await;
+    fleet.call_all(path, headers, WARM_UP).await;
     let mut servers: Vec<&Server> = fleet.servers.iter().collect();
     servers.sort_by_key(|server| std::cmp::Reverse(server.seen().len()));
     servers.truncate(shedding);
@@ -60,7 +60,7 @@
         server.shed(Some(PAUSE_TEXT));
     }
 
-    let answers = fleet.call_all(path, extra, OBSERVATION_TIME).await;
+    let answers = fleet.call_all(path, headers, OBSERVATION_TIME).await;
 
     for server in servers {
         let max_calls = max_calls_in_pause(server);
@@ -134,12 +134,12 @@
     let server = &fleet.servers[0];
     server.shed(Some("0.1"));
     let front = fleet.boxes[0].front();
-    let text = |id: &str| call("POST", "/again/a", id, "", "a prompt");
-    let first = Caller::once(front, &text("call-0-1")).await;
+    let request = |id: &str| call("POST", "/again/a", id, "", "a prompt");
+    let first = Caller::once(front, &request("call-0-1")).await;
     assert_eq!(first.expect("an answer").status, 503);
     server.shed(None);
 
-    let second = Caller::once(front, &text("call-0-2")).await;
+    let second = Caller::once(front, &request("call-0-2")).await;
 
     assert_eq!(second.expect("an answer").status, 200, "{}", fleet.logs());
     let seen = server.seen();
@@ -174,15 +174,15 @@
         "0",
         "Wed, 21 Oct 2026 07:28:00 GMT",
     ];
-    for text in malformed {
-        fleet.servers[0].shed(Some(text));
+    for pause in malformed {
+        fleet.servers[0].shed(Some(pause));
 
         let answers = fleet.call_all("/again/a", "", WARM_UP).await;
 
         assert_eq!(
             count_served(&answers),
             answers.len(),
-            "{text:?}: {}",
+            "{pause:?}: {}",
             fleet.logs()
         );
     }
@@ -204,10 +204,16 @@
     }
     let calls_before = shedding.seen().len();
     others[0].usually(Behaviour::BreakAfter(2));
-    for at in 0..10 {
-        let text = call("POST", "/stream/a", &format!("stream-{at}"), "", "a prompt");
+    for index in 0..10 {
+        let request = call(
+            "POST",
+            "/stream/a",
+            &format!("stream-{index}"),
+            "",
+            "a prompt",
+        );
 
-        let answer = Caller::once(fleet.boxes[0].front(), &text).await;
+        let answer = Caller::once(fleet.boxes[0].front(), &request).await;
 
         let answer = answer.expect("an answer");
         assert!(answer.whole, "{answer:?}; {}", fleet.logs());
