--- a/daemon/src/relay/cluster_view.rs
+++ b/daemon/src/relay/cluster_view.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Which boxes this one sends its load to. It divides the engines that it prefers with them.
+    /// Which boxes this one sends its load to and shares its preferred engines with.
     pub fn scope(&self) -> GossipScope {
         GossipScope::of(&self.boxes)
     }
--- a/daemon/src/relay/gossip.rs
+++ b/daemon/src/relay/gossip.rs
@@ -43,7 +43,7 @@
 /// Minimum interval between forwarded datagrams of the same other hall.
 const MIN_FORWARD_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a peer must have announced newer state before a box that follows the store pulls it.
-/// The watch of that box usually delivers the state sooner.
+/// The box's own watch usually delivers the state sooner.
 const PULL_DELAY: Duration = Duration::from_millis(250);
 /// Minimum interval between pulls, so that one pull fetches changes made in quick succession.
 const MIN_PULL_INTERVAL: Duration = Duration::from_millis(150);
@@ -154,7 +154,7 @@
     }
 }
 
-/// Role of this box as delegate of its hall, if any, and the boxes that are sent to in this turn.
+/// Role of this box as delegate of its hall, if any, and the addresses to send to in this turn.
 fn hall_gossip_targets(
     relay: &Relay,
     now: Time,
@@ -439,7 +439,7 @@
                 relay.hall_changed.notify_one();
             }
         }
-        // Ignored: the boxes of the own hall send this one their load themselves.
+        // Ignored: the boxes of the own hall send their load to this box directly.
         LoadSource::Hall { hall, .. } if *hall == relay.settings.hall => {}
         LoadSource::Hall { hall, .. } => {
             let rows = datagram.rows.clone();
--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -47,15 +47,15 @@
 const MAX_ALWAYS_HASHED_BODY: usize = 16 << 10;
 /// Maximum wait for a server's machine to accept or refuse a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a call waits for a server process to exit after their connection broke. The call is not
-/// sent to another server in this time, since it may crash that server as well.
+/// How long a call whose connection broke waits for the server process to exit. The call is not
+/// sent to another server in this time, since it may crash that one as well.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(50);
 /// How long the process is watched in the background after [`EXIT_TIMEOUT`]. A crash in this time
 /// counts as well.
 const EXIT_WATCH_TIME: Duration = Duration::from_secs(1);
 /// Delay between connection attempts to a server that closes each connection at once.
 const RECONNECT_DELAY: Duration = Duration::from_millis(2);
-/// Response timeout of the store for writes.
+/// Response time-out of the store for writes.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay before a failed write is retried.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
@@ -151,7 +151,7 @@
                 return Err((RefusalReason::SuspectRunning, RUN_RETRY_DELAY));
             }
             Admission::Wait => {
-                // Checked again after either the notification or the timeout.
+                // Checked again after either the notification or the time-out.
                 let _ = timeout(ADMISSION_POLL_INTERVAL, notified).await;
             }
         }
@@ -292,9 +292,9 @@
     }
 }
 
-/// Merges the quarantine rows reported by another box or hall. Only other halls are notified of
-/// changes, if this box is a delegate of its hall: the boxes that it gossips to receive the rows
-/// from the same sender.
+/// Merges the quarantine rows reported by another box or hall. Changes are announced only to other
+/// halls, if this box is a delegate of its hall: the boxes that it gossips to receive the rows from
+/// the same sender.
 pub fn merge_reports(relay: &Relay, now: Time, datagram: &LoadDatagram) {
     let (from, rows) = (source_name(datagram), &datagram.suspects);
     let scope = match datagram.source {
--- a/daemon/tests/relay_fleet.rs
+++ b/daemon/tests/relay_fleet.rs
@@ -108,7 +108,7 @@
     /// test of a server that gets none would check nothing.
     pub fn busiest(&self) -> &Server {
         let busiest = self.servers.iter().max_by_key(|server| server.seen().len());
-        busiest.expect("a server")
+        busiest.expect("fleet has a server")
     }
 }
 
--- a/daemon/tests/test_relay_boxes.rs
+++ b/daemon/tests/test_relay_boxes.rs
@@ -39,7 +39,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    anyhow::bail!("the status does not become {wanted}; log:\n{}", relay.log())
+    anyhow::bail!("status did not become {wanted}; log:\n{}", relay.log())
 }
 
 #[tokio::test]
--- a/daemon/tests/test_relay_crashes.rs
+++ b/daemon/tests/test_relay_crashes.rs
@@ -72,7 +72,7 @@
             let name = format!("box-{index}");
             fleet.boxes[0].wait_line(&["box entry", &name]).await?;
         }
-        // The other boxes request the list of boxes once they hear an unknown one.
+        // The other boxes request the list of boxes once they hear from an unknown one.
         tokio::time::sleep(DISCOVERY_TIME).await;
         Ok(fleet)
     }
@@ -350,7 +350,7 @@
 
     let answers = tokio::select! {
         answers = calls => answers?,
-        () = crash_leaving => anyhow::bail!("the calls did not end before the crashes were done"),
+        () = crash_leaving => anyhow::bail!("calls did not end before the last crash"),
     };
 
     assert!(fleet.crash_count() >= 3, "{}", fleet.crash_count());
--- a/daemon/tests/test_relay_eras.rs
+++ b/daemon/tests/test_relay_eras.rs
@@ -29,7 +29,7 @@
         anyhow::Ok(())
     };
     let Ok(result) = tokio::time::timeout(MAX_UPDATE_TIME, accepted).await else {
-        anyhow::bail!("{key} is not accepted in time; log:\n{}", relay.log());
+        anyhow::bail!("{key} not accepted in time; log:\n{}", relay.log());
     };
     result
 }
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -38,7 +38,7 @@
     path: &str,
     headers: &str,
 ) {
-    let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
+    let fleet = Fleet::start(boxes, 6, service).await.expect("fleet starts");
     fleet.call_all(path, headers, WARM_UP).await;
     fleet.store.set_mode(Mode::Silent);
     let leaving = fleet.busiest();
@@ -78,7 +78,7 @@
 
 #[tokio::test]
 async fn calls_are_refused_at_once_when_all_servers_are_leaving() {
-    let fleet = Fleet::start(2, 3, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(2, 3, "boards").await.expect("fleet starts");
     fleet.store.set_mode(Mode::Silent);
     for server in &fleet.servers {
         server.say_leaving(Some("1"));
@@ -97,20 +97,20 @@
 
 #[tokio::test]
 async fn stream_on_a_leaving_server_completes() {
-    let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 1, "boards").await.expect("fleet starts");
     fleet.servers[0].say_leaving(Some("1"));
     let request = call("POST", "/stream/a", "stream", "", "a prompt");
 
     let answer = Caller::once(fleet.boxes[0].front(), &request).await;
 
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("box responds");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.whole, "{answer:?}");
 }
 
 #[tokio::test]
 async fn restarted_server_of_the_same_name_gets_calls() {
-    let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(2, 1, "boards").await.expect("fleet starts");
     let server = &fleet.servers[0];
     server.crash_by(Crashes::by("", Duration::from_millis(300), &fleet.store));
     server.say_leaving(Some("1"));
@@ -136,7 +136,7 @@
 
 #[tokio::test]
 async fn box_started_during_store_outage_learns_leaving_servers() {
-    let mut fleet = Fleet::start(1, 3, "boards").await.expect("a fleet");
+    let mut fleet = Fleet::start(1, 3, "boards").await.expect("fleet starts");
     let leaving = fleet.servers[0].clone();
     leaving.say_leaving(Some("1"));
     while !leaving.seen().iter().any(|seen| seen.ran) {
@@ -144,7 +144,7 @@
     }
     fleet.store.set_mode(Mode::Silent);
     let seeds = [fleet.boxes[0].ip];
-    let late = RelayBox::start("box-late", fleet.store.address, &seeds).expect("a box");
+    let late = RelayBox::start("box-late", fleet.store.address, &seeds).expect("box starts");
     late.wait_ready().await.expect("box has routes");
     fleet.boxes = vec![late];
     let since = Instant::now();
@@ -163,7 +163,7 @@
 
 #[tokio::test]
 async fn malformed_leaving_header_is_ignored() {
-    let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 1, "boards").await.expect("fleet starts");
     for malformed in ["0", "", "yes", "11"] {
         fleet.servers[0].say_leaving(Some(malformed));
 
@@ -179,14 +179,14 @@
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
         .await
-        .expect("a line");
+        .expect("log line appears");
 }
 
 /// Guards against a notice that is attributed to the expected server though another one responds at
 /// its address.
 #[tokio::test]
 async fn leaving_header_of_another_server_is_ignored() {
-    let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 2, "boards").await.expect("fleet starts");
     for server in &fleet.servers {
         server.say_leaving(Some("1"));
         server.next(&[Behaviour::ForeignId]);
--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -36,7 +36,7 @@
 }
 
 async fn assert_limit_of_one_server_holds(boxes: usize, service: &str, path: &str, headers: &str) {
-    let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
+    let fleet = Fleet::start(boxes, 6, service).await.expect("fleet starts");
     fleet.call_all(path, headers, ENFORCEMENT_DELAY).await;
     let busiest = fleet.busiest();
     busiest.name_limit(Some("1"));
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn limited_servers_are_used_fully_and_excess_calls_are_refused_at_once() {
     let limit = 4.0;
-    let fleet = Fleet::start(4, 3, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(4, 3, "boards").await.expect("fleet starts");
     for server in &fleet.servers {
         server.name_limit(Some("4"));
     }
@@ -111,7 +111,7 @@
 
 #[tokio::test]
 async fn lifted_limit_ends_at_all_boxes() {
-    let fleet = Fleet::start(3, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(3, 1, "boards").await.expect("fleet starts");
     let server = &fleet.servers[0];
     server.name_limit(Some("2"));
     fleet.call_all("/again/a", "", ENFORCEMENT_DELAY).await;
@@ -137,7 +137,7 @@
 
 #[tokio::test]
 async fn malformed_limit_is_ignored() {
-    let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 1, "boards").await.expect("fleet starts");
     let server = &fleet.servers[0];
     for malformed in ["", "-1", "NaN", "much"] {
         server.name_limit(Some(malformed));
@@ -156,14 +156,14 @@
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
         .await
-        .expect("a line");
+        .expect("log line appears");
 }
 
 /// Guards against truncated streams: a stream that its server breaks off has to resume if quota is
 /// available within a second, although first attempts of other calls use up the quota.
 #[tokio::test]
 async fn started_stream_waits_for_quota_of_a_limited_server() {
-    let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(2, 1, "boards").await.expect("fleet starts");
     let server = &fleet.servers[0];
     server.name_limit(Some("3"));
     fleet.call_all("/again/a", "", ENFORCEMENT_DELAY).await;
--- a/daemon/tests/test_relay_shedding.rs
+++ b/daemon/tests/test_relay_shedding.rs
@@ -33,7 +33,7 @@
 fn max_calls_in_pause(server: &Server) -> usize {
     let seen = server.seen();
     let within = |rejected: &Seen| {
-        let rejected_at = rejected.at.expect("a time");
+        let rejected_at = rejected.at.expect("arrival time is recorded");
         let calls_of_box = seen.iter().filter(|call| box_of(call) == box_of(rejected));
         let times = calls_of_box.filter_map(|call| call.at);
         times
@@ -51,7 +51,7 @@
     path: &str,
     headers: &str,
 ) {
-    let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
+    let fleet = Fleet::start(boxes, 6, service).await.expect("fleet starts");
     fleet.call_all(path, headers, WARM_UP).await;
     let mut servers: Vec<&Server> = fleet.servers.iter().collect();
     servers.sort_by_key(|server| std::cmp::Reverse(server.seen().len()));
@@ -95,7 +95,7 @@
 
 #[tokio::test]
 async fn calls_are_refused_at_once_when_all_servers_shed_and_served_later() {
-    let fleet = Fleet::start(2, 3, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(2, 3, "boards").await.expect("fleet starts");
     for server in &fleet.servers {
         server.shed(Some(PAUSE_TEXT));
     }
@@ -130,18 +130,23 @@
 
 #[tokio::test]
 async fn call_waits_for_a_short_pause() {
-    let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 1, "boards").await.expect("fleet starts");
     let server = &fleet.servers[0];
     server.shed(Some("0.1"));
     let front = fleet.boxes[0].front();
     let request = |id: &str| call("POST", "/again/a", id, "", "a prompt");
     let first = Caller::once(front, &request("call-0-1")).await;
-    assert_eq!(first.expect("an answer").status, 503);
+    assert_eq!(first.expect("box responds").status, 503);
     server.shed(None);
 
     let second = Caller::once(front, &request("call-0-2")).await;
 
-    assert_eq!(second.expect("an answer").status, 200, "{}", fleet.logs());
+    assert_eq!(
+        second.expect("box responds").status,
+        200,
+        "{}",
+        fleet.logs()
+    );
     let seen = server.seen();
     let times: Vec<Instant> = seen.iter().filter_map(|seen| seen.at).collect();
     assert!(times[1] - times[0] >= Duration::from_millis(95));
@@ -149,7 +154,7 @@
 
 #[tokio::test]
 async fn one_call_probes_the_server_after_a_pause() {
-    let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 2, "boards").await.expect("fleet starts");
     let server = &fleet.servers[0];
     server.shed(Some("0.5"));
 
@@ -165,7 +170,7 @@
 
 #[tokio::test]
 async fn malformed_pause_loses_no_calls() {
-    let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 2, "boards").await.expect("fleet starts");
     let malformed = [
         "",
         "-1",
@@ -189,12 +194,12 @@
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
         .await
-        .expect("a line");
+        .expect("log line appears");
 }
 
 #[tokio::test]
 async fn broken_stream_does_not_resume_on_a_shedding_server() {
-    let fleet = Fleet::start(1, 3, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 3, "boards").await.expect("fleet starts");
     let [shedding, others @ ..] = &fleet.servers[..] else {
         unreachable!("three servers")
     };
@@ -215,7 +220,7 @@
 
         let answer = Caller::once(fleet.boxes[0].front(), &request).await;
 
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("box responds");
         assert!(answer.whole, "{answer:?}; {}", fleet.logs());
     }
     assert_eq!(shedding.seen().len(), calls_before, "{}", fleet.logs());
