--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -1,5 +1,4 @@
-//! Servers that announce in their responses that they are leaving, while the store is silent about
-//! it.
+//! Servers that announce in their responses that they are leaving, while the store doesn't say so.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,15 +16,15 @@
 use crate::relay_fleet::SHORT_PROMPT;
 use crate::relay_fleet::count_served;
 
-/// Load before a server starts to leave.
+/// Duration of the load before a server announces that it is leaving.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// Time in which the first notified box informs all others.
+/// Time in which the first box that receives the notice informs all others.
 const PROPAGATION_TIME: Duration = Duration::from_millis(250);
 /// Exceeds the time for which a box relies on what other boxes infer about a server.
 const OBSERVATION_TIME: Duration = Duration::from_secs(5);
 
-/// Counts calls that arrived after all boxes must be informed. The response to the first call after
-/// `since` is the first notice.
+/// Counts calls that arrived after all boxes had to be informed. The response to the first call
+/// after `since` is the first notice.
 fn late_calls(server: &Server, since: Instant) -> usize {
     let times = server.seen().into_iter().filter_map(|seen| seen.at);
     let times: Vec<Instant> = times.filter(|at| *at >= since).collect();
@@ -37,16 +36,16 @@
     boxes: usize,
     service: &str,
     path: &str,
-    extra: &str,
+    headers: &str,
 ) {
-    let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
-    fleet.call_all(path, extra, WARM_UP).await;
+    let fleet = Fleet::start(boxes, 6, service).await.expect("fleet starts");
+    fleet.call_all(path, headers, WARM_UP).await;
     fleet.store.set_mode(Mode::Silent);
     let leaving = fleet.busiest();
     leaving.say_leaving(Some("1"));
     let since = Instant::now();
 
-    let answers = fleet.call_all(path, extra, OBSERVATION_TIME).await;
+    let answers = fleet.call_all(path, headers, OBSERVATION_TIME).await;
 
     let late = late_calls(leaving, since);
     assert_eq!(
@@ -79,7 +78,7 @@
 
 #[tokio::test]
 async fn calls_are_refused_at_once_when_all_servers_are_leaving() {
-    let fleet = Fleet::start(2, 3, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(2, 3, "boards").await.expect("fleet starts");
     fleet.store.set_mode(Mode::Silent);
     for server in &fleet.servers {
         server.say_leaving(Some("1"));
@@ -98,20 +97,20 @@
 
 #[tokio::test]
 async fn stream_on_a_leaving_server_completes() {
-    let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 1, "boards").await.expect("fleet starts");
     fleet.servers[0].say_leaving(Some("1"));
     let request = call("POST", "/stream/a", "stream", "", "a prompt");
 
     let answer = Caller::once(fleet.boxes[0].front(), &request).await;
 
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("box responds");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.whole, "{answer:?}");
 }
 
 #[tokio::test]
 async fn restarted_server_of_the_same_name_gets_calls() {
-    let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(2, 1, "boards").await.expect("fleet starts");
     let server = &fleet.servers[0];
     server.crash_by(Crashes::by("", Duration::from_millis(300), &fleet.store));
     server.say_leaving(Some("1"));
@@ -120,11 +119,11 @@
     server.crash();
 
     for relay_box in &fleet.boxes {
-        let mut at = 0;
+        let mut attempts = 0;
         let mut status = 0;
-        while status != 200 && at < 200 {
-            at += 1;
-            let request = call("POST", "/again/a", &format!("again-{at}"), "", "");
+        while status != 200 && attempts < 200 {
+            attempts += 1;
+            let request = call("POST", "/again/a", &format!("again-{attempts}"), "", "");
             let answer = Caller::once(relay_box.front(), &request)
                 .await
                 .unwrap_or_default();
@@ -137,7 +136,7 @@
 
 #[tokio::test]
 async fn box_started_during_store_outage_learns_leaving_servers() {
-    let mut fleet = Fleet::start(1, 3, "boards").await.expect("a fleet");
+    let mut fleet = Fleet::start(1, 3, "boards").await.expect("fleet starts");
     let leaving = fleet.servers[0].clone();
     leaving.say_leaving(Some("1"));
     while !leaving.seen().iter().any(|seen| seen.ran) {
@@ -145,7 +144,7 @@
     }
     fleet.store.set_mode(Mode::Silent);
     let seeds = [fleet.boxes[0].ip];
-    let late = RelayBox::start("box-late", fleet.store.address, &seeds).expect("a box");
+    let late = RelayBox::start("box-late", fleet.store.address, &seeds).expect("box starts");
     late.wait_ready().await.expect("box has routes");
     fleet.boxes = vec![late];
     let since = Instant::now();
@@ -164,7 +163,7 @@
 
 #[tokio::test]
 async fn malformed_leaving_header_is_ignored() {
-    let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 1, "boards").await.expect("fleet starts");
     for malformed in ["0", "", "yes", "11"] {
         fleet.servers[0].say_leaving(Some(malformed));
 
@@ -180,14 +179,14 @@
     let line = "unreadable header in server response";
     wait_until(|| fleet.boxes[0].log().contains(line))
         .await
-        .expect("a line");
+        .expect("log line appears");
 }
 
-/// Guards against attributing a notice to the expected server when another one responds at its
-/// address.
+/// Guards against a notice that is attributed to the expected server though another one responds at
+/// its address.
 #[tokio::test]
 async fn leaving_header_of_another_server_is_ignored() {
-    let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
+    let fleet = Fleet::start(1, 2, "boards").await.expect("fleet starts");
     for server in &fleet.servers {
         server.say_leaving(Some("1"));
         server.next(&[Behaviour::ForeignId]);
