--- a/lib/src/breaker.rs
+++ b/lib/src/breaker.rs
@@ -14,7 +14,7 @@
     Failing(u32),
     /// No requests until this time.
     Open(Time),
-    /// One request probes the server.
+    /// One request in flight probes the server; no others are sent.
     HalfOpen,
 }
 
@@ -41,7 +41,7 @@
     }
 
     /// Records a failure. The breaker opens for `open_time` after `limit` consecutive failures, or
-    /// if the probe failed.
+    /// if the probe failed. While it is open, failures of earlier requests do not extend the time.
     pub fn on_failure(&mut self, now: Time, limit: u32, open_time: Duration) {
         *self = match *self {
             Self::Closed if limit > 1 => Self::Failing(1),
--- a/lib/src/decision.rs
+++ b/lib/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions of the dispatcher, and its load.
+//! Decisions of the dispatcher, and its request counts.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 impl Decision {
-    /// Identifier of the request that was decided on.
+    /// Identifier of the request that the decision is about.
     pub const fn request(&self) -> RequestId {
         match self {
             Self::Start(start) => start.request,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A request that leaves the queue.
+/// A request to send to a server.
 #[derive(Debug, Clone)]
 pub struct Start {
     /// Its identifier.
@@ -61,7 +61,7 @@
     pub placement: Placement,
     /// Expected prefill time there.
     pub prefill: Duration,
-    /// Time that the request was queued.
+    /// Time since the request arrived at the box, including that of earlier attempts.
     pub waited: Duration,
     /// Candidates that were compared, with their costs.
     pub candidates: Vec<Candidate>,
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -1,6 +1,6 @@
 //! Decides for each request of a box whether to start, queue or refuse it.
 //!
-//! A box queues requests rather than overload servers. An engine gets a fraction of a second of
+//! A box queues requests rather than overloading servers. An engine gets a fraction of a second of
 //! work in advance; the remaining requests stay in the box's queue, where their order can still
 //! change and where they have certainly not run when they are refused. A request that can't meet
 //! its time limit is refused on arrival; a queued request is refused as soon as it can no longer
@@ -49,7 +49,8 @@
 use crate::workspace_limit::HallLimit;
 use crate::workspace_limit::WorkspaceLimits;
 
-/// Retry time after a refusal whose cause allows no estimate from the queue.
+/// Retry time after a refusal whose cause allows no estimate from the queue; minimum for a full
+/// queue.
 const RETRY_LATER: Duration = Duration::from_secs(2);
 
 /// Identifies a queue: the requests in it compete for the same servers.
@@ -60,7 +61,7 @@
 }
 
 #[derive(Debug)]
-struct Active {
+struct ActiveRequest {
     request: Request,
     placement: Placement,
     avoid: Vec<ServerName>,
@@ -75,7 +76,7 @@
     servers: Vec<ServerView>,
     by_name: HashMap<ServerName, usize>,
     queues: BTreeMap<QueueKey, WaitQueue>,
-    active: BTreeMap<RequestId, Active>,
+    active: BTreeMap<RequestId, ActiveRequest>,
     avoid: BTreeMap<RequestId, Vec<ServerName>>,
     demand: BTreeMap<ModelName, PromptDemand>,
     service_times: BTreeMap<ModelName, ServiceTime>,
@@ -168,10 +169,10 @@
             .collect();
     }
 
-    /// Records an engine's report; `taken_at` is its time on this box's clock.
-    pub fn on_report(&mut self, name: &ServerName, report: EngineReport, taken_at: Time) {
+    /// Records an engine's report; `reported_at` is its time of creation on this box's clock.
+    pub fn on_report(&mut self, name: &ServerName, report: EngineReport, reported_at: Time) {
         if let Some(&index) = self.by_name.get(name) {
-            self.servers[index].set_report(report, taken_at);
+            self.servers[index].set_report(report, reported_at);
         }
     }
 
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Admits, queues or refuses a new request and starts what can be started.
+    /// Refuses or queues a new request, and starts the queued requests that can be placed.
     pub fn submit(
         &mut self,
         now: Time,
@@ -207,7 +208,8 @@
         self.drain(now, &key, &model_servers, rng)
     }
 
-    /// Queues a request again whose placement ended; it keeps its arrival time.
+    /// Queues a request again whose placement ended; it keeps its arrival time. A retry spends from
+    /// the retry budget, and is refused if the budget is used up.
     pub fn requeue(
         &mut self,
         now: Time,
@@ -299,8 +301,8 @@
         }
     }
 
-    /// Refuses queued requests that can no longer meet their time limits, then starts what can be
-    /// started.
+    /// Refuses queued requests that can no longer meet their time limits, then starts those that
+    /// can be placed.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Decision> {
         let mut decisions = Vec::new();
         let keys: Vec<_> = self.queues.keys().cloned().collect();
@@ -315,7 +317,7 @@
         decisions
     }
 
-    /// Whether the prompt is longer than the limit for short prompts in the settings.
+    /// Whether the prompt exceeds the settings' limit for short prompts.
     pub const fn is_long(&self, request: &Request) -> bool {
         request.prompt_tokens > self.settings.long_prompt
     }
@@ -446,7 +448,7 @@
             };
             let times = self.service_times.entry(key.model.clone()).or_default();
             times.record_started(now, key.long, request.prompt_tokens);
-            self.record(now, request, &start);
+            self.record_start(now, request, &start);
             decisions.push(Decision::Start(start));
         }
         let backlog = self.queues.get(key).is_some_and(|queue| !queue.is_empty());
@@ -465,14 +467,14 @@
     ) -> Option<Start> {
         let mut usable = model_servers.serving.clone();
         if let Some(avoid) = self.avoid.get(&request.id) {
-            let others = |index: &usize| !avoid.contains(&self.servers[*index].info().name);
-            let not_avoided: Vec<_> = usable.iter().copied().filter(others).collect();
+            let is_other = |index: &usize| !avoid.contains(&self.servers[*index].info().name);
+            let not_avoided: Vec<_> = usable.iter().copied().filter(is_other).collect();
             if !not_avoided.is_empty() {
                 usable = not_avoided;
             }
         }
         let needed_tokens = request.prompt_tokens + request.max_output;
-        if request.prompt_tokens > 0 && needed_tokens > model_servers.max_memory {
+        if request.prompt_tokens > 0 && needed_tokens > model_servers.max_usable_memory {
             return self.place_group(now, request, &usable);
         }
         match self.policy {
@@ -538,7 +540,8 @@
         Some(self.start_at(now, request, choice.index, choice.candidates))
     }
 
-    /// The engines that run long prompts of the model, in rendezvous-hash order.
+    /// The engines that run long prompts of the model, in rendezvous-hash order; at least as many
+    /// as this request needs for its memory.
     fn long_engines(&self, request: &Request, usable: &[usize]) -> Vec<usize> {
         let model = &request.model;
         let mut engines = usable.to_vec();
@@ -595,7 +598,7 @@
         }
     }
 
-    fn record(&mut self, now: Time, request: Request, start: &Start) {
+    fn record_start(&mut self, now: Time, request: Request, start: &Start) {
         let long = self.is_long(&request);
         let rank = request.priority.rank(long);
         let total_tokens = request.prompt_tokens + request.max_output;
@@ -621,7 +624,7 @@
             }
         }
         let avoid = self.avoid.remove(&request.id).unwrap_or_default();
-        let active = Active {
+        let active = ActiveRequest {
             placement: start.placement.clone(),
             avoid,
             request,
--- a/lib/src/exchange.rs
+++ b/lib/src/exchange.rs
@@ -2,7 +2,7 @@
 //!
 //! The phases are: queued, reserving memory at a group of engines, prefilling the prompt share by
 //! share, and streaming the response. Each [`Event`] returns the [`Action`]s to carry out, in
-//! order. The last action is exactly one [`Action::Finish`], within the request's time limit.
+//! order. The last action is [`Action::Finish`], returned exactly once and within the time limit.
 //!
 //! Guarantees: a non-repeatable request is dispatched again only if it did not run. "Not run" is
 //! reported only with proof (see [`crate::outcome`]). A resumed response has no lost or duplicate
@@ -36,13 +36,15 @@
 
 /// Factor by which a prefill may exceed its estimate before the engine is considered lost.
 const PREFILL_SLACK: u32 = 3;
-/// Prefill time above which the time-out is extended, because a retry discards the prefilled part.
+/// Prefill estimate from which the time-out is extended, because a retry discards the prefilled
+/// part.
 const LONG_PREFILL: Duration = Duration::from_secs(2);
-/// Divisor of the remaining time by which the time-out of a long prefill is extended.
+/// The time-out of a long prefill is extended by the remaining time divided by this.
 const LONG_PREFILL_WAIT_DIVISOR: u32 = 3;
-/// Failed reservations of a group after which the request is refused.
+/// Number of placements on a group with a failed reservation, after which the request is refused.
 const MAX_GROUP_PLACEMENTS: u32 = 1_000;
 
+/// What is known about whether the request ran.
 #[derive(Debug)]
 enum Execution {
     Unsent(Unsent),
@@ -300,7 +302,7 @@
         }
     }
 
-    /// Time at which the first token, or the prefill of a share, is considered lost.
+    /// Time until which to wait for the first token or for the prefill of a share.
     ///
     /// A crashed engine closes its connection and is detected at once. This time-out detects
     /// engines that hang. A long prompt may be delayed by the prefill of other requests at the
@@ -364,7 +366,7 @@
             }
             other => other,
         };
-        // The attempt occupies no memory at the server, but the reservations of a group must be
+        // There is no attempt to cancel at the server, but the reservations of a group must be
         // released.
         self.release(out);
         out.push(Action::PlacementEnded(match evidence {
@@ -430,7 +432,7 @@
                 }
             }
             FrameDecision::Complete { prompt_tokens } => self.complete(prompt_tokens, out),
-            FrameDecision::Drop(why) => out.push(Action::CountDropped(why)),
+            FrameDecision::Drop(reason) => out.push(Action::CountDropped(reason)),
             FrameDecision::Abort => self.on_attempt_lost(out),
         }
     }
--- a/lib/src/exchange_action.rs
+++ b/lib/src/exchange_action.rs
@@ -43,11 +43,11 @@
         /// Time after which the caller may try again, if known.
         retry_after: Option<Duration>,
     },
-    /// The last reservation request succeeded.
+    /// The pending reservation request succeeded.
     Reserved,
-    /// The last reservation request failed: the engine has no memory left or is unreachable.
+    /// The pending reservation request failed: the engine has no memory left or is unreachable.
     ReservationFailed,
-    /// The last prefill request completed.
+    /// The pending prefill request completed.
     SharePrefilled,
     /// No connection to the server was made.
     NoConnection,
@@ -144,7 +144,7 @@
     },
     /// The named server failed.
     Failed(ServerName),
-    /// The named server had no memory left for its share.
+    /// The named server did not reserve its share: it had no memory left or did not respond.
     NoRoom(ServerName),
     /// No evidence about the servers.
     Neutral,
--- a/lib/src/long_prompt_engines.rs
+++ b/lib/src/long_prompt_engines.rs
@@ -19,10 +19,12 @@
 pub const LONG_MEMORY_PERCENT: u64 = 85;
 /// Half-life of the demand that determines the number of engines for long prompts.
 const DEMAND_HALF_LIFE_S: f64 = 60.0;
-/// Factor of capacity over the long prompts' share of demand; avoids queues on their engines.
+/// Capacity for long prompts as a multiple of their share of demand; avoids queues at their
+/// engines.
 const LONG_ENGINE_HEADROOM: f64 = 1.4;
 
-/// Rendezvous hash of a model and an engine; long prompts prefer engines with low values.
+/// Rendezvous hash of a model and an engine; the model's long prompts run on the engines with the
+/// lowest values.
 ///
 /// # Panics
 ///
@@ -36,19 +38,19 @@
     u64::from_be_bytes(digest[..8].try_into().expect("eight bytes of a digest"))
 }
 
-/// Exponentially decaying counts of requested prompt tokens, by long and short prompts.
+/// Exponentially decaying counts of requested prompt tokens, separately for long and short prompts.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct PromptDemand {
     long: f64,
     short: f64,
-    at_s: f64,
+    updated_at_s: f64,
 }
 
 impl PromptDemand {
     /// Adds a prompt of `tokens` tokens.
     pub fn record(&mut self, now_s: f64, tokens: u64, long: bool) {
-        let decay = 0.5_f64.powf((now_s - self.at_s).max(0.0) / DEMAND_HALF_LIFE_S);
-        self.at_s = now_s;
+        let decay = 0.5_f64.powf((now_s - self.updated_at_s).max(0.0) / DEMAND_HALF_LIFE_S);
+        self.updated_at_s = now_s;
         self.long *= decay;
         self.short *= decay;
         if long {
@@ -77,7 +79,7 @@
 }
 
 /// Number of engines, from the first on, whose usable memory together holds `tokens`; all of
-/// them if it does not suffice.
+/// them if their memory does not suffice.
 pub fn engines_needed<'a>(engines: impl Iterator<Item = &'a ServerView>, tokens: u64) -> usize {
     let mut remaining = tokens;
     let mut count = 0;
--- a/lib/src/model_servers.rs
+++ b/lib/src/model_servers.rs
@@ -12,14 +12,15 @@
 pub(crate) struct ModelServers {
     /// Indices of the servers that serve the model and accept work.
     pub(crate) serving: Vec<usize>,
-    /// Service speed of these servers.
+    /// Mean processing rates of these servers.
     pub(crate) pace: Pace,
-    /// Prefill rate of the servers in the hall divided by its boxes, in tokens per second.
+    /// Total prefill rate of these servers in the hall, divided by the number of its boxes, in
+    /// tokens per second.
     pub(crate) box_prefill_rate: f64,
     /// Memory that long prompts may use on all servers together, in tokens.
     pub(crate) usable_memory: u64,
     /// Memory that long prompts may use on the largest server, in tokens.
-    pub(crate) max_memory: u64,
+    pub(crate) max_usable_memory: u64,
 }
 
 impl ModelServers {
@@ -41,7 +42,7 @@
             pace: Pace::mean(views()),
             box_prefill_rate: hall_prefill_rate / boxes as f64,
             usable_memory: views().map(long_prompt_engines::usable_memory).sum(),
-            max_memory: views()
+            max_usable_memory: views()
                 .map(long_prompt_engines::usable_memory)
                 .max()
                 .unwrap_or_default(),
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -1,10 +1,11 @@
 //! Outcomes of requests, and the proof that a refused request did not run.
 //!
-//! [`Outcome`] is a closed set that the product guarantees to callers. [`Outcome::Refused`], after
-//! which a caller may always resubmit, can only be constructed from an [`Unsent`] token. There is
-//! one token per request. Dispatching consumes it, and it is restored only on evidence that the
-//! server did not start: no connection was made, or the server said so itself. No code path can
-//! report "not run" after bytes may have reached a server.
+//! Every request ends with one of the variants of [`Outcome`]; this is guaranteed to callers. After
+//! [`Outcome::Refused`] a caller may always resubmit, so it can only be constructed from an
+//! [`Unsent`] token. There is one token per request. Dispatching consumes it, and it is restored
+//! only on evidence that the server did not start the request: no connection was made, or the
+//! server's response said so. Without this evidence, no code path can report "not run" after bytes
+//! may have reached a server.
 
 use std::fmt;
 use std::time::Duration;
@@ -54,13 +55,14 @@
 pub enum RefusalReason {
     /// The request could not have completed within its time limit.
     WouldMissDeadline,
-    /// The time limit passed while the request was queued.
+    /// The time limit passed, or could no longer be met, while the request was queued.
     DeadlineWhileWaiting,
     /// The workspace has the maximum number of requests queued at this box.
     QueueFull,
     /// The workspace exceeded its rate limit.
     WorkspaceLimit,
-    /// No live server offers the requested model or service.
+    /// No live server offers the requested model or service, or the attempts or the retry budget
+    /// were used up without a run.
     NoServer,
     /// The prompt exceeds the limit of the settings or the memory of the fleet.
     PromptTooLong,
@@ -74,8 +76,8 @@
     KeyNotChecked,
     /// Servers crashed during each of the last runs of the same request.
     CrashesServers,
-    /// Servers crashed during the same request, and another run of it has been in progress for
-    /// long.
+    /// Servers crashed during the same request, and another run of it did not end while this one
+    /// waited.
     SuspectRunning,
     /// All eligible servers limit their calls and have reached their limits.
     ServersLimited,
@@ -114,16 +116,16 @@
     }
 }
 
-/// Why a request failed that may have run.
+/// Why a request that may have run failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureReason {
-    /// The time limit passed while a server was processing the request.
+    /// The time limit passed, or could no longer be met, after the request may have run.
     DeadlineWhileRunning,
     /// The server was lost and the request may not be retried.
     ServerLost,
     /// All allowed attempts were used.
     AttemptsUsed,
-    /// No other server could take over the request in time.
+    /// No other server was available for a retry, or the retry budget was used up.
     NoOtherServer,
     /// The server responded with an error of its own.
     ServerError,
--- a/lib/src/priority.rs
+++ b/lib/src/priority.rs
@@ -1,8 +1,8 @@
 //! Priorities and ranks of requests.
 //!
 //! Operators give each class one of three priorities. Servers get a [`Rank`], which combines the
-//! priority with whether the prompt is long, because a short call is served before a long one of
-//! the same or the next higher priority.
+//! priority with whether the prompt is long: a short prompt is served before a long one of the same
+//! priority, and a normal short one also before an urgent long one.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     /// The default priority.
     #[default]
     Normal,
-    /// Yields to all other requests.
+    /// Served after all other requests.
     Batch,
 }
 
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -28,7 +28,7 @@
     pub max_output: u64,
     /// Priority of the class, before ageing.
     pub priority: Priority,
-    /// Queueing time that raises the request by one priority.
+    /// Queueing time after which the priority rises by one level.
     pub ageing: Duration,
     /// When the request arrived at the box.
     pub arrived: Time,
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -1,11 +1,11 @@
 //! Selects a server for a request, based on stale load reports.
 //!
-//! The candidate with the lowest cost out of a few random ones is selected. Random sampling
-//! keeps boxes with the same stale reports from all selecting the same server. The cost is the
-//! estimated time to the request's first token: the queue ahead of its rank, its own prefill
-//! without the cached prefix, contention at the server, and the trip to another data hall. The
-//! other policies are baselines for measurements; a daemon always uses [`Policy::Cost`].
-//! Alternatives: `docs/design/routing.md`.
+//! [`Policy::Cost`] draws a few random candidates and selects the one with the lowest cost. The
+//! random draw prevents boxes with the same stale reports from all selecting the same server. The
+//! cost is the estimated time to the request's first token: the queue ahead of its rank, its own
+//! prefill without the cached prefix, contention at the server, and the trip to another data hall.
+//! A daemon always uses this policy; the others are baselines for measurements. See
+//! `docs/design/routing.md` for the alternatives considered.
 
 use std::fmt;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 /// Cost per request that is generating at the server; spreads long outputs over servers.
 const CONTENTION_PER_REQUEST: Duration = Duration::from_micros(300);
 /// Additional cost of a server without enough free memory, where the request would have to wait.
-const MEMORY_SHORTAGE: Duration = Duration::from_secs(2);
+const MEMORY_SHORTAGE_COST: Duration = Duration::from_secs(2);
 
 /// Policy for the selection of a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -62,7 +62,7 @@
     pub prefill: Duration,
     /// Cost of requests that are generating there, and of insufficient memory.
     pub contention: Duration,
-    /// Cost of using another data hall.
+    /// Cost of using another data hall; zero in this box's own.
     pub trip: Duration,
 }
 
@@ -101,7 +101,7 @@
 /// Selected server, and all candidates.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// Index of the selected server in the caller's list.
+    /// Index of the selected server in `servers` of [`choose`].
     pub index: usize,
     /// Cost of the selected server.
     pub cost: Cost,
@@ -135,7 +135,7 @@
         wait: server.queue_wait(cx.now, rank),
         prefill: server.prefill_time(request.prompt_tokens - cached),
         contention: if lacks_memory {
-            contention + MEMORY_SHORTAGE
+            contention + MEMORY_SHORTAGE_COST
         } else {
             contention
         },
--- a/lib/src/server_view.rs
+++ b/lib/src/server_view.rs
@@ -137,7 +137,7 @@
         self.info = info;
     }
 
-    /// Stops new requests to a server that is no longer listed.
+    /// Marks a server that is no longer listed as leaving, so that it gets no new requests.
     pub const fn set_leaving(&mut self) {
         self.info.leaving = true;
     }
@@ -161,7 +161,7 @@
         self.latest_report.as_ref().map(|latest| &latest.report)
     }
 
-    /// Age of the latest report.
+    /// Age of the latest report, or `None` without one.
     pub fn report_age(&self, now: Time) -> Option<Duration> {
         self.latest_report
             .as_ref()
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Records a request that was sent.
+    /// Records a request that was sent, which is the probe if the breaker was open.
     pub fn record_sent(&mut self, request: RequestId, sent: SentRequest) {
         self.requests.insert(request, sent);
         self.breaker.on_dispatch();
@@ -242,6 +242,7 @@
 
     /// Estimated prompt tokens of long prompts waiting for prefill.
     pub fn queued_long_tokens(&self, now: Time) -> u64 {
+        // The ranks of long prompts; see `Priority::rank`.
         let reported: u64 = self.report().map_or(0, |report| {
             [2, 3, 5].iter().map(|&rank| report.queued[rank]).sum()
         });
@@ -276,12 +277,13 @@
         })
     }
 
-    /// Records that the server refused a reservation for lack of memory; supersedes its report.
+    /// Records a reservation that failed for lack of memory; supersedes the server's report until
+    /// the next one.
     pub const fn record_memory_full(&mut self, now: Time) {
         self.memory_full_at = Some(now);
     }
 
-    /// Whether the server refused a reservation for lack of memory since its latest report.
+    /// Whether the server failed a reservation for lack of memory since its latest report.
     pub fn is_memory_full(&self) -> bool {
         let reported_at = self
             .latest_report
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Queue of the requests at a box, in the order in which they are sent to servers.
+//! Queue of the requests at a box; determines the order in which they are sent to servers.
 //!
 //! Workspaces share the servers within a priority by weight (start-time fair queueing): the virtual
 //! time of a workspace grows by its served tokens divided by its weight, and the workspace with the
@@ -19,6 +19,7 @@
 const MIN_COST: u64 = 100;
 const PRIORITIES: usize = 3;
 
+/// Queued requests of one workspace, by priority.
 #[derive(Debug, Default)]
 struct Flow {
     virtual_time: f64,
@@ -31,7 +32,7 @@
     }
 }
 
-/// Queued requests of one model and size class.
+/// Queued requests of one model with either long or short prompts.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     flows: BTreeMap<WorkspaceName, Flow>,
@@ -63,10 +64,10 @@
         self.flows.get(workspace).map_or(0, Flow::len)
     }
 
-    /// Prompt tokens that will be served before a new request of `workspace`.
+    /// Estimated prompt tokens to serve before a new request of `workspace`, of any priority.
     ///
-    /// These are all tokens of its own workspace, and of each other workspace as many as that
-    /// workspace's weight entitles it to in the meantime.
+    /// These are all queued tokens of `workspace`, and those of other workspaces that their weights
+    /// entitle them to while the former are served.
     pub fn tokens_ahead(&self, workspace: &WorkspaceName, weight: u64) -> u64 {
         let own: u64 = self.flows.get(workspace).map_or(0, tokens_of);
         let others = self.flows.iter().filter(|(name, _)| *name != workspace);
@@ -143,6 +144,7 @@
         }
     }
 
+    /// Workspace and priority level whose first request is served next.
     fn next(&self, now: Time) -> Option<(&WorkspaceName, &Flow, usize)> {
         if self.is_empty() {
             return None;
--- a/lib/src/workspace_limit.rs
+++ b/lib/src/workspace_limit.rs
@@ -3,8 +3,9 @@
 //!
 //! Each box admits its share of a workspace's limit. The share follows the demand that the boxes
 //! report to each other: the box's own demand divided by the total, with a minimum, so that a box
-//! can admit the first request of a workspace at once. A partitioned box continues with the last
-//! demand that it received; see `docs/design/fairness.md` for the resulting error.
+//! can admit the first request of a workspace at once. A box that is partitioned from the others
+//! continues with the last demand that it received; see `docs/design/fairness.md` for the resulting
+//! error.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,17 +24,17 @@
 #[derive(Debug, Default, Clone, Copy)]
 struct DecayingSum {
     tokens: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl DecayingSum {
     fn add(&mut self, now: Time, tokens: f64) {
         self.tokens = self.decayed(now) + tokens;
-        self.at = now;
+        self.updated_at = now;
     }
 
     fn decayed(&self, now: Time) -> f64 {
-        self.tokens * 0.5_f64.powf(now.since(self.at).as_secs_f64() / DEMAND_HALF_LIFE_S)
+        self.tokens * 0.5_f64.powf(now.since(self.updated_at).as_secs_f64() / DEMAND_HALF_LIFE_S)
     }
 
     /// Demand in tokens per second: the rate that would keep the decaying sum constant.
@@ -45,16 +46,16 @@
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     level: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl Bucket {
-    /// Takes `amount` if the bucket is not empty. The level may become negative, and then
-    /// nothing is taken until it is positive again.
+    /// Takes `amount` if the bucket is not empty, or returns the time after which to try again.
+    /// The level may become negative, and then nothing is taken until it is positive again.
     fn take(&mut self, now: Time, rate: f64, amount: f64) -> Result<(), Duration> {
-        let filled = self.level + now.since(self.at).as_secs_f64() * rate;
+        let filled = self.level + now.since(self.updated_at).as_secs_f64() * rate;
         self.level = filled.min(rate * BURST_S);
-        self.at = now;
+        self.updated_at = now;
         match (rate > 0.0, self.level > 0.0) {
             (false, _) => Err(Duration::from_mins(1)),
             (true, false) => Err(Duration::from_secs_f64((1.0 - self.level) / rate)),
@@ -79,12 +80,12 @@
     const fn new(now: Time) -> Self {
         let full = Bucket {
             level: f64::MAX,
-            at: now,
+            updated_at: now,
         };
         Self {
             demand: DecayingSum {
                 tokens: 0.0,
-                at: Time::ZERO,
+                updated_at: Time::ZERO,
             },
             peer_demand: 0.0,
             requests: full,
@@ -137,16 +138,17 @@
     }
 
     /// This box's demand in tokens per second, of at most `max` workspaces with the highest demand.
+    /// Workspaces below one token per second are left out.
     pub fn own_demand(&self, now: Time, max: usize) -> Vec<(WorkspaceName, f64)> {
-        let mut rows: Vec<_> = self
+        let mut demands: Vec<_> = self
             .workspaces
             .iter()
             .map(|(name, state)| (name.clone(), state.demand.per_second(now)))
             .filter(|(_, demand)| *demand >= 1.0)
             .collect();
-        rows.sort_by(|a, b| b.1.total_cmp(&a.1));
-        rows.truncate(max);
-        rows
+        demands.sort_by(|a, b| b.1.total_cmp(&a.1));
+        demands.truncate(max);
+        demands
     }
 
     /// This box's share of a workspace's limit, between 0 and 1.
@@ -164,7 +166,7 @@
         floor + (1.0 - MIN_FRACTION_OF_EVEN_SHARE) * own / total
     }
 
-    /// Admits a request of `tokens`, or returns when to try again.
+    /// Admits a request of `tokens`, unless this box's share of a rate limit is used up.
     ///
     /// # Errors
     ///
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -1,4 +1,4 @@
-//! Checks that the tests named in the documentation exist.
+//! Checks that the tests named in `docs/guarantees.md` exist.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/lib/tests/test_scenarios.rs
+++ b/lib/tests/test_scenarios.rs
@@ -31,9 +31,9 @@
     values.first().map(String::as_str)
 }
 
-fn millis(case: &TestCase, name: &str) -> u64 {
+fn number_arg(case: &TestCase, name: &str) -> u64 {
     let text = arg(case, name).unwrap_or("0");
-    text.parse().expect("milliseconds")
+    text.parse().expect("argument is a whole number")
 }
 
 /// Formats attempt identifiers as `A1`, `A2`, in the order of their first use.
@@ -58,10 +58,10 @@
     fn new(case: &TestCase) -> Self {
         let mut rng = rng(1);
         let limits = ExchangeLimits {
-            deadline: Time::from_millis(millis(case, "limit")),
+            deadline: Time::from_millis(number_arg(case, "limit")),
             first_token: Duration::from_secs(10),
             between_tokens: Duration::from_secs(5),
-            max_attempts: millis(case, "attempts") as u32,
+            max_attempts: number_arg(case, "attempts") as u32,
             repeatable: arg(case, "repeatable") != Some("no"),
         };
         Self {
@@ -161,7 +161,7 @@
                 format!("cancel {} at {server}", self.names.of(attempt))
             }
             Action::Forward(text) => format!("forward {text}"),
-            Action::CountDropped(why) => format!("drop {}", why.label()),
+            Action::CountDropped(reason) => format!("drop {}", reason.label()),
             Action::FirstToken => "first token".to_owned(),
             Action::PlacementEnded(end) => format!("ended {end:?}"),
             Action::Requeue { avoid, is_retry } => {
@@ -215,7 +215,7 @@
             }
             assert_eq!(case.directive, "at");
             let scenario = scenario.as_mut().expect("`request` is the first directive");
-            let now = Time::from_millis(millis(case, "ms"));
+            let now = Time::from_millis(number_arg(case, "ms"));
             let lines = case
                 .input
                 .lines()
@@ -225,13 +225,13 @@
     });
 }
 
-fn lease_answer(case: &TestCase) -> Result<LeaseResponse, NoAnswer> {
+fn lease_response(case: &TestCase) -> Result<LeaseResponse, NoAnswer> {
     match arg(case, "granted") {
         None => Err(NoAnswer),
         Some(granted) => Ok(LeaseResponse {
             granted: granted == "yes",
             holder: arg(case, "holder").unwrap_or("me").to_owned(),
-            fence: millis(case, "fence"),
+            fence: number_arg(case, "fence"),
         }),
     }
 }
@@ -241,12 +241,12 @@
     datadriven::walk("tests/scenarios/lease", |file| {
         let mut lease = Lease::new(Duration::from_secs(10));
         file.run(|case| {
-            let now = Time::from_millis(millis(case, "ms"));
+            let now = Time::from_millis(number_arg(case, "ms"));
             match case.directive.as_str() {
-                "lease" => lease = Lease::new(Duration::from_millis(millis(case, "ttl"))),
+                "lease" => lease = Lease::new(Duration::from_millis(number_arg(case, "ttl"))),
                 "answer" => {
-                    let asked_at = Time::from_millis(millis(case, "asked"));
-                    lease.on_response(asked_at, now, lease_answer(case));
+                    let asked_at = Time::from_millis(number_arg(case, "asked"));
+                    lease.on_response(asked_at, now, lease_response(case));
                 }
                 "look" => {}
                 other => panic!("unknown directive: {other}"),
