--- a/lib/src/settings_commit.rs
+++ b/lib/src/settings_commit.rs
@@ -7,9 +7,9 @@
 //! revision or never takes effect. While the head has not moved, sending an identical swap
 //! again is safe, because at most one of the two can match that version.
 //!
-//! Concurrent operators: a swap that finds another version is rebuilt on the new head. If
-//! an edit committed after the operator's base touched the same part of the tree, this one
-//! is rejected and the error names the other; otherwise both are committed.
+//! When operators commit concurrently, a swap that finds another version is rebuilt on the new
+//! head. If an edit committed after the operator's base touched the same part of the tree, this
+//! one is rejected and the error names the other; otherwise both are committed.
 
 use std::time::Duration;
 
@@ -30,9 +30,10 @@
 
 /// First delay after a missing response; doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Short for a waiting operator, and long enough to keep the load low in an outage.
+/// Maximum delay: short for a waiting operator, long enough to keep the load low in an outage.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Conflicting swaps before the edit is rejected; eight concurrent operators need fewer.
+/// Number of swap conflicts after which the edit is rejected; eight concurrent operators cause
+/// fewer.
 const MAX_SWAP_CONFLICTS: u32 = 64;
 
 /// Version of a key at the platform; zero if the key does not exist.
@@ -125,7 +126,7 @@
 /// Why an edit was rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Rejection {
-    /// Another operator changed the same part of the tree after the base of this edit.
+    /// An edit committed after the base of this one changed the same part of the tree.
     #[error(
         "conflict with revision {} by {}: it changed the same node or key",
         .0.revision, .0.edit.author
@@ -134,7 +135,8 @@
     /// The edit is not valid for the tree.
     #[error(transparent)]
     Tree(#[from] TreeError),
-    /// The tree would exceed the platform's limit of one value.
+    /// The tree, with the edits that a checkpoint stores beside it, would exceed the platform's
+    /// size limit for one value.
     #[error(
         "settings tree too large: {bytes} bytes, the limit of the platform is {MAX_VALUE_BYTES}"
     )]
@@ -145,7 +147,7 @@
     /// The edit alone exceeds the limits of a head.
     #[error("the edit is too large for one revision; split it into smaller edits")]
     EditTooLarge,
-    /// Other operators committed first too many times.
+    /// Too many swaps of this edit failed because other edits were committed first.
     #[error("other edits were committed first {MAX_SWAP_CONFLICTS} times; try again")]
     TooManyConflicts,
     /// The stored head or checkpoint is invalid.
@@ -178,7 +180,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum CheckpointUse {
-    FindEdit,
+    SearchEdits,
     RebuildTree,
 }
 
@@ -197,8 +199,8 @@
 }
 
 impl SettingsCommit {
-    /// Commits an edit of the tree that the operator read at `base`; gives up at the first
-    /// missing response after `deadline`.
+    /// Commits an edit of the tree that the operator read at `base`. After `deadline`, the commit
+    /// ends where it would otherwise back off.
     pub const fn new(edit: Edit, base: Revision, deadline: Time) -> Self {
         Self {
             edit,
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Identifier of the edit, stable over repeated submissions.
+    /// Identifier of the edit; repeated submissions use the same one.
     pub const fn id(&self) -> EditId {
         self.edit.id
     }
@@ -222,7 +224,8 @@
     ///
     /// # Panics
     ///
-    /// If a swap succeeded that was never sent, which is a bug of this state machine.
+    /// If a successful swap is handled although none was sent, which is a bug of this state
+    /// machine.
     pub fn on(&mut self, now: Time, event: CommitEvent) -> CommitAction {
         let step = std::mem::replace(&mut self.step, Step::ReadingHead);
         match (step, event) {
@@ -279,7 +282,8 @@
             .as_ref()
             .is_some_and(|attempt| found.version < attempt.expected)
         {
-            // A stale read, older than the one the swap was built on, says nothing about the swap.
+            // The read is older than the one that the swap was built on: it does not show whether
+            // the swap took effect.
             return self.back_off_or_end(now);
         }
         let head = match read_head(&found) {
@@ -302,7 +306,8 @@
             }
             _ => {}
         }
-        // A resubmitted edit may have been committed long ago: search back to its base.
+        // A resubmitted edit may have been committed long ago: search the history back to its
+        // base.
         let search_from = match &self.last_swap {
             Some(attempt) => Revision(attempt.revision.0 - 1),
             None => self.base,
@@ -310,7 +315,7 @@
         let head_covers = head.base_revision() <= search_from;
         match (&head.checkpoint, head_covers) {
             (Some(reference), false) => {
-                self.read_checkpoint(CheckpointUse::FindEdit, found, reference.key.clone())
+                self.read_checkpoint(CheckpointUse::SearchEdits, found, reference.key.clone())
             }
             _ => self.build_head(found),
         }
@@ -334,7 +339,8 @@
         found: &Versioned,
     ) -> CommitAction {
         let Some(bytes) = &found.value else {
-            // Pruned since the head was read, so the head has moved on.
+            // The checkpoint of the head is pruned only after the head has moved on. A missing
+            // older one means that the retained history does not reach back to the base.
             if self.searched.is_empty() {
                 return self.back_off_or_end(now);
             }
@@ -349,7 +355,7 @@
                 self.checkpoint = Some((checkpoint.reference(), checkpoint));
                 self.build_head(head)
             }
-            CheckpointUse::FindEdit => self.search_checkpoint(head, checkpoint),
+            CheckpointUse::SearchEdits => self.search_checkpoint(head, checkpoint),
         }
     }
 
@@ -373,7 +379,7 @@
         self.searched.push(checkpoint);
         match previous {
             Some(before) if previous_revision > oldest_needed => {
-                self.read_checkpoint(CheckpointUse::FindEdit, head, before.key)
+                self.read_checkpoint(CheckpointUse::SearchEdits, head, before.key)
             }
             _ => self.build_head(head),
         }
--- a/lib/src/settings_follower.rs
+++ b/lib/src/settings_follower.rs
@@ -1,4 +1,5 @@
-//! Follows the committed settings, from the platform or from peers, and only forward.
+//! Follows the committed settings, received from the platform or from peers, and never returns to
+//! an older revision.
 //!
 //! The follower accepts a head from any source only if its revision is newer than the
 //! active one. Revisions are committed one after another by compare-and-swap, so a
@@ -15,7 +16,7 @@
 use crate::settings_tree::SettingsTree;
 use crate::time::Time;
 
-/// Immutable snapshot of the revision that is active on this box.
+/// Settings that are active on this box; immutable.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ActiveSettings {
     /// Revision of the tree.
@@ -37,7 +38,7 @@
     Rejected(HeadError),
 }
 
-/// State of the settings that one box follows.
+/// State machine that follows the settings on one box.
 #[derive(Debug, Default)]
 pub struct SettingsFollower {
     active: Option<Arc<ActiveSettings>>,
@@ -48,12 +49,12 @@
 }
 
 impl SettingsFollower {
-    /// Active snapshot; `None` before the first.
+    /// Active settings; `None` before the first revision.
     pub const fn active(&self) -> Option<&Arc<ActiveSettings>> {
         self.active.as_ref()
     }
 
-    /// Active revision; zero before the first.
+    /// Active revision; zero if there is none yet.
     pub fn revision(&self) -> Revision {
         self.active
             .as_ref()
@@ -75,30 +76,31 @@
         self.last_error.as_ref()
     }
 
-    /// When the platform last confirmed that the active revision is the newest.
+    /// Send time of the last read by which the platform confirmed that the active revision is the
+    /// newest.
     pub const fn confirmed_at(&self) -> Option<Time> {
         self.confirmed_at
     }
 
-    /// Handles a head read from the platform; `asked_at` is when the read was sent.
+    /// Handles a head read from the platform; `requested_at` is when the read was sent.
     pub fn on_platform_head(
         &mut self,
-        asked_at: Time,
+        requested_at: Time,
         head: Head,
         checkpoint: Option<Checkpoint>,
     ) -> FollowOutcome {
         let offered = head.revision;
         let outcome = self.offer(head, checkpoint);
         if self.active.is_some() && self.revision() == offered {
-            self.confirmed_at = Some(asked_at);
+            self.confirmed_at = Some(requested_at);
         }
         outcome
     }
 
-    /// Records that the platform, queried at `asked_at`, still had the same head.
-    pub const fn confirm(&mut self, asked_at: Time) {
+    /// Records that a read of the platform, sent at `requested_at`, found the head unchanged.
+    pub const fn confirm(&mut self, requested_at: Time) {
         if self.last_error.is_none() && self.active.is_some() {
-            self.confirmed_at = Some(asked_at);
+            self.confirmed_at = Some(requested_at);
         }
     }
 
@@ -130,7 +132,7 @@
             _ => head.tree(matching.as_ref()),
         };
         match tree {
-            Ok(tree) => FollowOutcome::Advanced(self.advance(head, matching, tree)),
+            Ok(tree) => FollowOutcome::Advanced(self.activate(head, matching, tree)),
             Err(error) => {
                 self.last_error = Some(error.clone());
                 FollowOutcome::Rejected(error)
@@ -138,7 +140,7 @@
         }
     }
 
-    fn advance(
+    fn activate(
         &mut self,
         head: Head,
         checkpoint: Option<Checkpoint>,
--- a/lib/src/settings_head.rs
+++ b/lib/src/settings_head.rs
@@ -1,11 +1,11 @@
 //! Storage of the settings tree at the platform: one small head and immutable checkpoints.
 //!
-//! The head is the only value that is replaced, by compare-and-swap. It names a checkpoint
-//! and carries the edits made since, so a following daemon reads a few kilobytes per edit
-//! and never the whole tree. When the edits outgrow the head, the next editor first writes
-//! a new checkpoint under an unused key, then swaps in a head that refers to it. A
-//! checkpoint that no head refers to is garbage and harmless; one that a head refers to is
-//! never overwritten. The existence of a key alone never means that an edit was committed.
+//! The head is the only value that is replaced, by compare-and-swap. It names a checkpoint and
+//! carries the edits made since, so a following daemon reads a few kilobytes per edit and never
+//! the whole tree. When the edits outgrow the head, the next commit first writes a new checkpoint
+//! under an unused key, then swaps in a head that refers to it. A checkpoint that no head refers
+//! to is garbage and harmless; one that a head refers to is never overwritten. The existence of a
+//! key alone never means that an edit was committed.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -23,7 +23,7 @@
 pub const HEAD_KEY: &str = "settings/head";
 /// Prefix of the keys of checkpoints.
 pub const CHECKPOINT_PREFIX: &str = "settings/checkpoint/";
-/// Largest value that the platform stores, in bytes.
+/// Maximum size of a value at the platform, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 /// Maximum size of the edits in a head, in bytes: the most that a follower reads for one edit.
 pub const MAX_HEAD_EDIT_BYTES: usize = 16_384;
@@ -107,7 +107,7 @@
     }
 }
 
-/// The value that is swapped: a reference to a checkpoint and the edits since.
+/// The value that commits replace: a reference to a checkpoint and the edits since.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// Revision of the tree that this head describes.
@@ -121,7 +121,7 @@
 /// Why a stored value is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// The value does not have the format of this version.
+    /// The value does not have the format that this build reads.
     #[error("invalid stored value: {0}")]
     Unreadable(String),
     /// The revisions of the edits are not consecutive from the checkpoint on.
@@ -223,7 +223,7 @@
         self.edits.iter().find(|committed| committed.edit.id == id)
     }
 
-    /// Whether the edit fits within the limits of this head.
+    /// Whether this head stays within its limits if the edit is added.
     pub fn fits(&self, edit: &Edit) -> bool {
         let bytes = encode(&self.edits).len() + encode(edit).len();
         self.edits.len() < MAX_HEAD_EDITS && bytes <= MAX_HEAD_EDIT_BYTES
@@ -239,8 +239,8 @@
 
 /// Keys of the checkpoints that may be removed, all but the `keep` newest.
 ///
-/// A checkpoint that a slow editor is about to refer to is newer than the one of the head,
-/// so it is never returned while its swap can still succeed; see `docs/design/settings.md`.
+/// A checkpoint that a slow commit is about to refer to is newer than the one of the head, so it
+/// is not returned while the swap of that commit can still succeed; see `docs/design/settings.md`.
 pub fn prunable_checkpoints(mut keys: Vec<String>, keep: usize) -> Vec<String> {
     keys.sort_by_key(|key| std::cmp::Reverse(key_revision(key)));
     keys.split_off(keep.min(keys.len()))
--- a/lib/src/settings_schema.rs
+++ b/lib/src/settings_schema.rs
@@ -152,7 +152,7 @@
     ///
     /// # Errors
     ///
-    /// The value is not valid; the error has the expected and the actual value.
+    /// The value is not valid; the error names the valid values and the actual one.
     pub fn check(self, value: &Value) -> Result<(), ValueError> {
         let setting = self.setting();
         let is_valid = match setting.domain {
--- a/lib/src/settings_snapshot.rs
+++ b/lib/src/settings_snapshot.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Revision of the tree when the backup was made.
+    /// Revision of the tree in the backup.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
--- a/lib/src/settings_tree.rs
+++ b/lib/src/settings_tree.rs
@@ -1,10 +1,9 @@
 //! Tree of the settings that operators edit; each node inherits from its parent.
 //!
-//! A tree is immutable: [`SettingsTree::apply`] builds the next one from a list of changes
-//! and validates all of it. The node without a parent is the root, and a node that sets
-//! nothing has the same effective values as its parent. Inheritance follows the parent
-//! field and not the name, so a node can be moved; a move that would make a cycle is
-//! rejected.
+//! A tree is immutable: [`SettingsTree::apply`] builds a new tree from a list of changes and
+//! validates all of it. The node without a parent is the root, and a node that sets nothing has
+//! the same effective values as its parent. Inheritance follows the `parent` field and not the
+//! name, so a node can be moved; a move that would make a cycle is rejected.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -177,7 +176,7 @@
     InvalidValue {
         /// Node with the error.
         node: NodeName,
-        /// Expected and actual value.
+        /// Describes the valid values and the actual one.
         source: ValueError,
     },
     /// The override to remove does not exist.
@@ -232,7 +231,7 @@
     pub fn apply(&self, changes: &[Change]) -> Result<Self, TreeError> {
         let mut next = self.clone();
         for change in changes {
-            next.apply_one(change)?;
+            next.apply_change(change)?;
         }
         match next.validation_errors().into_iter().next() {
             Some(error) => Err(error),
@@ -240,7 +239,7 @@
         }
     }
 
-    fn apply_one(&mut self, change: &Change) -> Result<(), TreeError> {
+    fn apply_change(&mut self, change: &Change) -> Result<(), TreeError> {
         match change {
             Change::Add { node, .. } if self.nodes.contains_key(node) => {
                 Err(TreeError::NodeExists(node.clone()))
@@ -292,7 +291,7 @@
             .any(|node| node.parent.as_ref() == Some(name))
     }
 
-    /// Validates the tree; empty if it is valid.
+    /// All errors of the tree; empty if it is valid.
     pub fn validation_errors(&self) -> Vec<TreeError> {
         let mut errors = Vec::new();
         let roots: Vec<_> = self
--- a/lib/src/settings_view.rs
+++ b/lib/src/settings_view.rs
@@ -1,4 +1,4 @@
-//! Typed settings for the request path, computed once per revision.
+//! Typed settings for the request path and the placement controller, computed once per revision.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,9 +34,9 @@
     pub between_tokens: Duration,
     /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Priority among waiting requests.
+    /// Priority among queued requests.
     pub priority: Priority,
-    /// Waiting time after which the priority rises by one level.
+    /// Time in the queue after which the priority rises by one level.
     pub ageing: Duration,
     /// Longest prompt, in tokens.
     pub max_prompt: u64,
@@ -46,7 +46,7 @@
     pub bytes_per_token: f64,
 }
 
-/// Settings of a workspace, with the digests of its keys.
+/// Settings of a workspace, with the digests of the keys that authenticate its callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkspaceSettings {
     /// Weight of the fair share among workspaces.
@@ -55,7 +55,7 @@
     pub requests_per_s: u64,
     /// Tokens per second, for all boxes of a hall together.
     pub tokens_per_s: u64,
-    /// Maximum number of waiting requests at one box.
+    /// Maximum number of queued requests at one box.
     pub queue_requests: u64,
     digests: Vec<[u8; DIGEST_BYTES]>,
 }
@@ -71,7 +71,7 @@
     pub long_prompt: u64,
     /// Largest share of the engines that long prompts may use, in percent.
     pub long_share_percent: u64,
-    /// Minimum advantage of another hall before a request is sent there.
+    /// Time by which another hall must be better before a request is sent there.
     pub hall_trip: Duration,
     /// Retries per hundred first attempts.
     pub retry_percent: u64,
@@ -79,7 +79,8 @@
     pub breaker_failures: u32,
     /// Time that a circuit breaker stays open.
     pub breaker_open: Duration,
-    /// Time after which an engine releases the reservations of a silent box.
+    /// Time after which an engine frees the attempts and reservations of a box that no longer
+    /// renews.
     pub holding_ttl: Duration,
 }
 
@@ -90,9 +91,9 @@
     pub lease_ttl: Duration,
     /// Desired number of engines of each model.
     pub copies: BTreeMap<ModelName, u64>,
-    /// Time that a difference from the desired state must last before an order is given.
+    /// Time for which a difference from the desired state must persist before an order is given.
     pub hysteresis: Duration,
-    /// Model loads from the weight store per minute.
+    /// Maximum number of model loads from the weight store per minute.
     pub loads_per_min: u64,
 }
 
@@ -105,7 +106,7 @@
     pub routing: RoutingSettings,
     /// Placement settings of the hall.
     pub placement: PlacementSettings,
-    /// Largest request body of any node, in bytes.
+    /// Maximum size of a request body, in bytes: the largest limit of all nodes.
     pub max_body: usize,
     workspaces: BTreeMap<WorkspaceName, WorkspaceSettings>,
     classes: BTreeMap<NodeName, ClassSettings>,
@@ -167,8 +168,8 @@
         self.classes.get(&node)
     }
 
-    /// Workspace that a key authenticates. Compares all digests, each in constant time, so that
-    /// the duration does not reveal which one matches.
+    /// Workspace that a caller's key authenticates. Compares all digests, each in constant time,
+    /// so that the duration does not reveal which one matches.
     pub fn workspace_for_key(&self, key: &str) -> Option<&WorkspaceName> {
         let digest: [u8; DIGEST_BYTES] = Sha256::digest(key.as_bytes()).into();
         let mut found = None;
--- a/lib/src/status_wire.rs
+++ b/lib/src/status_wire.rs
@@ -19,7 +19,7 @@
     pub hall: HallName,
     /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Whether the load balancer may send callers to this box.
+    /// Whether the load balancer may send requests to this box.
     pub ready: bool,
     /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
@@ -39,15 +39,15 @@
     pub servers: Vec<ServerStatus>,
 }
 
-/// Settings in force at a daemon.
+/// Settings that are active at a daemon.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SettingsStatus {
-    /// Revision in force; zero before the first.
+    /// Active revision; zero if there is none yet.
     pub revision: Revision,
-    /// Time since the platform confirmed that the revision is the latest, in milliseconds; `None`
+    /// Time since the platform confirmed that the revision is the newest, in milliseconds; `None`
     /// if it never did.
     pub unconfirmed_ms: Option<u64>,
-    /// Reason why the latest value cannot be used, if so.
+    /// Error of the newest value, if that is invalid.
     pub fault: Option<String>,
 }
 
--- a/lib/tests/test_properties.rs
+++ b/lib/tests/test_properties.rs
@@ -16,7 +16,7 @@
 
 use crate::seeded::seeded;
 
-/// Builds a valid tree from a seed by random changes; invalid changes are skipped.
+/// Builds a valid tree by random changes from a seed; invalid changes are skipped.
 fn tree(seed: u64) -> SettingsTree {
     let mut rng = rng(seed);
     let mut tree = SettingsTree::default();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn every_node_has_a_value_for_every_key() {
+fn every_node_has_a_valid_value_for_every_key() {
     fn holds(seed: u64) -> bool {
         let tree = tree(seed);
         let is_valid = |name: &NodeName| {
