--- a/lib/src/engine_wire.rs
+++ b/lib/src/engine_wire.rs
@@ -1,8 +1,8 @@
 //! Messages to and from model engines, as JSON over HTTP; output streams as JSON lines.
 //!
-//! `docs/assumptions.md` lists what is assumed of engines and what changes if an assumption
-//! is wrong. The main one: each attempt and reservation has an owner, and an engine frees
-//! what it holds for an owner that has not renewed within the TTL it named.
+//! `docs/assumptions.md` lists what is assumed of engines and what changes if an assumption is
+//! wrong. The main one: each attempt and reservation has an owner, and an engine frees everything
+//! that it holds for an owner once the TTL of the owner's last [`RenewRequest`] has elapsed.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -32,24 +32,25 @@
     pub owner: Owner,
     /// Model that generates.
     pub model: ModelName,
-    /// Prompt; empty if a group holds it.
+    /// Prompt; empty if a reservation holds it.
     pub prompt: String,
     /// Estimated number of prompt tokens; the engine counts them itself.
     pub prompt_tokens: u64,
     /// Maximum number of output tokens, including those before `offset`.
     pub max_tokens: u64,
-    /// Scheduling rank at the engine; zero runs first.
+    /// Scheduling rank at the engine; rank zero is served first.
     pub rank: u8,
     /// Offset of the first output token to send.
     pub offset: u64,
-    /// Output already forwarded before that offset, to be replayed but not sent again.
+    /// Output before `offset`, which was already forwarded: the engine continues from it and does
+    /// not send it again.
     pub emitted: String,
-    /// Reservation that holds the prompt, if an engine group prefilled it.
+    /// Reservation that holds the prompt, if a group of engines prefilled it.
     pub group: Option<AttemptId>,
 }
 
 impl GenerateRequest {
-    /// Rank as a validated type.
+    /// Rank as a typed value; a number out of range becomes the lowest rank.
     pub const fn checked_rank(&self) -> Rank {
         Rank::from_wire(self.rank)
     }
@@ -62,11 +63,11 @@
     pub group: AttemptId,
     /// Owner of the reservation.
     pub owner: Owner,
-    /// Memory to reserve, in tokens.
+    /// KV memory to reserve, in tokens.
     pub tokens: u64,
 }
 
-/// Prefills a share into its reservation; the response follows when the prefill is done.
+/// Prefills a share of a prompt into its reservation; the response follows when it is done.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillRequest {
     /// Reservation to fill.
@@ -75,7 +76,7 @@
     pub from: u64,
     /// Number of tokens in the share.
     pub tokens: u64,
-    /// Scheduling rank at the engine; zero runs first.
+    /// Scheduling rank at the engine; rank zero is served first.
     pub rank: u8,
     /// Text of the share.
     pub text: String,
@@ -104,7 +105,7 @@
 pub struct RenewRequest {
     /// Owner that renews.
     pub owner: Owner,
-    /// Time without renewal after which everything of the owner is freed, in milliseconds.
+    /// Time without renewal after which the engine frees everything of the owner, in milliseconds.
     pub ttl_ms: u64,
     /// Attempts and reservations to keep.
     pub keep: Vec<AttemptId>,
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -1,9 +1,9 @@
 //! Client side of a lease: the holder never acts after its lease may have expired.
 //!
-//! Validity is measured from the time at which the renewal request was sent, on the holder's
-//! own monotonic clock, and ends before the TTL by a margin for clock rate differences. A
-//! holder that was suspended reads the clock when it resumes and finds its lease expired. The
-//! fencing token grows with each change of holder, and every order carries it.
+//! Validity is measured from the time at which the renewal request was sent, on the holder's own
+//! monotonic clock, and ends before the TTL has elapsed: the margin covers differences in clock
+//! rate. A holder that was suspended reads the clock when it resumes and finds its lease expired.
+//! The fencing token increases with each change of holder, and every order carries it.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use crate::settings_commit::NoAnswer;
 use crate::time::Time;
 
-/// Fraction of the TTL at its end that the holder does not use.
+/// Fraction of the TTL by which the holder lets the lease expire early.
 const EXPIRY_MARGIN: f64 = 0.2;
-/// Renewals per TTL; the lease survives the loss of one response.
+/// Renewal requests per TTL, so that the loss of one response does not expire the lease.
 const RENEWALS_PER_TTL: u32 = 3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,11 +68,11 @@
         self.next_request_at = now + self.ttl / RENEWALS_PER_TTL;
         match response {
             Ok(response) if response.granted => {
-                let same = self.held.filter(|held| held.fence == response.fence);
+                let previous = self.held.filter(|held| held.fence == response.fence);
                 self.held = Some(HeldLease {
                     fence: response.fence,
                     valid_until: requested_at + self.ttl.mul_f64(1.0 - EXPIRY_MARGIN),
-                    since: same.map_or(now, |held| held.since),
+                    since: previous.map_or(now, |held| held.since),
                 });
                 self.other_holder = None;
             }
@@ -82,25 +82,27 @@
                 // A standby box requests the lease less often than the holder renews it.
                 self.next_request_at = now + self.ttl;
             }
-            // The renewal may or may not have succeeded: the previous expiry remains in force.
+            // The renewal may or may not have succeeded: the previous expiry still applies.
             Err(NoAnswer) => {}
         }
     }
 
-    /// Fencing token under which orders may be given now; `None` if the lease is not in force.
+    /// Fencing token under which orders may be given now; `None` if the lease is not held or has
+    /// expired.
     pub fn fence(&self, now: Time) -> Option<u64> {
         let held = self.held.filter(|held| now < held.valid_until);
         held.map(|held| held.fence)
     }
 
     /// Time since which the lease has been held without a change of holder; `None` if it is not
-    /// in force.
+    /// held or has expired.
     pub fn held_since(&self, now: Time) -> Option<Time> {
         let held = self.held.filter(|held| now < held.valid_until);
         held.map(|held| held.since)
     }
 
-    /// Last response that named another holder, unless the lease was granted since.
+    /// Last response that named another holder; `None` if there was none since the lease was last
+    /// granted.
     pub const fn other_holder(&self) -> Option<&LeaseResponse> {
         self.other_holder.as_ref()
     }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -4,9 +4,10 @@
 //! returns typed actions. Clocks, randomness and identity are passed in. The same code runs in
 //! the daemon, in scripted scenarios and in seeded simulations.
 //!
-//! Two groups of modules are independent of each other. Request path: [`exchange`] carries one
-//! request to its [`outcome`], and [`dispatcher`] schedules all requests of a box. State:
-//! [`settings_tree`], its commits, and the modules that follow them.
+//! The request path and the settings are implemented separately. In the request path, [`exchange`]
+//! carries one request to its [`outcome`], and [`dispatcher`] schedules all requests of a box. For
+//! the settings, [`settings_commit`] commits edits of a [`settings_tree`], and
+//! [`settings_follower`] applies the committed revisions on each box.
 
 pub mod backoff;
 pub mod breaker;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,11 +1,11 @@
 //! Cluster membership: the platform's list combined with gossip between boxes.
 //!
-//! Each box increments a heartbeat counter and gossips it to a few others, which forward it
-//! within the data hall. A box is live while newer heartbeats arrive, directly or through other
-//! boxes: a partition between two boxes hides neither from the other while a third reaches
-//! both. The platform's list lags and may flap; it gives addresses and the expected boxes, but
-//! is no evidence of liveness. A restarted box has a new incarnation, whose rows replace those
-//! of the previous one.
+//! Each box increments a heartbeat counter and gossips it to a few others, which forward it within
+//! the data hall. A box is live while newer heartbeats arrive, directly or through other boxes:
+//! two boxes that cannot reach each other still see each other as live while a third reaches both.
+//! The platform's list lags and may flap; it gives the expected boxes and their addresses, but is
+//! no evidence of liveness. A restarted box has a new incarnation, whose rows replace those of the
+//! previous one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_secs(40);
 /// Maximum number of other boxes' rows per message; bounds its size for halls of any size.
 pub const MAX_GOSSIP_ROWS: usize = 8;
-/// Maximum number of workspaces in a message's demand, those of highest demand first.
+/// Maximum number of workspaces in the demand of a message; those of highest demand are sent.
 pub const MAX_DEMAND_ROWS: usize = 8;
 /// Probability that an exchange goes to another data hall.
 const OTHER_HALL_PROBABILITY: f64 = 0.25;
@@ -51,7 +51,7 @@
     pub heartbeat: u64,
     /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// Revision of the settings in force there.
+    /// Revision of the settings that is active there.
     pub revision: Revision,
 }
 
@@ -64,7 +64,7 @@
     pub tokens_per_s: u32,
 }
 
-/// Knowledge of one box about another.
+/// What one box knows about another.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownBox {
     /// Latest row of that box.
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Replaces the platform's list.
+    /// Replaces the list of boxes with a newer one from the platform.
     pub fn on_list(&mut self, list: &BoxList) {
         let rows = list
             .boxes
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Raises the own generation above a row of an earlier incarnation of this box that would
-    /// otherwise be taken for newer.
+    /// Raises the generation of this box above that of an earlier incarnation's row, which other
+    /// boxes would otherwise take for newer.
     fn refute(&mut self, row: &BoxRow) {
         let is_other_incarnation = row.incarnation != self.own.incarnation;
         if is_other_incarnation && row.generation >= self.own.generation {
@@ -163,15 +163,15 @@
         }
     }
 
-    /// Replaces the demand of a box, as sent by that box.
+    /// Replaces the demand of a known box; only the box itself sends its demand.
     pub fn on_demand(&mut self, name: &BoxName, demand: Vec<DemandRow>) {
         if let Some(known) = self.known.get_mut(name) {
             known.demand = demand;
         }
     }
 
-    /// Rows to send to a box of `hall`: the most recently received, at most [`MAX_GOSSIP_ROWS`];
-    /// none for other halls.
+    /// Rows of other boxes to send to a box of `hall`: the most recently received, at most
+    /// [`MAX_GOSSIP_ROWS`]. A box of another hall is sent none.
     pub fn rows_for(&self, hall: &HallName) -> Vec<BoxRow> {
         if *hall != self.own.hall {
             return Vec::new();
@@ -196,19 +196,19 @@
 
     /// Number of boxes of this hall that serve, including this one unless it is leaving.
     ///
-    /// For the first [`LIVENESS_TIMEOUT`] after its start, a box also counts listed boxes that it
-    /// has not heard of.
+    /// For the first [`LIVENESS_TIMEOUT`] after its start, a box also counts listed boxes from
+    /// which no row has arrived yet.
     pub fn serving_boxes(&self, now: Time) -> usize {
         let is_starting = now.since(self.started) < LIVENESS_TIMEOUT;
         let listed = self.listed.values().filter(|info| {
-            let unheard = !self.known.contains_key(&info.name);
+            let is_unknown = !self.known.contains_key(&info.name);
             info.hall == self.own.hall
                 && info.name != self.own.name
                 && !info.leaving
-                && unheard
+                && is_unknown
                 && is_starting
         });
-        let heard = self.known.values().filter(|known| {
+        let live = self.known.values().filter(|known| {
             let listed_leaving = self
                 .listed
                 .get(&known.row.name)
@@ -218,7 +218,7 @@
                 && !listed_leaving
                 && self.is_live(now, &known.row.name)
         });
-        listed.count() + heard.count() + usize::from(!self.own.leaving)
+        listed.count() + live.count() + usize::from(!self.own.leaving)
     }
 
     /// Demand of the other live boxes of the hall by workspace, in tokens per second.
@@ -234,7 +234,7 @@
         sums
     }
 
-    /// Picks a random box to gossip with; one in four exchanges goes to another hall.
+    /// Picks a random box to gossip with; on average, one in four exchanges goes to another hall.
     ///
     /// Boxes that are not live are picked as well, so that both sides reconnect after a network
     /// partition.
@@ -249,21 +249,21 @@
         candidates.choose(rng).or_else(|| others().choose(rng))
     }
 
-    /// All other boxes that are known or listed, with their list entry and their known state.
+    /// All other boxes that are listed or known, with the entry in the list and the known state.
     pub fn boxes(&self) -> impl Iterator<Item = (&BoxName, Option<&BoxInfo>, Option<&KnownBox>)> {
-        let unheard = self
+        let listed_only = self
             .listed
             .iter()
             .filter(|(name, _)| !self.known.contains_key(*name) && **name != self.own.name)
             .map(|(name, info)| (name, Some(info), None));
-        let heard = self
+        let known = self
             .known
             .iter()
             .map(|(name, known)| (name, self.listed.get(name), Some(known)));
-        unheard.chain(heard)
+        listed_only.chain(known)
     }
 
-    /// Removes boxes that are not listed and from which nothing was heard for ten minutes.
+    /// Removes boxes that are not listed and had no newer heartbeat for ten minutes.
     pub fn remove_expired(&mut self, now: Time) {
         const RETENTION: Duration = Duration::from_mins(10);
         let listed = &self.listed;
--- a/lib/src/peer_wire.rs
+++ b/lib/src/peer_wire.rs
@@ -1,9 +1,9 @@
 //! Messages between boxes: versioned, and authenticated by an HMAC with a shared key.
 //!
-//! A frame consists of magic bytes, a version, the message and an HMAC-SHA256 over all of
-//! these. Frames that are malformed, of an unsupported version or not authenticated are
-//! rejected and counted. Replayed frames are harmless: rows, heartbeats and revisions only
-//! increase.
+//! A frame consists of magic bytes, a version, the message and an HMAC-SHA256 over all of these.
+//! Frames that are malformed, of an unsupported version or not authenticated are rejected and
+//! counted. Replayed frames are harmless: generations, heartbeats and revisions only increase, and
+//! a row or head that is not newer is ignored.
 
 use hmac::Hmac;
 use hmac::Mac;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Settings revision in force at the sender.
+    /// Settings revision that is active at the sender.
     pub const fn revision(&self) -> Revision {
         self.from().revision
     }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,11 +1,12 @@
 //! Controller for the placement of models on engines.
 //!
 //! Level-triggered: each reconciliation compares the desired state from the settings with the
-//! state that engines report, and issues at most one load or unload per engine. The difference
-//! that a lost order leaves behind causes another order. A difference must persist before the
-//! controller acts, so that flapping reports have no effect. Loads are spaced evenly to respect
-//! the rate limit of the weight store. A new holder of the lease waits one interval before its
-//! first load, so that the rate limit also holds across a change of holder.
+//! state that engines report, and issues at most one load or unload per engine. After a lost order
+//! the difference is still there, and the order is issued again. A difference must persist before
+//! the controller acts, so that flapping reports have no effect. Loads are spaced evenly to
+//! respect the rate limit of the weight store. A new holder of the lease waits for one interval
+//! between loads before its first load, so that the rate limit also holds across a change of
+//! holder.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,7 +31,7 @@
     pub name: ServerName,
     /// Loaded models.
     pub models: BTreeSet<ModelName>,
-    /// Number of requests that are generating.
+    /// Number of requests that are generating on the engine.
     pub running: u64,
 }
 
@@ -128,7 +129,7 @@
             self.fence = term.fence;
             self.fenced.clear();
         }
-        self.remove_completed(now, observed);
+        self.remove_settled(now, observed);
         let mut orders = self.fence_engines(observed);
         for (model, &want) in &desired.copies {
             let have = self.copies(model, observed);
@@ -176,7 +177,9 @@
         observed.iter().filter(has).count() as u64
     }
 
-    fn remove_completed(&mut self, now: Time, observed: &[ObservedEngine]) {
+    /// Removes pending orders that took effect or are due to be issued again, and those of engines
+    /// that are not observed any more.
+    fn remove_settled(&mut self, now: Time, observed: &[ObservedEngine]) {
         self.pending.retain(|name, (action, at)| {
             let engine = observed.iter().find(|engine| engine.name == *name);
             let is_done = engine.is_none_or(|engine| match action {
@@ -229,8 +232,7 @@
         model: &ModelName,
         reason: OrderReason,
     ) -> Option<PlacementOrder> {
-        if desired.copies.get(model) == Some(&0) && !self.has_replacement(model, desired, observed)
-        {
+        if desired.copies.get(model) == Some(&0) && !self.may_unload_all(model, desired, observed) {
             return None;
         }
         let loaded = observed
@@ -247,10 +249,10 @@
         Some(self.issue(now, selected.name.clone(), action, reason))
     }
 
-    /// Whether the copies of a model may be unloaded: no other version of it is desired, or a
-    /// desired version has all its copies, on engines that refuse orders of earlier holders. Until
-    /// then the old copies keep serving.
-    fn has_replacement(
+    /// Whether all copies of a model may be unloaded: no other version of it is desired, or
+    /// another desired version has all its copies, on engines that refuse orders of earlier
+    /// holders. Until then the copies keep serving.
+    fn may_unload_all(
         &self,
         model: &ModelName,
         desired: &DesiredPlacement,
@@ -259,7 +261,7 @@
         let replacements = desired.copies.iter().filter(|(other, want)| {
             *other != model && base_name(other) == base_name(model) && **want > 0
         });
-        let mut loaded = replacements.map(|(other, want)| {
+        let mut fully_loaded = replacements.map(|(other, want)| {
             let has = |engine: &&ObservedEngine| {
                 let is_unloading = matches!(
                     self.pending.get(&engine.name),
@@ -270,9 +272,9 @@
             };
             observed.iter().filter(has).count() as u64 >= *want
         });
-        match loaded.next() {
+        match fully_loaded.next() {
             None => true,
-            Some(first) => first || loaded.any(|is_loaded| is_loaded),
+            Some(first) => first || fully_loaded.any(|is_loaded| is_loaded),
         }
     }
 
--- a/lib/src/platform_wire.rs
+++ b/lib/src/platform_wire.rs
@@ -35,7 +35,7 @@
 /// Response to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Whether the requester holds the lease now.
+    /// Whether the requester is now the holder.
     pub granted: bool,
     /// Name of the current holder.
     pub holder: String,
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -1,7 +1,8 @@
 //! Expected service time of a model's requests, and the drain rate of a box's queue.
 //!
-//! Both are measured: the first by the tokens of complete responses, the second by the prompt
-//! tokens that are started while other requests are queued. Until there are measurements, the rates
+//! Both are estimated from measurements: the service time from the length of complete responses
+//! and the rates that the engines report, the drain rate from the prompt tokens that are started
+//! while other requests are queued. Until there are measurements, an initial length and the rates
 //! that the engines report are used.
 
 use std::time::Duration;
@@ -10,15 +11,15 @@
 use crate::server_view::ServerView;
 use crate::time::Time;
 
-/// Weight of one response's length in the moving average.
+/// Weight of one response in the moving average of response lengths.
 const OUTPUT_WEIGHT: f64 = 0.02;
 /// Response length assumed before the first response, in tokens.
 const INITIAL_OUTPUT_TOKENS: f64 = 128.0;
-/// Time constant of the measured drain rate of short requests.
+/// Time constant of the moving average of the drain rate of short requests.
 const SHORT_WINDOW_S: f64 = 5.0;
-/// Time constant of the measured drain rate of long requests. A box starts one of them every
-/// several seconds; a shorter window would take the time between them for a stalled queue and
-/// refuse requests needlessly.
+/// Time constant of the moving average of the drain rate of long requests. A box starts one of
+/// them every several seconds; a shorter window would take the time between them for a stalled
+/// queue and refuse requests needlessly.
 const LONG_WINDOW_S: f64 = 120.0;
 
 /// Processing rates of a model's servers, as reported by them.
@@ -28,7 +29,7 @@
     pub prefill_rate: f64,
     /// Prompt tokens per second of all servers.
     pub total_prefill_rate: f64,
-    /// Time between the tokens of one response.
+    /// Mean time between the tokens of one response.
     pub token_interval: Duration,
 }
 
@@ -60,7 +61,7 @@
     window_s: f64,
 }
 
-/// Expected service time and drain rates of one model's requests.
+/// Estimator of the service time and the drain rates of one model's requests.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceTime {
     mean_output_tokens: f64,
@@ -82,7 +83,8 @@
         self.mean_output_tokens += (tokens as f64 - self.mean_output_tokens) * OUTPUT_WEIGHT;
     }
 
-    /// Expected time from the start of a request to its complete response at this pace.
+    /// Expected time from the start of a request to its complete response; zero for an empty
+    /// prompt.
     pub fn expected_time(&self, request: &Request, pace: Pace) -> Duration {
         if request.prompt_tokens == 0 {
             return Duration::ZERO;
@@ -92,7 +94,7 @@
         prefill + pace.token_interval.mul_f64(tokens)
     }
 
-    /// Records prompt tokens of a request that was started.
+    /// Records the prompt tokens of a request that was started.
     pub fn record_started(&mut self, now: Time, long: bool, tokens: u64) {
         let drain = &mut self.drains[usize::from(long)];
         if drain.backlog_since.is_some() {
@@ -118,15 +120,15 @@
         }
     }
 
-    /// Prompt tokens per second that are started while requests are queued; `expected` until there
-    /// are measurements.
+    /// Drain rate in prompt tokens per second; `expected` if none was set or measured yet.
     pub fn drain_rate(&self, long: bool, expected: f64) -> f64 {
         self.drains[usize::from(long)].rate.unwrap_or(expected)
     }
 }
 
 impl Drain {
-    /// Updates the rate once the current measurement spans a second or more.
+    /// Adds the current measurement to the rate and starts the next one, once it spans a second or
+    /// more.
     fn update(&mut self, now: Time) {
         let Some(since) = self.backlog_since else {
             return;
--- a/lib/tests/test_lease_seeds.rs
+++ b/lib/tests/test_lease_seeds.rs
@@ -1,6 +1,6 @@
 //! Seeded simulations of leases and placement.
 //!
-//! To run other numbers of seeds: `cargo run --release --bin emulate -- seeds leases --count N`.
+//! To run more seeds: `cargo run --release --bin emulate -- seeds leases --count N`.
 
 use badgerferry_testutils::seeded_leases;
 use badgerferry_testutils::seeded_leases::LeaseCounts;
@@ -21,7 +21,8 @@
         failed_seeds.is_empty(),
         "seeds that violated an invariant: {failed_seeds:?}"
     );
-    // Guards against simulations that do not exercise changes of holder, fencing and late orders.
+    // Without enough changes of holder, refused orders and late orders the simulation proves
+    // nothing.
     assert!(counts.holders > 2_000, "{counts:?}");
     assert!(counts.orders > 3_000, "{counts:?}");
     assert!(counts.fenced_off > 10, "{counts:?}");
