--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -53,9 +53,10 @@
     }
 }
 
+/// Measured drain rate of short or of long requests; measuring pauses while none are queued.
 #[derive(Debug, Clone, Copy, Default)]
 struct Drain {
-    backlog_since: Option<Time>,
+    measuring_since: Option<Time>,
     started_tokens: f64,
     rate: Option<f64>,
     window_s: f64,
@@ -97,7 +98,7 @@
     /// Records the prompt tokens of a request that was started.
     pub fn record_started(&mut self, now: Time, long: bool, tokens: u64) {
         let drain = &mut self.drains[usize::from(long)];
-        if drain.backlog_since.is_some() {
+        if drain.measuring_since.is_some() {
             drain.started_tokens += tokens as f64;
         }
         drain.update(now);
@@ -110,12 +111,12 @@
         let drain = &mut self.drains[usize::from(long)];
         drain.window_s = if long { LONG_WINDOW_S } else { SHORT_WINDOW_S };
         drain.rate.get_or_insert(expected);
-        match (backlog, drain.backlog_since) {
+        match (backlog, drain.measuring_since) {
             (true, None) => {
-                drain.backlog_since = Some(now);
+                drain.measuring_since = Some(now);
                 drain.started_tokens = 0.0;
             }
-            (false, Some(_)) => drain.backlog_since = None,
+            (false, Some(_)) => drain.measuring_since = None,
             _ => drain.update(now),
         }
     }
@@ -130,7 +131,7 @@
     /// Adds the current measurement to the rate and starts the next one, once it spans a second or
     /// more.
     fn update(&mut self, now: Time) {
-        let Some(since) = self.backlog_since else {
+        let Some(since) = self.measuring_since else {
             return;
         };
         let span = now.since(since).as_secs_f64();
@@ -141,7 +142,7 @@
         let weight = 1.0 - (-span / self.window_s).exp();
         let previous = self.rate.unwrap_or(measured);
         self.rate = Some(previous + (measured - previous) * weight);
-        self.backlog_since = Some(now);
+        self.measuring_since = Some(now);
         self.started_tokens = 0.0;
     }
 }
