--- a/cli/src/commands/suspects.rs
+++ b/cli/src/commands/suspects.rs
@@ -66,10 +66,10 @@
 
 fn failed(what: &str, cause: &StoreError) -> CommandError {
     let kind = match cause {
-        StoreError::NotDone(_) | StoreError::HistoryGone | StoreError::NewEra(_) => {
+        StoreError::NotApplied(_) | StoreError::HistoryExpired | StoreError::NewEra(_) => {
             Failure::Refused
         }
-        StoreError::NoAnswer(_) => Failure::NoAnswer,
+        StoreError::NoResponse(_) => Failure::NoAnswer,
     };
     CommandError::new(kind, format!("failed to {what}: {cause}"))
         .hint("--platform is the address of the platform's store here")
@@ -78,11 +78,11 @@
 fn rows(items: &[Change]) -> Vec<SuspectRow> {
     let mut rows: BTreeMap<RequestFingerprint, SuspectRow> = BTreeMap::new();
     for item in items {
-        let Change::Suspect { work, fact } = item else {
+        let Change::Suspect { fingerprint, fact } = item else {
             continue;
         };
-        let row = rows.entry(*work).or_default();
-        row.work = work.to_string();
+        let row = rows.entry(*fingerprint).or_default();
+        row.work = fingerprint.to_string();
         match fact {
             StoredFact::Crashed(_) => row.lives_ended += 1,
             StoredFact::Quarantined => row.held = true,
--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -199,7 +199,7 @@
     req: Request<Incoming>,
 ) -> Result<Call, Response<ResponseBody>> {
     let (parts, body) = req.into_parts();
-    let head = headers::read_call(&parts.headers).map_err(|cause| {
+    let head = headers::parse_call_head(&parts.headers).map_err(|cause| {
         call_log::rejected("-", cause.0);
         error_response::invalid_request(StatusCode::BAD_REQUEST, cause.0)
     })?;
--- a/daemon/src/relay/call_attempt.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -12,9 +12,9 @@
 use badgerferry_lib::relay::server_tracker::ServerOutcome;
 use badgerferry_lib::time::Time;
 use badgerferry_platform::headers;
-use badgerferry_platform::headers::AnswerHead;
 use badgerferry_platform::headers::Dispatch;
-use badgerferry_platform::headers::RunWord;
+use badgerferry_platform::headers::ExecutionStatus;
+use badgerferry_platform::headers::ResponseHead;
 use http::Request;
 use http::Response;
 use http::StatusCode;
@@ -97,13 +97,13 @@
     attempt: AttemptGuard,
     connection: Connection,
     parts: http::response::Parts,
-    head: AnswerHead,
+    head: ResponseHead,
     body: Incoming,
 }
 
 impl Received {
     const fn after(&self) -> AfterResponse {
-        if self.head.closes {
+        if self.head.closes_connection {
             AfterResponse::Close
         } else {
             AfterResponse::Pool {
@@ -250,7 +250,7 @@
         Err(cause) => return handle_send_error(call, attempt, &cause).await,
     };
     let (parts, body) = response.into_parts();
-    let head = headers::read_answer(parts.status, &parts.headers, call.head.id.as_deref());
+    let head = headers::parse_response_head(parts.status, &parts.headers, call.head.id.as_deref());
     let relay = &call.relay;
     let server = &attempt.selection.server;
     relay
@@ -267,7 +267,7 @@
         lock(&call.relay.tracker).record_load(&attempt.selection.server, reported);
     }
     // A late response to another call, or one from another server, says nothing about the target.
-    let is_from_target = head.is_ours && head.word != RunWord::OtherServer;
+    let is_from_target = head.is_for_call && head.execution != ExecutionStatus::Misdirected;
     if is_from_target {
         let target = &attempt.selection.target;
         call.relay
@@ -330,15 +330,15 @@
         server: &selection.server,
         time_left: call.time_left(),
         workspace: call.workspace.as_ref(),
-        takes_key: !call.routes.table().workspaces.is_empty(),
-        readers: &selection.helpers,
+        strips_key: !call.routes.table().workspaces.is_empty(),
+        helpers: &selection.helpers,
         rank: selection.rank,
         resume_after,
     };
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = headers::to_server(&call.headers, &dispatch);
+    *request.headers_mut() = headers::server_request_headers(&call.headers, &dispatch);
     request
 }
 
@@ -367,10 +367,10 @@
     join: Option<&EventJoin>,
 ) -> AttemptResult {
     let (head, status) = (&received.head, received.parts.status);
-    if head.word != RunWord::Nothing && !status.is_success() {
+    if head.execution != ExecutionStatus::Unknown && !status.is_success() {
         return handle_declined(call, received).await;
     }
-    if !head.is_ours {
+    if !head.is_for_call {
         return handle_unusable(
             call,
             received.attempt,
@@ -418,7 +418,7 @@
     } = received;
     call_log::declined(call, &attempt.selection, parts.status, &head);
     // A server whose call depends on other servers may state which one is at fault.
-    if let Some(address) = &head.at_fault {
+    if let Some(address) = &head.faulty_server {
         let now = call.relay.clock.now();
         lock(&call.relay.tracker).record_fault(now, address);
         call.relay.urgent_changed.notify_one();
@@ -426,9 +426,9 @@
     if read_body(body).await.is_some() {
         return_connection(call, &attempt.selection.server, connection, after);
     }
-    attempt.finish(match head.word {
-        RunWord::OtherServer => ServerOutcome::Unreachable,
-        RunWord::NotRun | RunWord::Nothing => ServerOutcome::Inconclusive,
+    attempt.finish(match head.execution {
+        ExecutionStatus::Misdirected => ServerOutcome::Unreachable,
+        ExecutionStatus::NotExecuted | ExecutionStatus::Unknown => ServerOutcome::Inconclusive,
     });
     let retry_after = head.notice.retry_after.value().unwrap_or_default();
     AttemptResult::Ended(if retry_after.is_zero() {
@@ -497,7 +497,7 @@
 ) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
-    *response.headers_mut() = headers::without_connection(&parts.headers);
+    *response.headers_mut() = headers::without_hop_by_hop(&parts.headers);
     response
 }
 
--- a/daemon/src/relay/call_log.rs
+++ b/daemon/src/relay/call_log.rs
@@ -10,7 +10,7 @@
 use badgerferry_lib::relay::attempts::Attempts;
 use badgerferry_lib::relay::long_prompt_queue::BlockedPolls;
 use badgerferry_lib::relay::route_table::Denied;
-use badgerferry_platform::headers::AnswerHead;
+use badgerferry_platform::headers::ResponseHead;
 use http::StatusCode;
 use metrics::counter;
 use metrics::histogram;
@@ -105,13 +105,13 @@
 }
 
 /// The server responded that it did not run the call.
-pub fn declined(call: &Call, selection: &Selection, status: StatusCode, head: &AnswerHead) {
+pub fn declined(call: &Call, selection: &Selection, status: StatusCode, head: &ResponseHead) {
     counter!("badgerferry_tries_failed_total", "why" => "declined").increment(1);
     tracing::info!(
         call = call.id(),
         server = %selection.server,
         status = status.as_u16(),
-        at_fault = head.at_fault,
+        at_fault = head.faulty_server,
         // Saturates, as a server may state any duration.
         retry_after_ms = (head.notice.retry_after.value())
             .map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)),
--- a/daemon/src/relay/first_event_watchdog.rs
+++ b/daemon/src/relay/first_event_watchdog.rs
@@ -101,8 +101,8 @@
     let admitted = relay.gate.admit_background(&engine.target).await.ok()?;
     let address = &engine.address;
     let report = async {
-        let (_, body) = engine_call::exchange(address, reports::ask(), admitted).await?;
-        anyhow::Ok(reports::read_pace(&body)?)
+        let (_, body) = engine_call::exchange(address, reports::report_request(), admitted).await?;
+        anyhow::Ok(reports::parse_pace(&body)?)
     };
     let outcome = match timeout(REPORT_TIMEOUT, report).await {
         Ok(Ok(pace)) => Ok(pace),
--- a/daemon/src/relay/reservations.rs
+++ b/daemon/src/relay/reservations.rs
@@ -10,7 +10,7 @@
 
 use badgerferry_platform::orders;
 use badgerferry_platform::orders::EngineCall;
-use badgerferry_platform::orders::Reserved;
+use badgerferry_platform::orders::ReservationResult;
 use futures::future::join_all;
 use http::StatusCode;
 use tokio::task::AbortHandle;
@@ -51,7 +51,7 @@
         requested: Vec<(Engine, u64)>,
     ) -> Result<Self, Vec<(String, ReserveError)>> {
         let id = format!("{:016x}", rand::random::<u64>());
-        let ttl = RESERVATION_TTL.min(call.relay.settings.longest_hold);
+        let ttl = RESERVATION_TTL.min(call.relay.settings.max_reservation_time);
         let relay = &call.relay;
         let engines = Arc::new(requested);
         // Created before the orders are sent, so that its drop releases the memory on every exit
@@ -118,10 +118,10 @@
 }
 
 fn reserve_error(status: Option<StatusCode>) -> Option<ReserveError> {
-    match status.map(orders::read_reserved) {
-        Some(Reserved::Held) => None,
-        Some(Reserved::NoRoom) => Some(ReserveError::NoRoom),
-        Some(Reserved::Impossible) => Some(ReserveError::Refused),
+    match status.map(orders::reservation_result) {
+        Some(ReservationResult::Held) => None,
+        Some(ReservationResult::NoRoom) => Some(ReserveError::NoRoom),
+        Some(ReservationResult::Refused) => Some(ReserveError::Refused),
         None => Some(ReserveError::Silent),
     }
 }
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -27,7 +27,7 @@
 use badgerferry_lib::relay::quarantine;
 use badgerferry_lib::relay::server_tracker::ServerRecord;
 use badgerferry_lib::relay::server_tracker::ServerTracker;
-use badgerferry_platform::headers::Reader;
+use badgerferry_platform::headers::Helper;
 
 use crate::relay::call::Call;
 use crate::relay::call_log;
@@ -58,7 +58,7 @@
     pub address: String,
     /// Engines that prefill chunks of the prompt besides the lead. With reservations, the lead
     /// itself comes first.
-    pub helpers: Vec<Reader>,
+    pub helpers: Vec<Helper>,
     /// Estimated prefill time of one chunk, by the configured engine model.
     pub chunk_prefill: Option<Duration>,
     /// Priority at the engine, from 0 to 9; `None` for a plain call.
@@ -525,9 +525,9 @@
 
 /// Engines that prefill besides the lead. With reservations, the lead itself comes first, with the
 /// id of the reservation.
-fn helpers(engines: &[Engine], reservations: Option<&Reservations>) -> Vec<Reader> {
+fn helpers(engines: &[Engine], reservations: Option<&Reservations>) -> Vec<Helper> {
     let skip = usize::from(reservations.is_none());
-    let helper = |engine: &Engine| Reader {
+    let helper = |engine: &Engine| Helper {
         address: engine.address.clone(),
         reservation: reservations.map(|held| held.id().to_owned()),
     };
--- a/daemon/src/relay/store_follower.rs
+++ b/daemon/src/relay/store_follower.rs
@@ -121,7 +121,7 @@
     }
 
     async fn step(&mut self, store: &mut Store) -> Result<(), StoreError> {
-        store.set_limit(match self.failures {
+        store.set_timeout(match self.failures {
             0 => STORE_CALL_TIMEOUT,
             failures => OUTAGE_CALL_TIMEOUTS[failures % OUTAGE_CALL_TIMEOUTS.len()],
         });
@@ -147,7 +147,7 @@
             servers_changed |= matches!(
                 change,
                 Change::Server { .. }
-                    | Change::ServerGone { .. }
+                    | Change::ServerRemoved { .. }
                     | Change::Unreadable {
                         server: Some(_),
                         ..
@@ -255,7 +255,7 @@
         let position = self.cursor.position();
         let (era, revision) = position.map(|at| (at.era, at.revision)).unzip();
         match cause {
-            StoreError::HistoryGone => {
+            StoreError::HistoryExpired => {
                 tracing::info!(era, revision, "store history expired: reading in full");
                 self.cursor.reset();
                 return Duration::ZERO;
@@ -270,7 +270,7 @@
                 self.cursor.reset();
                 return rand::rng().random_range(Duration::ZERO..MAX_REREAD_DELAY);
             }
-            StoreError::NotDone(_) | StoreError::NoAnswer(_) => {}
+            StoreError::NotApplied(_) | StoreError::NoResponse(_) => {}
         }
         if self.unavailable_since.is_none() {
             self.unavailable_since = Some(Instant::now());
@@ -294,9 +294,12 @@
                 Change::Server { server, .. } => {
                     entries.servers.insert(server.name.clone(), server);
                 }
-                Change::Box { position, of } => {
-                    self.box_entries.insert(of.name.clone(), position);
-                    boxes.insert(of.name.clone(), of);
+                Change::Box {
+                    position,
+                    addresses,
+                } => {
+                    self.box_entries.insert(addresses.name.clone(), position);
+                    boxes.insert(addresses.name.clone(), addresses);
                 }
                 Change::Routes(_) => routes = Some(change),
                 other => self.apply_change(other),
@@ -349,29 +352,36 @@
                 );
                 lock(&relay.cluster_view).servers.put(position, server);
             }
-            Change::ServerGone { position, name } => {
+            Change::ServerRemoved { position, name } => {
                 let (era, revision) = (position.era, position.revision);
                 tracing::info!(server = %name, era, revision, "server entry removed");
                 let now = relay.clock.now();
                 let mut cluster_view = lock(&relay.cluster_view);
                 cluster_view.servers.remove(now, position, &name);
             }
-            Change::Box { position, of } => {
+            Change::Box {
+                position,
+                addresses,
+            } => {
                 let (era, revision) = (position.era, position.revision);
-                tracing::info!(r#box = of.name, era, revision, "box entry");
-                self.box_entries.insert(of.name.clone(), position);
-                lock(&relay.cluster_view).boxes.insert(of.name.clone(), of);
+                tracing::info!(r#box = addresses.name, era, revision, "box entry");
+                self.box_entries.insert(addresses.name.clone(), position);
+                lock(&relay.cluster_view)
+                    .boxes
+                    .insert(addresses.name.clone(), addresses);
             }
-            Change::BoxGone { name } if name == self.own.name => {
+            Change::BoxRemoved { name } if name == self.own.name => {
                 tracing::warn!(r#box = name, "entry of this box was removed");
                 self.registered_in = None;
             }
-            Change::BoxGone { name } => {
+            Change::BoxRemoved { name } => {
                 tracing::info!(r#box = name, "box entry removed");
                 self.box_entries.remove(&name);
                 lock(&relay.cluster_view).boxes.remove(&name);
             }
-            Change::Suspect { work, fact } => request_quarantine::apply_fact(relay, work, fact),
+            Change::Suspect { fingerprint, fact } => {
+                request_quarantine::apply_fact(relay, fingerprint, fact)
+            }
             Change::Unreadable {
                 position,
                 server: Some(name),
--- a/daemon/tests/test_relay_boxes.rs
+++ b/daemon/tests/test_relay_boxes.rs
@@ -489,7 +489,7 @@
     client.remove_box("box-9", position()).await?;
 
     assert!(
-        matches!(refused, Err(StoreError::NotDone(_))),
+        matches!(refused, Err(StoreError::NotApplied(_))),
         "{refused:?}"
     );
     assert!(is_kept);
