--- a/daemon/src/relay/store_follower.rs
+++ b/daemon/src/relay/store_follower.rs
@@ -380,7 +380,7 @@
                 lock(&relay.cluster_view).boxes.remove(&name);
             }
             Change::Suspect { fingerprint, fact } => {
-                request_quarantine::apply_fact(relay, fingerprint, fact)
+                request_quarantine::apply_fact(relay, fingerprint, fact);
             }
             Change::Unreadable {
                 position,
