--- a/daemon/tests/engines.rs
+++ b/daemon/tests/engines.rs
@@ -2,18 +2,21 @@
 
 use std::time::Duration;
 
-use badgerferry_standin::relay_box::World;
+use badgerferry_standin::relay_box::TestCluster;
 use badgerferry_standin::server::Server;
 
 /// A box, a plain server, and engines each of whose events takes so long.
-pub async fn world(count: usize, pace: Duration) -> anyhow::Result<(World, Vec<Server>)> {
-    let world = World::start(1).await?;
+pub async fn world(count: usize, pace: Duration) -> anyhow::Result<(TestCluster, Vec<Server>)> {
+    let world = TestCluster::start(1).await?;
     let mut engines = Vec::new();
     for at in 0..count {
         let name = format!("e-{at}");
         let engine = Server::start(&name, "engines", pace).await?;
         world.store.put(&engine.key(), &engine.entry("ready"));
-        world.relay.wait_line(&["server entry", &name]).await?;
+        world
+            .relay
+            .wait_for_log_line(&["server entry", &name])
+            .await?;
         engines.push(engine);
     }
     Ok((world, engines))
--- a/daemon/tests/relay_fleet.rs
+++ b/daemon/tests/relay_fleet.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use badgerferry_standin::caller::Answer;
 use badgerferry_standin::caller::Caller;
+use badgerferry_standin::caller::RawResponse;
 use badgerferry_standin::caller::call;
 use badgerferry_standin::relay_box::RelayBox;
 use badgerferry_standin::relay_box::desired_state;
@@ -63,7 +63,7 @@
         path: &str,
         extra: &str,
         duration: Duration,
-    ) -> Vec<(Answer, Duration)> {
+    ) -> Vec<(RawResponse, Duration)> {
         let until = Instant::now() + duration;
         let callers = self.boxes.iter().enumerate().map(async |(at, one)| {
             let mut responses = Vec::new();
@@ -80,7 +80,9 @@
                     "a prompt",
                 );
                 // A connection closed without a response counts as status 0.
-                let answer = Caller::once(one.front(), &text).await.unwrap_or_default();
+                let answer = Caller::exchange(one.front(), &text)
+                    .await
+                    .unwrap_or_default();
                 let took = started_at.elapsed();
                 assert!(took < CALL_TIMEOUT, "{took:?}: {answer:?}; {}", self.logs());
                 responses.push((answer, took));
@@ -101,13 +103,16 @@
     /// The server that received most calls. Short calls are packed on few servers, so a test on
     /// another one might check nothing.
     pub fn busiest(&self) -> &Server {
-        let busiest = self.servers.iter().max_by_key(|server| server.seen().len());
+        let busiest = self
+            .servers
+            .iter()
+            .max_by_key(|server| server.received_calls().len());
         busiest.expect("a server")
     }
 }
 
 /// Number of calls answered with status 200.
-pub fn count_served(responses: &[(Answer, Duration)]) -> usize {
+pub fn count_served(responses: &[(RawResponse, Duration)]) -> usize {
     responses
         .iter()
         .filter(|(answer, _)| answer.status == 200)
--- a/daemon/tests/test_relay_boxes.rs
+++ b/daemon/tests/test_relay_boxes.rs
@@ -10,7 +10,7 @@
 use badgerferry_standin::caller::Caller;
 use badgerferry_standin::caller::call;
 use badgerferry_standin::relay_box::RelayBox;
-use badgerferry_standin::relay_box::World;
+use badgerferry_standin::relay_box::TestCluster;
 use badgerferry_standin::relay_box::desired_state;
 use badgerferry_standin::relay_box::wait_until;
 use badgerferry_standin::server::Behaviour;
@@ -27,7 +27,7 @@
 }
 
 async fn status(relay: &RelayBox, key: &str) -> anyhow::Result<u16> {
-    Ok(Caller::once(relay.front(), &idempotent_call("id", key))
+    Ok(Caller::exchange(relay.front(), &idempotent_call("id", key))
         .await?
         .status)
 }
@@ -47,9 +47,9 @@
     let store = Store::start().await?;
     store.set_mode(Mode::Silent);
     let relay = RelayBox::start("box-1", store.address, &[])?;
-    relay.wait_line(&["daemon started"]).await?;
+    relay.wait_for_log_line(&["daemon started"]).await?;
 
-    let answer = Caller::once(relay.front(), &idempotent_call("id-1", "key-1")).await?;
+    let answer = Caller::exchange(relay.front(), &idempotent_call("id-1", "key-1")).await?;
 
     assert_eq!(answer.status, 503);
     assert!(!relay.is_ready().await);
@@ -70,13 +70,13 @@
     }
     store.set_mode(Mode::Busy);
     let relay = RelayBox::start("box-1", store.address, &[])?;
-    relay.wait_line(&["store unavailable"]).await?;
+    relay.wait_for_log_line(&["store unavailable"]).await?;
     let mut caller = Caller::connect(relay.front()).await?;
 
     caller.send(&idempotent_call("id-1", "key-1")).await?;
     store.set_mode(Mode::Serving);
 
-    let answer = caller.answer().await?;
+    let answer = caller.read_response().await?;
     assert_eq!(answer.status, 200, "{answer:?}; {}", relay.log());
     Ok(())
 }
@@ -96,7 +96,7 @@
 
 #[tokio::test]
 async fn new_route_table_takes_effect() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     world.store.put_routes(&desired_state(9, &["key-2"]));
 
     wait_status(&world.relay, "key-2", 200).await?;
@@ -107,7 +107,7 @@
 
 #[tokio::test]
 async fn older_route_table_version_is_ignored() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     world.store.put_routes(&desired_state(9, &["key-2"]));
     wait_status(&world.relay, "key-2", 200).await?;
 
@@ -123,13 +123,13 @@
 
 #[tokio::test]
 async fn malformed_route_table_is_ignored() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     world
         .store
         .put_routes(&serde_json::json!({"version": "none"}));
     world
         .relay
-        .wait_line(&["store value unreadable", "op/config"])
+        .wait_for_log_line(&["store value unreadable", "op/config"])
         .await?;
 
     assert_eq!(status(&world.relay, "key-1").await?, 200);
@@ -138,30 +138,30 @@
 
 #[tokio::test]
 async fn server_marked_as_leaving_in_the_store_gets_no_new_calls() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     let leaving = &world.servers[0];
     world.store.put(&leaving.key(), &leaving.entry("draining"));
     world
         .relay
-        .wait_line(&["server entry", "i-0", "\"leaving\":true"])
+        .wait_for_log_line(&["server entry", "i-0", "\"leaving\":true"])
         .await?;
-    let before = leaving.seen().len();
+    let before = leaving.received_calls().len();
 
     for at in 0..10 {
-        Caller::once(
+        Caller::exchange(
             world.relay.front(),
             &idempotent_call(&format!("id-{at}"), "key-1"),
         )
         .await?;
     }
 
-    assert_eq!(leaving.seen().len(), before);
+    assert_eq!(leaving.received_calls().len(), before);
     Ok(())
 }
 
 #[tokio::test]
 async fn box_serves_during_store_failures_and_catches_up() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let modes = [Mode::Busy, Mode::TooMany, Mode::Reset, Mode::Silent];
     for (version, mode) in (20..).zip(modes) {
         world.store.set_mode(mode);
@@ -182,35 +182,44 @@
 /// delays updates by four seconds.
 #[tokio::test]
 async fn silent_store_is_polled_with_short_timeouts() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     world.store.set_mode(Mode::Silent);
-    world.relay.wait_line(&["store unavailable"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["store unavailable"])
+        .await?;
     let before = world.store.calls();
 
     // A call with a long time-out would keep this count from rising.
     wait_until(|| world.store.calls() >= before + 4).await?;
     world.store.set_mode(Mode::Serving);
 
-    world.relay.wait_line(&["store available again"]).await
+    world
+        .relay
+        .wait_for_log_line(&["store available again"])
+        .await
 }
 
 #[tokio::test]
 async fn expired_store_history_causes_a_full_read() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     world.store.put_routes(&desired_state(5, &["key-5"]));
-    world.store.forget_history();
+    world.store.compact_history();
     world.store.put_routes(&desired_state(6, &["key-6"]));
-    world.store.forget_history();
+    world.store.compact_history();
 
     wait_status(&world.relay, "key-6", 200).await
 }
 
 #[tokio::test]
 async fn box_without_store_learns_of_a_revoked_key_from_a_peer() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let other = RelayBox::start("box-2", world.store.address, &[])?;
     other.wait_ready().await?;
-    world.relay.wait_line(&["box entry", "box-2"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["box entry", "box-2"])
+        .await?;
     // All calls on the loopback interface have one source address, so the store can't reject only
     // this box. The box is suspended until the other one has the new key.
     world.store.put_routes(&desired_state(4, &["key-1"]));
@@ -227,13 +236,13 @@
     let source = "\"source\":\"neighbour\"";
     world
         .relay
-        .wait_line(&["route table updated", source])
+        .wait_for_log_line(&["route table updated", source])
         .await
 }
 
 #[tokio::test]
 async fn box_started_during_store_outage_pulls_state_from_a_peer() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     world.store.set_mode(Mode::Silent);
 
     let late = RelayBox::start("box-2", world.store.address, &[world.relay.ip])?;
@@ -245,21 +254,24 @@
 
 #[tokio::test]
 async fn server_entries_lost_in_a_store_outage_are_held_for_a_time() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     world.store.set_mode(Mode::Silent);
-    world.relay.wait_line(&["store unavailable"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["store unavailable"])
+        .await?;
     world.store.remove("servers/i-0");
     world.store.set_mode(Mode::Serving);
     world
         .relay
-        .wait_line(&["server entry removed", "i-0"])
+        .wait_for_log_line(&["server entry removed", "i-0"])
         .await?;
 
     assert_eq!(status(&world.relay, "key-1").await?, 200);
 
     world
         .relay
-        .wait_line(&["still missing after the hold"])
+        .wait_for_log_line(&["still missing after the hold"])
         .await?;
     wait_status(&world.relay, "key-1", 503).await
 }
@@ -268,7 +280,7 @@
 /// forever that are removed after it.
 #[tokio::test]
 async fn boxes_that_follow_peers_after_an_outage_drop_removed_servers() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     let others = [
         RelayBox::start("box-2", world.store.address, &[])?,
         RelayBox::start("box-3", world.store.address, &[])?,
@@ -276,14 +288,17 @@
     ];
     for other in &others {
         other.wait_ready().await?;
-        world.relay.wait_line(&["box entry"]).await?;
+        world.relay.wait_for_log_line(&["box entry"]).await?;
     }
     world.store.set_mode(Mode::Silent);
     for other in &others {
-        other.wait_line(&["store unavailable"]).await?;
+        other.wait_for_log_line(&["store unavailable"]).await?;
     }
     world.store.set_mode(Mode::Serving);
-    world.relay.wait_line(&["store available again"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["store available again"])
+        .await?;
     // By now, entries held after the outage have expired.
     tokio::time::sleep(Duration::from_secs(4)).await;
 
@@ -297,15 +312,15 @@
 /// Waits until none of twenty calls to a box reaches the server.
 async fn wait_unused(relay: &RelayBox, server: &Server) -> anyhow::Result<()> {
     for _ in 0..60 {
-        let before = server.seen().len();
+        let before = server.received_calls().len();
         for at in 0..20 {
-            Caller::once(
+            Caller::exchange(
                 relay.front(),
                 &idempotent_call(&format!("id-{at}"), "key-1"),
             )
             .await?;
         }
-        if server.seen().len() == before {
+        if server.received_calls().len() == before {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -315,7 +330,7 @@
 
 #[tokio::test]
 async fn planned_stop_serves_open_and_new_calls() -> anyhow::Result<()> {
-    let mut world = World::start(1).await?;
+    let mut world = TestCluster::start(1).await?;
     let mut open = Caller::connect(world.relay.front()).await?;
     let mut streaming = Caller::connect(world.relay.front()).await?;
     streaming
@@ -323,42 +338,48 @@
         .await?;
 
     world.relay.signal("TERM")?;
-    world.relay.wait_line(&["planned stop begun"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["planned stop begun"])
+        .await?;
     open.send(&idempotent_call("id-2", "key-1")).await?;
-    let late = open.answer().await?;
-    let whole = streaming.answer().await?;
+    let late = open.read_response().await?;
+    let whole = streaming.read_response().await?;
 
     assert!(!world.relay.is_ready().await);
     assert_eq!(
         (late.status, late.header("connection")),
         (200, Some("close"))
     );
-    assert!(whole.whole);
+    assert!(whole.is_complete);
     let relay = &mut world.relay;
-    wait_until(|| relay.ended().is_ok_and(|code| code == Some(0))).await
+    wait_until(|| relay.exit_code().is_ok_and(|code| code == Some(0))).await
 }
 
 #[tokio::test]
 async fn planned_stop_ends_in_time_with_a_hanging_call() -> anyhow::Result<()> {
-    let mut world = World::start(1).await?;
-    world.servers[0].usually(Behaviour::Silent);
+    let mut world = TestCluster::start(1).await?;
+    world.servers[0].set_default_behaviour(Behaviour::Silent);
     let mut hanging = Caller::connect(world.relay.front()).await?;
     hanging.send(&idempotent_call("id-1", "key-1")).await?;
-    world.relay.wait_line(&["call routed"]).await?;
+    world.relay.wait_for_log_line(&["call routed"]).await?;
 
     world.relay.signal("TERM")?;
 
     let relay = &mut world.relay;
-    wait_until(|| relay.ended().is_ok_and(|code| code == Some(0))).await
+    wait_until(|| relay.exit_code().is_ok_and(|code| code == Some(0))).await
 }
 
 /// Guards against a planned stop that closes the connection of a queued prompt without a response.
 #[tokio::test]
 async fn planned_stop_refuses_a_queued_prompt() -> anyhow::Result<()> {
-    let mut world = World::start(1).await?;
+    let mut world = TestCluster::start(1).await?;
     let engine = Server::start("e-0", "engines", Duration::from_millis(20)).await?;
     world.store.put(&engine.key(), &engine.entry("ready"));
-    world.relay.wait_line(&["server entry", "e-0"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["server entry", "e-0"])
+        .await?;
     let mut queued = Caller::connect(world.relay.front()).await?;
     // More tokens than fit into the memory of the only engine, so the prompt is queued.
     let tokens = "Badgerferry-Token-Counts: 500000,100\r\n";
@@ -366,18 +387,18 @@
     queued.send(&text).await?;
 
     world.relay.signal("TERM")?;
-    let answer = queued.answer().await?;
+    let answer = queued.read_response().await?;
 
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.body.contains("box_leaving"), "{}", answer.body);
-    assert!(engine.seen().is_empty());
+    assert!(engine.received_calls().is_empty());
     let relay = &mut world.relay;
-    wait_until(|| relay.ended().is_ok_and(|code| code == Some(0))).await
+    wait_until(|| relay.exit_code().is_ok_and(|code| code == Some(0))).await
 }
 
 #[tokio::test]
 async fn restarted_box_reads_the_current_state_from_the_store() -> anyhow::Result<()> {
-    let mut world = World::start(1).await?;
+    let mut world = TestCluster::start(1).await?;
     world.store.put_routes(&desired_state(5, &["key-5"]));
 
     world.relay.restart()?;
@@ -390,7 +411,7 @@
 #[tokio::test]
 async fn restarted_box_does_not_write_its_entry_again() -> anyhow::Result<()> {
     let key = "badgerferry/boxes/box-1";
-    let mut world = World::start(1).await?;
+    let mut world = TestCluster::start(1).await?;
     let store = world.store.clone();
     wait_until(|| store.keys("badgerferry/boxes/") == [key]).await?;
     let entered_at = store.revision_of(key);
@@ -407,7 +428,7 @@
 
 #[tokio::test]
 async fn box_whose_entry_is_removed_registers_again() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let store = world.store.clone();
     let key = "badgerferry/boxes/box-1";
     wait_until(|| store.revision_of(key) > 0).await?;
@@ -421,15 +442,18 @@
 /// has to notice it in a full read.
 #[tokio::test]
 async fn box_whose_entry_is_missing_from_a_full_read_registers_again() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let store = world.store.clone();
     let key = "badgerferry/boxes/box-1";
     wait_until(|| store.revision_of(key) > 0).await?;
     store.set_mode(Mode::Reset);
-    world.relay.wait_line(&["store unavailable"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["store unavailable"])
+        .await?;
 
     store.remove(key);
-    store.forget_history();
+    store.compact_history();
     store.set_mode(Mode::Serving);
 
     wait_until(|| store.revision_of(key) > 0).await
@@ -501,36 +525,41 @@
 async fn box_registers_although_the_store_response_is_lost() -> anyhow::Result<()> {
     let store = Store::start().await?;
     store.put_routes(&desired_state(3, &["key-1"]));
-    store.lose_answers(1);
+    store.drop_responses(1);
     let relay = RelayBox::start("box-1", store.address, &[])?;
     relay.wait_ready().await?;
 
-    relay.wait_line(&["store unavailable", "no answer"]).await?;
+    relay
+        .wait_for_log_line(&["store unavailable", "no answer"])
+        .await?;
 
-    relay.wait_line(&["this box is registered"]).await?;
+    relay.wait_for_log_line(&["this box is registered"]).await?;
     wait_until(|| store.keys("badgerferry/boxes/") == ["badgerferry/boxes/box-1"]).await
 }
 
 #[tokio::test]
 async fn hangup_signal_rereads_settings_and_keeps_connections() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let mut caller = Caller::connect(world.relay.front()).await?;
 
     world.relay.signal("HUP")?;
-    world.relay.wait_line(&["settings file unchanged"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["settings file unchanged"])
+        .await?;
     caller.send(&idempotent_call("id-1", "key-1")).await?;
 
-    assert_eq!(caller.answer().await?.status, 200);
+    assert_eq!(caller.read_response().await?.status, 200);
     Ok(())
 }
 
 #[tokio::test]
 async fn metrics_are_served_in_the_prometheus_format() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     status(&world.relay, "key-1").await?;
     let address = (IpAddr::from(world.relay.ip), 9_464).into();
 
-    let page = Caller::once(address, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n").await?;
+    let page = Caller::exchange(address, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n").await?;
 
     assert_eq!(page.status, 200);
     assert!(
@@ -549,19 +578,19 @@
 
 #[tokio::test]
 async fn malformed_server_entry_disables_only_that_server() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     let broken = &world.servers[0];
 
     world.store.put(&broken.key(), &json!({"service": ["s"]}));
     let line = ["server entry unreadable", "i-0"];
-    world.relay.wait_line(&line).await?;
+    world.relay.wait_for_log_line(&line).await?;
 
     wait_unused(&world.relay, broken).await?;
     assert_eq!(status(&world.relay, "key-1").await?, 200);
     world.store.put(&broken.key(), &broken.entry("ready"));
     world
         .relay
-        .wait_line(&["server entry", "i-0", "false"])
+        .wait_for_log_line(&["server entry", "i-0", "false"])
         .await?;
     Ok(())
 }
--- a/daemon/tests/test_relay_calls.rs
+++ b/daemon/tests/test_relay_calls.rs
@@ -7,7 +7,7 @@
 use badgerferry_lib::relay::lost_calls::CallRecord;
 use badgerferry_standin::caller::Caller;
 use badgerferry_standin::caller::call;
-use badgerferry_standin::relay_box::World;
+use badgerferry_standin::relay_box::TestCluster;
 use badgerferry_standin::relay_box::wait_until;
 use badgerferry_standin::server::Behaviour;
 
@@ -32,17 +32,17 @@
 
 #[tokio::test]
 async fn call_is_forwarded_unchanged_except_for_headers_of_the_box() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let forged = "Badgerferry-Tenant: forged\r\nBadgerferry-Target-Instance: forged\r\n";
     let text = call("POST", "/once/a?b=c", "id-1", forged, "the body");
 
-    let response = Caller::once(world.relay.front(), &text).await?;
+    let response = Caller::exchange(world.relay.front(), &text).await?;
 
-    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!((response.status, response.is_complete), (200, true));
     assert_eq!(response.body, "i-0 served id-1");
     assert_eq!(response.header("badgerferry-response-seal"), Some("seal"));
-    let seen = &world.servers[0].seen()[0];
-    assert_eq!(seen.line, "POST /once/a?b=c HTTP/1.1");
+    let seen = &world.servers[0].received_calls()[0];
+    assert_eq!(seen.request_line, "POST /once/a?b=c HTTP/1.1");
     assert_eq!(seen.body, b"the body");
     assert_eq!(seen.id(), "id-1");
     assert_eq!(seen.headers["badgerferry-tenant"], "workspace-1");
@@ -58,30 +58,30 @@
 
 #[tokio::test]
 async fn unknown_routes_and_keys_are_denied() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let unknown_route = call("GET", "/nowhere/", "id-1", "", "");
     let unknown_key = repeatable_call("id-2").replace("key-1", "key-2");
 
-    let no_route = Caller::once(world.relay.front(), &unknown_route).await?;
-    let no_key = Caller::once(world.relay.front(), &unknown_key).await?;
+    let no_route = Caller::exchange(world.relay.front(), &unknown_route).await?;
+    let no_key = Caller::exchange(world.relay.front(), &unknown_key).await?;
 
     assert_eq!((no_route.status, no_key.status), (404, 401));
-    assert_eq!(world.seen(), 0);
+    assert_eq!(world.received_calls(), 0);
     Ok(())
 }
 
 #[tokio::test]
 async fn declined_call_is_sent_to_another_server() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     world
         .servers
         .iter()
-        .for_each(|server| server.next(&[Behaviour::Decline]));
-    world.servers[1].usually(Behaviour::Serve);
+        .for_each(|server| server.queue_behaviours(&[Behaviour::Decline]));
+    world.servers[1].set_default_behaviour(Behaviour::Serve);
 
     // Each server declines one call: the first call is refused by both, the second one is served.
-    let refused = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
-    let served = Caller::once(world.relay.front(), &non_repeatable_call("id-2")).await?;
+    let refused = Caller::exchange(world.relay.front(), &non_repeatable_call("id-1")).await?;
+    let served = Caller::exchange(world.relay.front(), &non_repeatable_call("id-2")).await?;
 
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
@@ -91,33 +91,33 @@
 
 #[tokio::test]
 async fn lost_non_repeatable_call_reaches_one_server_and_may_have_run() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     world
         .servers
         .iter()
-        .for_each(|server| server.usually(Behaviour::CloseUnanswered));
+        .for_each(|server| server.set_default_behaviour(Behaviour::CloseUnanswered));
 
-    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
+    let response = Caller::exchange(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
     assert_eq!(response.status, 502);
-    assert_eq!(world.seen(), 1);
+    assert_eq!(world.received_calls(), 1);
     Ok(())
 }
 
 #[tokio::test]
 async fn lost_repeatable_call_is_served_by_another_server() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
-    world.servers[0].usually(Behaviour::CloseInBody);
+    let world = TestCluster::start(2).await?;
+    world.servers[0].set_default_behaviour(Behaviour::CloseInBody);
 
     for index in 0..6 {
-        let response = Caller::once(
+        let response = Caller::exchange(
             world.relay.front(),
             &repeatable_call(&format!("id-{index}")),
         )
         .await?;
 
         assert_eq!(
-            (response.status, response.whole),
+            (response.status, response.is_complete),
             (200, true),
             "{response:?}"
         );
@@ -128,14 +128,14 @@
 
 #[tokio::test]
 async fn response_of_another_call_or_without_proof_is_not_forwarded() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     for behaviour in [Behaviour::ForeignId, Behaviour::NoProof, Behaviour::Garbage] {
         world
             .servers
             .iter()
-            .for_each(|server| server.usually(behaviour));
+            .for_each(|server| server.set_default_behaviour(behaviour));
 
-        let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
+        let response = Caller::exchange(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
         assert_eq!(response.status, 502, "{behaviour:?}");
     }
@@ -144,14 +144,14 @@
 
 #[tokio::test]
 async fn surplus_response_is_not_used_for_the_next_call() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
-    world.servers[0].usually(Behaviour::AnswerTwice);
+    let world = TestCluster::start(1).await?;
+    world.servers[0].set_default_behaviour(Behaviour::AnswerTwice);
     let mut caller = Caller::connect(world.relay.front()).await?;
 
     for index in 0..5 {
         let id = format!("id-{index}");
         caller.send(&repeatable_call(&id)).await?;
-        let response = caller.answer().await?;
+        let response = caller.read_response().await?;
 
         let own = format!("i-0 served {id}");
         assert!(
@@ -164,11 +164,11 @@
 
 #[tokio::test]
 async fn call_misdirected_to_another_server_is_retried() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
-    world.servers[0].usually(Behaviour::Misdirect);
+    let world = TestCluster::start(2).await?;
+    world.servers[0].set_default_behaviour(Behaviour::Misdirect);
 
     for index in 0..4 {
-        let response = Caller::once(
+        let response = Caller::exchange(
             world.relay.front(),
             &non_repeatable_call(&format!("id-{index}")),
         )
@@ -182,22 +182,22 @@
 #[tokio::test]
 async fn response_without_length_is_complete_when_the_connection_closes_cleanly()
 -> anyhow::Result<()> {
-    let world = World::start(1).await?;
-    world.servers[0].usually(Behaviour::Unframed);
+    let world = TestCluster::start(1).await?;
+    world.servers[0].set_default_behaviour(Behaviour::Unframed);
 
-    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
+    let response = Caller::exchange(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
-    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!((response.status, response.is_complete), (200, true));
     assert_eq!(response.body, "i-0 served id-1");
     Ok(())
 }
 
 #[tokio::test]
 async fn server_error_is_forwarded_with_status_and_proof() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
-    world.servers[0].usually(Behaviour::Fail);
+    let world = TestCluster::start(1).await?;
+    world.servers[0].set_default_behaviour(Behaviour::Fail);
 
-    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
+    let response = Caller::exchange(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
     assert_eq!(response.status, 500);
     assert_eq!(response.header("badgerferry-response-seal"), Some("seal"));
@@ -207,31 +207,31 @@
 
 #[tokio::test]
 async fn unanswered_call_fails_at_the_time_limit_of_its_route() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
-    world.servers[0].usually(Behaviour::Silent);
+    let world = TestCluster::start(1).await?;
+    world.servers[0].set_default_behaviour(Behaviour::Silent);
 
-    let response = Caller::once(world.relay.front(), &non_repeatable_call("id-1")).await?;
+    let response = Caller::exchange(world.relay.front(), &non_repeatable_call("id-1")).await?;
 
     assert_eq!(response.status, 504);
     let server = &world.servers[0];
-    wait_until(|| server.working.load(Ordering::SeqCst) == 0).await
+    wait_until(|| server.active_calls.load(Ordering::SeqCst) == 0).await
 }
 
 #[tokio::test]
 async fn stream_broken_inside_an_event_resumes_on_another_server_in_the_same_response()
 -> anyhow::Result<()> {
-    let world = World::start(3).await?;
+    let world = TestCluster::start(3).await?;
     world
         .servers
         .iter()
-        .for_each(|server| server.next(&[Behaviour::BreakAfter(2)]));
+        .for_each(|server| server.queue_behaviours(&[Behaviour::BreakAfter(2)]));
 
-    let response = Caller::once(world.relay.front(), &stream_call("id-1")).await?;
+    let response = Caller::exchange(world.relay.front(), &stream_call("id-1")).await?;
 
-    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!((response.status, response.is_complete), (200, true));
     assert_eq!(response.body, events(0..5));
     let last_event_ids: Vec<Option<String>> = (world.servers.iter())
-        .flat_map(badgerferry_standin::server::Server::seen)
+        .flat_map(badgerferry_standin::server::Server::received_calls)
         .map(|seen| seen.headers.get("last-event-id").cloned())
         .collect();
     assert_eq!(
@@ -244,15 +244,15 @@
 
 #[tokio::test]
 async fn stream_that_no_server_can_resume_is_aborted() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     world
         .servers
         .iter()
-        .for_each(|server| server.usually(Behaviour::BreakAfter(1)));
+        .for_each(|server| server.set_default_behaviour(Behaviour::BreakAfter(1)));
 
-    let response = Caller::once(world.relay.front(), &stream_call("id-1")).await?;
+    let response = Caller::exchange(world.relay.front(), &stream_call("id-1")).await?;
 
-    assert_eq!((response.status, response.whole), (200, false));
+    assert_eq!((response.status, response.is_complete), (200, false));
     assert!(
         events(0..5).starts_with(&response.body),
         "{}",
@@ -265,16 +265,16 @@
 /// it.
 #[tokio::test]
 async fn silent_stream_that_no_server_can_resume_is_not_aborted() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let path = "/stream/a";
     let text = call("POST", path, "id-1", "", "").replace("5000", "3500");
-    world.servers[0].usually(Behaviour::SilentAfter(1));
+    world.servers[0].set_default_behaviour(Behaviour::SilentAfter(1));
     let started_at = std::time::Instant::now();
 
-    let response = Caller::once(world.relay.front(), &text).await?;
+    let response = Caller::exchange(world.relay.front(), &text).await?;
 
     // The stream ends at the caller's deadline, however many attempts were made before.
-    assert!(!response.whole);
+    assert!(!response.is_complete);
     assert!(
         started_at.elapsed() >= Duration::from_millis(3_400),
         "{:?}",
@@ -285,38 +285,41 @@
 
 #[tokio::test]
 async fn server_stops_when_the_caller_disconnects() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let server = &world.servers[0];
-    server.usually(Behaviour::Silent);
+    server.set_default_behaviour(Behaviour::Silent);
     for text in [repeatable_call("id-1"), stream_call("id-2")] {
         let mut caller = Caller::connect(world.relay.front()).await?;
         caller.send(&text).await?;
-        wait_until(|| server.working.load(Ordering::SeqCst) > 0).await?;
+        wait_until(|| server.active_calls.load(Ordering::SeqCst) > 0).await?;
 
         drop(caller);
 
-        wait_until(|| server.working.load(Ordering::SeqCst) == 0).await?;
+        wait_until(|| server.active_calls.load(Ordering::SeqCst) == 0).await?;
     }
     Ok(())
 }
 
 #[tokio::test]
 async fn server_stops_when_the_caller_disconnects_during_a_stream() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let server = &world.servers[0];
-    server.usually(Behaviour::SilentAfter(2));
+    server.set_default_behaviour(Behaviour::SilentAfter(2));
     let mut caller = Caller::connect(world.relay.front()).await?;
     caller.send(&stream_call("id-1")).await?;
-    world.relay.wait_line(&["stream begins", "id-1"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["stream begins", "id-1"])
+        .await?;
 
     drop(caller);
 
-    wait_until(|| server.working.load(Ordering::SeqCst) == 0).await
+    wait_until(|| server.active_calls.load(Ordering::SeqCst) == 0).await
 }
 
 #[tokio::test]
 async fn malformed_requests_are_rejected_and_reach_no_server() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let head = "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAuthorization: Bearer key-1\r\n";
     let long = "x".repeat(70_000);
     let cases = [
@@ -350,46 +353,46 @@
         let mut caller = Caller::connect(world.relay.front()).await?;
         // The box may close the connection before the whole request is sent.
         let _ = caller.send(&text).await;
-        let response = caller.answer().await?;
+        let response = caller.read_response().await?;
 
         assert!(
             matches!(response.status, 0 | 400 | 413 | 431),
             "{what}: {response:?}"
         );
     }
-    assert_eq!(world.seen(), 0);
+    assert_eq!(world.received_calls(), 0);
     Ok(())
 }
 
 #[tokio::test]
 async fn incomplete_request_body_times_out() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let mut caller = Caller::connect(world.relay.front()).await?;
     let text = non_repeatable_call("id-1").replace("Content-Length: 8", "Content-Length: 9");
     caller.send(&text).await?;
 
-    let response = caller.answer().await?;
+    let response = caller.read_response().await?;
 
     assert_eq!(response.status, 408);
-    assert_eq!(world.seen(), 0);
+    assert_eq!(world.received_calls(), 0);
     Ok(())
 }
 
 #[tokio::test]
 async fn incomplete_heads_and_idle_connections_are_closed() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let mut slow = Caller::connect(world.relay.front()).await?;
     let mut idle = Caller::connect(world.relay.front()).await?;
     slow.send("GET /again/a HTTP/1.1\r\nHost:").await?;
 
-    assert!(slow.closes().await?);
-    assert!(idle.closes().await?);
+    assert!(slow.wait_for_close().await?);
+    assert!(idle.wait_for_close().await?);
     Ok(())
 }
 
 #[tokio::test]
 async fn pipelined_calls_are_answered_in_order() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     let mut caller = Caller::connect(world.relay.front()).await?;
     caller
         .send(&format!(
@@ -399,7 +402,7 @@
         ))
         .await?;
 
-    let (first, second) = (caller.answer().await?, caller.answer().await?);
+    let (first, second) = (caller.read_response().await?, caller.read_response().await?);
 
     assert!(first.body.ends_with("served id-1"), "{first:?}");
     assert!(second.body.ends_with("served id-2"), "{second:?}");
@@ -408,15 +411,15 @@
 
 #[tokio::test]
 async fn chunked_body_reaches_the_server_complete() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let text = "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAuthorization: Bearer key-1\r\n\
                 Badgerferry-Attempt-Id: id-1\r\nTransfer-Encoding: chunked\r\n\r\n\
                 3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n";
 
-    let response = Caller::once(world.relay.front(), text).await?;
+    let response = Caller::exchange(world.relay.front(), text).await?;
 
     assert_eq!(response.status, 200);
-    assert_eq!(world.servers[0].seen()[0].body, b"abcdefg");
+    assert_eq!(world.servers[0].received_calls()[0].body, b"abcdefg");
     Ok(())
 }
 
@@ -424,11 +427,17 @@
 /// `CallRecord`.
 #[tokio::test]
 async fn call_end_line_contains_the_latencies_of_the_call() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
-    Caller::once(world.relay.front(), &stream_call("id-1")).await?;
-    Caller::once(world.relay.front(), &repeatable_call("id-2")).await?;
-    world.relay.wait_line(&[CALL_END_MESSAGE, "id-1"]).await?;
-    world.relay.wait_line(&[CALL_END_MESSAGE, "id-2"]).await?;
+    let world = TestCluster::start(1).await?;
+    Caller::exchange(world.relay.front(), &stream_call("id-1")).await?;
+    Caller::exchange(world.relay.front(), &repeatable_call("id-2")).await?;
+    world
+        .relay
+        .wait_for_log_line(&[CALL_END_MESSAGE, "id-1"])
+        .await?;
+    world
+        .relay
+        .wait_for_log_line(&[CALL_END_MESSAGE, "id-2"])
+        .await?;
 
     let log = world.relay.log();
     let line = |id: &str| -> anyhow::Result<CallRecord> {
@@ -447,11 +456,11 @@
 
 #[tokio::test]
 async fn unknown_response_header_is_logged_once() {
-    let world = World::start(1).await.expect("world starts");
+    let world = TestCluster::start(1).await.expect("world starts");
     world.servers[0].add_header("Server-Mood", "tired");
     for index in 0..3 {
         let text = call("POST", "/again/a", &format!("call-{index}"), "", "");
-        let response = Caller::once(world.relay.front(), &text).await;
+        let response = Caller::exchange(world.relay.front(), &text).await;
         let response = response.expect("response");
         assert_eq!(
             response.header("server-mood"),
--- a/daemon/tests/test_relay_crashes.rs
+++ b/daemon/tests/test_relay_crashes.rs
@@ -3,10 +3,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use badgerferry_standin::caller::Answer;
 use badgerferry_standin::caller::Caller;
+use badgerferry_standin::caller::RawResponse;
 use badgerferry_standin::caller::call;
-use badgerferry_standin::crashes::Crashes;
+use badgerferry_standin::crashes::CrashRule;
 use badgerferry_standin::relay_box::RelayBox;
 use badgerferry_standin::relay_box::desired_state;
 use badgerferry_standin::server::Behaviour;
@@ -46,7 +46,7 @@
     async fn start_with(
         boxes: usize,
         servers: usize,
-        configure: impl Fn(Crashes) -> Crashes,
+        configure: impl Fn(CrashRule) -> CrashRule,
     ) -> anyhow::Result<Self> {
         let store = Store::start().await?;
         store.put_routes(&desired_state(3, &["key-1"]));
@@ -54,7 +54,11 @@
         for index in 0..servers {
             let name = format!("i-{index}");
             let server = Server::start(&name, "boards", Duration::from_millis(20)).await?;
-            server.crash_by(configure(Crashes::by(CRASHING_BODY, RESTART_DELAY, &store)));
+            server.set_crash_rule(configure(CrashRule::on_body(
+                CRASHING_BODY,
+                RESTART_DELAY,
+                &store,
+            )));
             store.put(&server.key(), &server.entry("ready"));
             started.push(server);
         }
@@ -70,7 +74,9 @@
         }
         for index in 1..boxes {
             let name = format!("box-{index}");
-            fleet.boxes[0].wait_line(&["box entry", &name]).await?;
+            fleet.boxes[0]
+                .wait_for_log_line(&["box entry", &name])
+                .await?;
         }
         // The other boxes query the box list once they hear an unknown box.
         tokio::time::sleep(DISCOVERY_TIME).await;
@@ -85,12 +91,12 @@
     }
 
     fn crash_count(&self) -> usize {
-        self.servers.iter().map(Server::lives_ended).sum()
+        self.servers.iter().map(Server::times_crashed).sum()
     }
 
     /// Number of requests with `CRASHING_BODY` that reached a server.
     fn crashing_sends(&self) -> usize {
-        let seen = self.servers.iter().flat_map(Server::seen);
+        let seen = self.servers.iter().flat_map(Server::received_calls);
         seen.filter(|seen| seen.body == CRASHING_BODY.as_bytes())
             .count()
     }
@@ -100,12 +106,12 @@
     }
 }
 
-async fn stream(relay_box: &RelayBox, id: &str, body: &str) -> anyhow::Result<Answer> {
-    Caller::once(relay_box.front(), &call("POST", "/stream/a", id, "", body)).await
+async fn stream(relay_box: &RelayBox, id: &str, body: &str) -> anyhow::Result<RawResponse> {
+    Caller::exchange(relay_box.front(), &call("POST", "/stream/a", id, "", body)).await
 }
 
 async fn assert_at_most_three_crashes(
-    configure: impl Fn(Crashes) -> Crashes,
+    configure: impl Fn(CrashRule) -> CrashRule,
 ) -> anyhow::Result<()> {
     let fleet = Fleet::start_with(4, 12, configure).await?;
 
@@ -134,7 +140,7 @@
     );
     for (index, relay_box) in fleet.boxes.iter().enumerate() {
         let other = stream(relay_box, &format!("other-{index}"), "another prompt").await?;
-        assert_eq!((other.status, other.whole), (200, true), "{other:?}");
+        assert_eq!((other.status, other.is_complete), (200, true), "{other:?}");
     }
     Ok(())
 }
@@ -151,7 +157,8 @@
 
 #[tokio::test]
 async fn crash_is_detected_when_the_server_closes_new_connections() -> anyhow::Result<()> {
-    assert_at_most_three_crashes(|crashes| crashes.lingering(LINGER_TIME).closing()).await
+    assert_at_most_three_crashes(|crashes| crashes.lingering(LINGER_TIME).closing_new_connections())
+        .await
 }
 
 /// Guards against a quarantine that does not reach a box without live peers, or a box that starts
@@ -159,7 +166,7 @@
 #[tokio::test]
 async fn partitioned_and_newly_started_boxes_refuse_quarantined_requests() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(2, 12).await?;
-    let partitioned_store = fleet.store.door_without(BOX_ENTRIES).await?;
+    let partitioned_store = fleet.store.listener_without_prefix(BOX_ENTRIES).await?;
     fleet.add_box("box-alone", &partitioned_store).await?;
     for round in 0..4 {
         for (index, relay_box) in fleet.boxes[..2].iter().enumerate() {
@@ -281,12 +288,12 @@
             "",
             CRASHING_BODY,
         );
-        Caller::once(fleet.boxes[round % 2].front(), &request).await?;
+        Caller::exchange(fleet.boxes[round % 2].front(), &request).await?;
     }
     let sends_before = fleet.crashing_sends();
 
     let request = call("POST", "/once/a", "crashing-last", "", CRASHING_BODY);
-    let last = Caller::once(fleet.boxes[0].front(), &request).await?;
+    let last = Caller::exchange(fleet.boxes[0].front(), &request).await?;
 
     assert_eq!(fleet.crash_count(), MAX_CRASHES, "logs:\n{}", fleet.logs());
     assert_eq!((last.status, fleet.crashing_sends()), (503, sends_before));
@@ -300,7 +307,9 @@
 async fn crashes_during_responses_without_length_count() -> anyhow::Result<()> {
     let fleet = Fleet::start(2, 8).await?;
     for server in &fleet.servers {
-        server.crash_by(Crashes::by(CRASHING_BODY, RESTART_DELAY, &fleet.store).unframed());
+        server.set_crash_rule(
+            CrashRule::on_body(CRASHING_BODY, RESTART_DELAY, &fleet.store).unframed(),
+        );
     }
 
     for round in 0..6 {
@@ -323,20 +332,20 @@
     let fleet = Fleet::start(1, 4).await?;
     let (staying, leaving) = fleet.servers.split_last().expect("servers");
     for server in leaving {
-        server.say_leaving(Some("1"));
-        server.usually(Behaviour::SilentAfter(1));
+        server.announce_leaving(Some("1"));
+        server.set_default_behaviour(Behaviour::SilentAfter(1));
     }
     let body = "a prompt that servers leave under";
     let crash_leaving = async {
         for _ in 0..200 {
             tokio::time::sleep(Duration::from_millis(30)).await;
             let is_running = |server: &&Server| {
-                server.lives_ended() == 0 && server.working.load(Ordering::SeqCst) > 0
+                server.times_crashed() == 0 && server.active_calls.load(Ordering::SeqCst) > 0
             };
             if let Some(server) = leaving.iter().find(is_running) {
                 // Crashes that are close together would count as one.
                 tokio::time::sleep(CRASH_SPACING).await;
-                server.usually(Behaviour::Serve);
+                server.set_default_behaviour(Behaviour::Serve);
                 server.crash();
             }
         }
@@ -362,6 +371,6 @@
             fleet.logs()
         );
     }
-    assert_eq!(staying.lives_ended(), 0);
+    assert_eq!(staying.times_crashed(), 0);
     Ok(())
 }
--- a/daemon/tests/test_relay_eras.rs
+++ b/daemon/tests/test_relay_eras.rs
@@ -5,7 +5,7 @@
 use badgerferry_standin::caller::Caller;
 use badgerferry_standin::caller::call;
 use badgerferry_standin::relay_box::RelayBox;
-use badgerferry_standin::relay_box::World;
+use badgerferry_standin::relay_box::TestCluster;
 use badgerferry_standin::relay_box::desired_state;
 use badgerferry_standin::relay_box::wait_until;
 use badgerferry_standin::server::Server;
@@ -17,7 +17,7 @@
 
 async fn status(relay: &RelayBox, key: &str) -> anyhow::Result<u16> {
     let request = call("GET", "/again/a", "id", "", "").replace("key-1", key);
-    Ok(Caller::once(relay.front(), &request).await?.status)
+    Ok(Caller::exchange(relay.front(), &request).await?.status)
 }
 
 /// Waits until a key is accepted, for at most `MAX_UPDATE_TIME`.
@@ -44,16 +44,16 @@
 /// Backs up the store, writes versions up to 9, makes it unavailable and restores the backup, which
 /// has version 3. The operator then writes version 9 again.
 async fn restore_store(store: &Store, boxes: &[&RelayBox]) -> anyhow::Result<()> {
-    store.keep_copy();
+    store.take_backup();
     write_versions(store, 5..=9);
     for relay in boxes {
         wait_accepted(relay, "key-9").await?;
     }
     store.set_mode(Mode::Reset);
     for relay in boxes {
-        relay.wait_line(&["store unavailable"]).await?;
+        relay.wait_for_log_line(&["store unavailable"]).await?;
     }
-    store.return_from_copy();
+    store.restore_backup();
     write_versions(store, 9..=9);
     store.set_mode(Mode::Serving);
     Ok(())
@@ -61,9 +61,12 @@
 
 #[tokio::test]
 async fn version_at_a_reused_revision_takes_effect_in_time() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     restore_store(&world.store, &[&world.relay]).await?;
-    world.relay.wait_line(&["store available again"]).await?;
+    world
+        .relay
+        .wait_for_log_line(&["store available again"])
+        .await?;
 
     write_versions(&world.store, 10..=10);
 
@@ -76,14 +79,14 @@
 /// reveals the restore.
 #[tokio::test]
 async fn restore_visible_only_by_era_hides_no_version() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let store = &world.store;
-    store.keep_copy();
+    store.take_backup();
     write_versions(store, 5..=9);
     wait_accepted(&world.relay, "key-9").await?;
     let seen = store.revision();
 
-    store.return_from_copy();
+    store.restore_backup();
     write_versions(store, 9..=10);
     while store.revision() <= seen {
         store.put("other/key", &serde_json::json!(1));
@@ -94,7 +97,7 @@
 
 #[tokio::test]
 async fn version_takes_effect_at_all_boxes_after_two_restores() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let others = [
         RelayBox::start("box-2", world.store.address, &[])?,
         RelayBox::start("box-3", world.store.address, &[])?,
@@ -106,7 +109,7 @@
         relay.wait_ready().await?;
     }
     restore_store(&world.store, &boxes).await?;
-    world.store.return_from_copy();
+    world.store.restore_backup();
     write_versions(&world.store, 9..=9);
 
     write_versions(&world.store, 10..=10);
@@ -123,9 +126,9 @@
     write_versions(&store, 3..=3);
     let server = Server::start("i-0", "boards", Duration::from_millis(20)).await?;
     store.put(&server.key(), &server.entry("ready"));
-    store.keep_copy();
+    store.take_backup();
     write_versions(&store, 4..=9);
-    store.return_between_pages(1);
+    store.restore_between_pages(1);
     let relay = RelayBox::start("box-1", store.address, &[])?;
     wait_until(|| store.era() == 1).await?;
 
@@ -141,12 +144,12 @@
     write_versions(&store, 3..=3);
     let server = Server::start("i-0", "boards", Duration::from_millis(20)).await?;
     store.put(&server.key(), &server.entry("ready"));
-    store.keep_copy();
+    store.take_backup();
     let relay = RelayBox::start("box-1", store.address, &[])?;
     wait_until(|| store.revision_of(key) > 0).await?;
     let seen = store.revision();
 
-    store.return_from_copy();
+    store.restore_backup();
     while store.revision() <= seen {
         store.put("other/key", &serde_json::json!(1));
     }
@@ -157,20 +160,20 @@
 
 #[tokio::test]
 async fn server_missing_from_a_restored_store_stays_in_use() -> anyhow::Result<()> {
-    let world = World::start(1).await?;
+    let world = TestCluster::start(1).await?;
     let store = &world.store;
     store.remove("servers/i-0");
-    store.keep_copy();
+    store.take_backup();
     store.put("servers/i-0", &world.servers[0].entry("ready"));
     wait_until(|| world.relay.log().contains("server entry removed")).await?;
     while status(&world.relay, "key-1").await? != 200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    store.return_from_copy();
+    store.restore_backup();
     world
         .relay
-        .wait_line(&["store read in full", "\"era\":1"])
+        .wait_for_log_line(&["store read in full", "\"era\":1"])
         .await?;
     let before = status(&world.relay, "key-1").await?;
     store.put("servers/i-0", &world.servers[0].entry("ready"));
@@ -182,30 +185,30 @@
 
 #[tokio::test]
 async fn departed_server_listed_by_a_restored_store_is_not_used() -> anyhow::Result<()> {
-    let world = World::start(2).await?;
+    let world = TestCluster::start(2).await?;
     let (store, gone) = (&world.store, &world.servers[0]);
-    store.keep_copy();
+    store.take_backup();
     store.put(&gone.key(), &gone.entry("draining"));
     world
         .relay
-        .wait_line(&["server entry", "\"leaving\":true"])
+        .wait_for_log_line(&["server entry", "\"leaving\":true"])
         .await?;
     store.remove(&gone.key());
     world
         .relay
-        .wait_line(&["server entry removed", "i-0"])
+        .wait_for_log_line(&["server entry removed", "i-0"])
         .await?;
 
-    store.return_from_copy();
+    store.restore_backup();
     world
         .relay
-        .wait_line(&["store read in full", "\"era\":1"])
+        .wait_for_log_line(&["store read in full", "\"era\":1"])
         .await?;
 
-    let before = gone.seen().len();
+    let before = gone.received_calls().len();
     for _ in 0..20 {
         assert_eq!(status(&world.relay, "key-1").await?, 200);
     }
-    assert_eq!(gone.seen().len(), before);
+    assert_eq!(gone.received_calls().len(), before);
     Ok(())
 }
--- a/daemon/tests/test_relay_leaving.rs
+++ b/daemon/tests/test_relay_leaving.rs
@@ -6,7 +6,7 @@
 
 use badgerferry_standin::caller::Caller;
 use badgerferry_standin::caller::call;
-use badgerferry_standin::crashes::Crashes;
+use badgerferry_standin::crashes::CrashRule;
 use badgerferry_standin::relay_box::RelayBox;
 use badgerferry_standin::relay_box::wait_until;
 use badgerferry_standin::server::Behaviour;
@@ -27,7 +27,10 @@
 /// Counts calls that arrived after all boxes must be informed. The response to the first call after
 /// `since` is the first notice.
 fn late_calls(server: &Server, since: Instant) -> usize {
-    let times = server.seen().into_iter().filter_map(|seen| seen.at);
+    let times = server
+        .received_calls()
+        .into_iter()
+        .filter_map(|seen| seen.received_at);
     let times: Vec<Instant> = times.filter(|at| *at >= since).collect();
     let informed_at = times.first().map(|first| *first + PROPAGATION_TIME);
     times.iter().filter(|at| Some(**at) > informed_at).count()
@@ -43,7 +46,7 @@
     fleet.call_all(path, extra, WARM_UP).await;
     fleet.store.set_mode(Mode::Silent);
     let leaving = fleet.busiest();
-    leaving.say_leaving(Some("1"));
+    leaving.announce_leaving(Some("1"));
     let since = Instant::now();
 
     let answers = fleet.call_all(path, extra, OBSERVATION_TIME).await;
@@ -82,7 +85,7 @@
     let fleet = Fleet::start(2, 3, "boards").await.expect("a fleet");
     fleet.store.set_mode(Mode::Silent);
     for server in &fleet.servers {
-        server.say_leaving(Some("1"));
+        server.announce_leaving(Some("1"));
     }
     fleet.call_all("/again/a", "", WARM_UP).await;
 
@@ -99,22 +102,26 @@
 #[tokio::test]
 async fn stream_on_a_leaving_server_completes() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
-    fleet.servers[0].say_leaving(Some("1"));
+    fleet.servers[0].announce_leaving(Some("1"));
     let request = call("POST", "/stream/a", "stream", "", "a prompt");
 
-    let answer = Caller::once(fleet.boxes[0].front(), &request).await;
+    let answer = Caller::exchange(fleet.boxes[0].front(), &request).await;
 
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.is_complete, "{answer:?}");
 }
 
 #[tokio::test]
 async fn restarted_server_of_the_same_name_gets_calls() {
     let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
-    server.crash_by(Crashes::by("", Duration::from_millis(300), &fleet.store));
-    server.say_leaving(Some("1"));
+    server.set_crash_rule(CrashRule::on_body(
+        "",
+        Duration::from_millis(300),
+        &fleet.store,
+    ));
+    server.announce_leaving(Some("1"));
     fleet.call_all("/again/a", "", WARM_UP).await;
 
     server.crash();
@@ -125,7 +132,7 @@
         while status != 200 && at < 200 {
             at += 1;
             let request = call("POST", "/again/a", &format!("again-{at}"), "", "");
-            let answer = Caller::once(relay_box.front(), &request)
+            let answer = Caller::exchange(relay_box.front(), &request)
                 .await
                 .unwrap_or_default();
             status = answer.status;
@@ -139,8 +146,8 @@
 async fn box_started_during_store_outage_learns_leaving_servers() {
     let mut fleet = Fleet::start(1, 3, "boards").await.expect("a fleet");
     let leaving = fleet.servers[0].clone();
-    leaving.say_leaving(Some("1"));
-    while !leaving.seen().iter().any(|seen| seen.ran) {
+    leaving.announce_leaving(Some("1"));
+    while !leaving.received_calls().iter().any(|seen| seen.ran) {
         fleet.call_all("/again/a", "", WARM_UP).await;
     }
     fleet.store.set_mode(Mode::Silent);
@@ -152,7 +159,10 @@
 
     let answers = fleet.call_all("/again/a", "", OBSERVATION_TIME).await;
 
-    let times = leaving.seen().into_iter().filter_map(|seen| seen.at);
+    let times = leaving
+        .received_calls()
+        .into_iter()
+        .filter_map(|seen| seen.received_at);
     assert_eq!(
         times.filter(|at| *at >= since).count(),
         0,
@@ -166,7 +176,7 @@
 async fn malformed_leaving_header_is_ignored() {
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
     for malformed in ["0", "", "yes", "11"] {
-        fleet.servers[0].say_leaving(Some(malformed));
+        fleet.servers[0].announce_leaving(Some(malformed));
 
         let answers = fleet.call_all("/again/a", "", WARM_UP).await;
 
@@ -189,14 +199,14 @@
 async fn leaving_header_of_another_server_is_ignored() {
     let fleet = Fleet::start(1, 2, "boards").await.expect("a fleet");
     for server in &fleet.servers {
-        server.say_leaving(Some("1"));
-        server.next(&[Behaviour::ForeignId]);
+        server.announce_leaving(Some("1"));
+        server.queue_behaviours(&[Behaviour::ForeignId]);
     }
     let request = call("POST", "/again/a", "first", "", "");
     // These responses are unusable; the test checks that the servers are used afterwards.
-    let _ = Caller::once(fleet.boxes[0].front(), &request).await;
+    let _ = Caller::exchange(fleet.boxes[0].front(), &request).await;
     for server in &fleet.servers {
-        server.say_leaving(None);
+        server.announce_leaving(None);
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
 
--- a/daemon/tests/test_relay_limits.rs
+++ b/daemon/tests/test_relay_limits.rs
@@ -39,7 +39,7 @@
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
     fleet.call_all(path, extra, ENFORCEMENT_DELAY).await;
     let busiest = fleet.busiest();
-    busiest.name_limit(Some("1"));
+    busiest.announce_limit(Some("1"));
     fleet.call_all(path, extra, ENFORCEMENT_DELAY).await;
     let from = Instant::now();
 
@@ -78,7 +78,7 @@
     let limit = 4.0;
     let fleet = Fleet::start(4, 3, "boards").await.expect("a fleet");
     for server in &fleet.servers {
-        server.name_limit(Some("4"));
+        server.announce_limit(Some("4"));
     }
     fleet.call_all("/again/a", "", ENFORCEMENT_DELAY * 2).await;
     let from = Instant::now();
@@ -113,9 +113,9 @@
 async fn lifted_limit_ends_at_all_boxes() {
     let fleet = Fleet::start(3, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
-    server.name_limit(Some("2"));
+    server.announce_limit(Some("2"));
     fleet.call_all("/again/a", "", ENFORCEMENT_DELAY).await;
-    server.name_limit(None);
+    server.announce_limit(None);
 
     for relay_box in &fleet.boxes {
         let limit_lifted = async || {
@@ -140,7 +140,7 @@
     let fleet = Fleet::start(1, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
     for bad in ["", "-1", "NaN", "much"] {
-        server.name_limit(Some(bad));
+        server.announce_limit(Some(bad));
 
         let answers = fleet
             .call_all("/again/a", "", Duration::from_millis(300))
@@ -165,18 +165,18 @@
 async fn started_stream_waits_for_quota_of_a_limited_server() {
     let fleet = Fleet::start(2, 1, "boards").await.expect("a fleet");
     let server = &fleet.servers[0];
-    server.name_limit(Some("3"));
+    server.announce_limit(Some("3"));
     fleet.call_all("/again/a", "", ENFORCEMENT_DELAY).await;
     let front = fleet.boxes[0].front();
     let duration = Duration::from_secs(8);
     let until = Instant::now() + duration;
     let streams = async {
         let mut started = Vec::new();
-        server.usually(Behaviour::BreakAfter(3));
+        server.set_default_behaviour(Behaviour::BreakAfter(3));
         for at in 0.. {
             let request = call("POST", "/stream/a", &format!("stream-{at}"), "", "a prompt");
             let sent = Instant::now();
-            let answer = Caller::once(front, &request).await.unwrap_or_default();
+            let answer = Caller::exchange(front, &request).await.unwrap_or_default();
             let took = sent.elapsed();
             assert!(
                 took < CALL_TIMEOUT,
@@ -198,6 +198,6 @@
 
     assert!(!started.is_empty(), "no stream began; {}", fleet.logs());
     for answer in started {
-        assert!(answer.whole, "{answer:?}; {}", fleet.logs());
+        assert!(answer.is_complete, "{answer:?}; {}", fleet.logs());
     }
 }
--- a/daemon/tests/test_relay_reservations.rs
+++ b/daemon/tests/test_relay_reservations.rs
@@ -7,30 +7,30 @@
 use badgerferry_lib::relay::request_fingerprint::FingerprintInput;
 use badgerferry_lib::relay::request_fingerprint::RequestFingerprint;
 use badgerferry_platform::store::Store;
-use badgerferry_standin::caller::Answer;
 use badgerferry_standin::caller::Caller;
+use badgerferry_standin::caller::RawResponse;
 use badgerferry_standin::caller::call;
-use badgerferry_standin::relay_box::World;
+use badgerferry_standin::relay_box::TestCluster;
 use badgerferry_standin::relay_box::wait_until;
 use badgerferry_standin::server::Server;
 
 /// A box and engines of 100,000 tokens each, one of them reserved for short calls.
-async fn engines(count: usize) -> anyhow::Result<(World, Vec<Server>)> {
+async fn engines(count: usize) -> anyhow::Result<(TestCluster, Vec<Server>)> {
     crate::engines::world(count, Duration::from_millis(5)).await
 }
 
 /// Sends a prompt that needs the memory of three engines.
-async fn send_prompt(world: &World) -> anyhow::Result<Answer> {
+async fn send_prompt(world: &TestCluster) -> anyhow::Result<RawResponse> {
     send_prompt_with_body(world, "").await
 }
 
-async fn send_prompt_with_body(world: &World, body: &str) -> anyhow::Result<Answer> {
+async fn send_prompt_with_body(world: &TestCluster, body: &str) -> anyhow::Result<RawResponse> {
     let tokens = "Badgerferry-Token-Counts: 250000,100\r\n";
     let text = call("POST", "/long/stream", "id-1", tokens, body);
     let text = text.replace("Ms: 5000", "Ms: 20000");
     let mut caller = Caller::connect(world.relay.front()).await?;
     caller.send(&text).await?;
-    caller.answer().await
+    caller.read_response().await
 }
 
 fn order_ids(engine: &Server, operation: &str) -> Vec<String> {
@@ -71,7 +71,10 @@
     let response = send_prompt(&world).await?;
 
     assert_eq!(response.status, 200, "{response:?}");
-    let ran: usize = engines.iter().map(|engine| engine.seen().len()).sum();
+    let ran: usize = engines
+        .iter()
+        .map(|engine| engine.received_calls().len())
+        .sum();
     assert_eq!(ran, 1);
     wait_until(|| all_reservations_are_released(&engines)).await
 }
@@ -94,13 +97,13 @@
     let quarantine = async {
         world
             .relay
-            .wait_line(&["memory reservation requested"])
+            .wait_for_log_line(&["memory reservation requested"])
             .await?;
         let mut store = Store::new(world.store.address, Duration::from_secs(1));
         store
             .put_suspects(&[(fingerprint, StoredFact::Quarantined)])
             .await?;
-        world.relay.wait_line(&["work is held"]).await?;
+        world.relay.wait_for_log_line(&["work is held"]).await?;
         for engine in &engines {
             engine.refuse_reservations(0);
         }
@@ -113,7 +116,11 @@
     let response = response?;
     assert_eq!(response.status, 503, "{response:?}");
     assert!(response.body.contains("ends_servers"), "{response:?}");
-    assert!(engines.iter().all(|engine| engine.seen().is_empty()));
+    assert!(
+        engines
+            .iter()
+            .all(|engine| engine.received_calls().is_empty())
+    );
     wait_until(|| all_reservations_are_released(&engines)).await
 }
 
--- a/daemon/tests/test_relay_shedding.rs
+++ b/daemon/tests/test_relay_shedding.rs
@@ -7,7 +7,7 @@
 use badgerferry_standin::caller::call;
 use badgerferry_standin::relay_box::wait_until;
 use badgerferry_standin::server::Behaviour;
-use badgerferry_standin::server::Seen;
+use badgerferry_standin::server::ReceivedCall;
 use badgerferry_standin::server::Server;
 
 use crate::relay_fleet::Fleet;
@@ -25,17 +25,17 @@
 const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
 /// Box index in the ID of a call of [`Fleet::press`].
-fn box_of(seen: &Seen) -> Option<&str> {
+fn box_of(seen: &ReceivedCall) -> Option<&str> {
     seen.id().split('-').nth(1)
 }
 
 /// Maximum number of calls of one box in a pause that the server requested from it.
 fn max_calls_in_pause(server: &Server) -> usize {
-    let seen = server.seen();
-    let within = |rejected: &Seen| {
-        let rejected_at = rejected.at.expect("a time");
+    let seen = server.received_calls();
+    let within = |rejected: &ReceivedCall| {
+        let rejected_at = rejected.received_at.expect("a time");
         let calls_of_box = seen.iter().filter(|call| box_of(call) == box_of(rejected));
-        let times = calls_of_box.filter_map(|call| call.at);
+        let times = calls_of_box.filter_map(|call| call.received_at);
         times
             .filter(|at| *at > rejected_at + IN_FLIGHT_TIME && *at < rejected_at + PAUSE)
             .count()
@@ -54,7 +54,7 @@
     let fleet = Fleet::start(boxes, 6, service).await.expect("a fleet");
     fleet.call_all(path, extra, WARM_UP).await;
     let mut servers: Vec<&Server> = fleet.servers.iter().collect();
-    servers.sort_by_key(|server| std::cmp::Reverse(server.seen().len()));
+    servers.sort_by_key(|server| std::cmp::Reverse(server.received_calls().len()));
     servers.truncate(shedding);
     for server in &servers {
         server.shed(Some(PAUSE_TEXT));
@@ -135,15 +135,15 @@
     server.shed(Some("0.1"));
     let front = fleet.boxes[0].front();
     let text = |id: &str| call("POST", "/again/a", id, "", "a prompt");
-    let first = Caller::once(front, &text("call-0-1")).await;
+    let first = Caller::exchange(front, &text("call-0-1")).await;
     assert_eq!(first.expect("an answer").status, 503);
     server.shed(None);
 
-    let second = Caller::once(front, &text("call-0-2")).await;
+    let second = Caller::exchange(front, &text("call-0-2")).await;
 
     assert_eq!(second.expect("an answer").status, 200, "{}", fleet.logs());
-    let seen = server.seen();
-    let times: Vec<Instant> = seen.iter().filter_map(|seen| seen.at).collect();
+    let seen = server.received_calls();
+    let times: Vec<Instant> = seen.iter().filter_map(|seen| seen.received_at).collect();
     assert!(times[1] - times[0] >= Duration::from_millis(95));
 }
 
@@ -155,7 +155,7 @@
 
     let answers = fleet.call_all("/again/a", "", Duration::from_secs(4)).await;
 
-    let rejected = server.seen().len();
+    let rejected = server.received_calls().len();
     assert!(
         (2..=9).contains(&rejected),
         "{rejected} calls to the shedding server"
@@ -199,18 +199,23 @@
         unreachable!("three servers")
     };
     shedding.shed(Some("30"));
-    while shedding.seen().is_empty() {
+    while shedding.received_calls().is_empty() {
         fleet.call_all("/again/a", "", WARM_UP).await;
     }
-    let calls_before = shedding.seen().len();
-    others[0].usually(Behaviour::BreakAfter(2));
+    let calls_before = shedding.received_calls().len();
+    others[0].set_default_behaviour(Behaviour::BreakAfter(2));
     for at in 0..10 {
         let text = call("POST", "/stream/a", &format!("stream-{at}"), "", "a prompt");
 
-        let answer = Caller::once(fleet.boxes[0].front(), &text).await;
+        let answer = Caller::exchange(fleet.boxes[0].front(), &text).await;
 
         let answer = answer.expect("an answer");
-        assert!(answer.whole, "{answer:?}; {}", fleet.logs());
+        assert!(answer.is_complete, "{answer:?}; {}", fleet.logs());
     }
-    assert_eq!(shedding.seen().len(), calls_before, "{}", fleet.logs());
+    assert_eq!(
+        shedding.received_calls().len(),
+        calls_before,
+        "{}",
+        fleet.logs()
+    );
 }
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -82,14 +82,14 @@
     open: &mut Option<Caller>,
     front: SocketAddr,
     text: &str,
-) -> Option<badgerferry_standin::caller::Answer> {
+) -> Option<badgerferry_standin::caller::RawResponse> {
     let mut caller = match open.take() {
         Some(caller) => caller,
         None => timeout(LAST, Caller::connect(front)).await.ok()?.ok()?,
     };
     caller.send(text).await.ok()?;
-    let answer = timeout(LAST, caller.answer()).await.ok()?.ok()?;
-    let closes = answer.header("connection") == Some("close") || !answer.whole;
+    let answer = timeout(LAST, caller.read_response()).await.ok()?.ok()?;
+    let closes = answer.header("connection") == Some("close") || !answer.is_complete;
     if !closes {
         *open = Some(caller);
     }
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use badgerferry_standin::caller::Answer;
+use badgerferry_standin::caller::RawResponse;
 use badgerferry_standin::server::Server;
 
 /// What was asked.
@@ -31,7 +31,7 @@
     /// What was asked.
     pub kind: Kind,
     /// What came; none where there was no connection.
-    pub answer: Option<Answer>,
+    pub answer: Option<RawResponse>,
     /// How long it took.
     pub took: Duration,
     /// How long the caller would wait.
@@ -49,10 +49,10 @@
 pub fn check(rows: &[Row], servers: &[Server]) -> anyhow::Result<()> {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     let sent: BTreeSet<&str> = rows.iter().map(|row| row.id.as_str()).collect();
-    for seen in servers.iter().flat_map(Server::seen) {
+    for seen in servers.iter().flat_map(Server::received_calls) {
         let id = seen.id();
         let known = id.starts_with("recovery-") || sent.contains(id);
-        let line = &seen.line;
+        let line = &seen.request_line;
         anyhow::ensure!(known, "a server got call {id}, which nobody sent: {line}");
         *runs.entry(id.to_owned()).or_default() += usize::from(seen.ran);
     }
@@ -114,9 +114,9 @@
 ) -> anyhow::Result<()> {
     let most = callers + IN_A_PAUSE * box_lives;
     for server in servers {
-        let seen = server.seen();
-        let asked = seen.iter().filter(|seen| seen.asked_for_pause);
-        let times: Vec<Instant> = asked.filter_map(|seen| seen.at).collect();
+        let seen = server.received_calls();
+        let asked = seen.iter().filter(|seen| seen.sent_retry_after);
+        let times: Vec<Instant> = asked.filter_map(|seen| seen.received_at).collect();
         for (at, begin) in times.iter().enumerate() {
             let got = times[at..].partition_point(|other| *other < *begin + pause);
             anyhow::ensure!(
@@ -135,7 +135,7 @@
 ///
 /// More of them ended.
 pub fn check_lives(servers: &[Server], box_lives: usize) -> anyhow::Result<()> {
-    let lives: usize = servers.iter().map(Server::lives_ended).sum();
+    let lives: usize = servers.iter().map(Server::times_crashed).sum();
     let most = MOST_LIVES * box_lives;
     anyhow::ensure!(
         lives <= most,
@@ -146,7 +146,7 @@
 
 /// Whether a piece of work has ended as many servers as hold it.
 pub fn is_held(servers: &[Server]) -> bool {
-    servers.iter().map(Server::lives_ended).sum::<usize>() >= MOST_LIVES
+    servers.iter().map(Server::times_crashed).sum::<usize>() >= MOST_LIVES
 }
 
 fn check_row(row: &Row, ran: usize, events: u64) -> anyhow::Result<()> {
@@ -169,12 +169,12 @@
             "call {id} was told that it has not run, and it ran {ran} times"
         ),
         (200, Kind::Stream | Kind::Fragile) => check_stream(id, answer, events)?,
-        (200, Kind::Deadly) => anyhow::ensure!(!answer.whole, "call {id} can't be served"),
+        (200, Kind::Deadly) => anyhow::ensure!(!answer.is_complete, "call {id} can't be served"),
         (503, Kind::Fragile) => anyhow::ensure!(
             !answer.body.contains("ends_servers"),
             "call {id} is blamed for what another one did"
         ),
-        (200, _) if answer.whole => anyhow::ensure!(
+        (200, _) if answer.is_complete => anyhow::ensure!(
             answer.body.ends_with(&format!(" served {id}")),
             "call {id} got another answer: {}",
             answer.body
@@ -185,16 +185,16 @@
     Ok(())
 }
 
-fn check_stream(id: &str, answer: &Answer, events: u64) -> anyhow::Result<()> {
+fn check_stream(id: &str, answer: &RawResponse, events: u64) -> anyhow::Result<()> {
     let rows: Vec<String> = (0..events)
         .map(|at| format!("id: {at}\ndata: piece {at}\n\n"))
         .collect();
     let all = rows.concat();
-    let holds = all.starts_with(&answer.body) && (!answer.whole || answer.body == all);
+    let holds = all.starts_with(&answer.body) && (!answer.is_complete || answer.body == all);
     anyhow::ensure!(
         holds,
         "stream {id}, whole: {}: {:?}",
-        answer.whole,
+        answer.is_complete,
         answer.body
     );
     Ok(())
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -12,10 +12,10 @@
 use anyhow::Context;
 use badgerferry_standin::caller::Caller;
 use badgerferry_standin::caller::call;
-use badgerferry_standin::crashes::Crashes;
+use badgerferry_standin::crashes::CrashRule;
 use badgerferry_standin::relay_box::RelayBox;
 use badgerferry_standin::relay_box::desired_state;
-use badgerferry_standin::relay_box::draw_ip;
+use badgerferry_standin::relay_box::random_loopback_ip;
 use badgerferry_standin::server::Server;
 use badgerferry_standin::store::Mode;
 use badgerferry_standin::store::Store;
@@ -162,7 +162,7 @@
     }
     let served = rows.iter().filter_map(|row| row.answer.as_ref());
     let served = served
-        .filter(|answer| answer.status == 200 && answer.whole)
+        .filter(|answer| answer.status == 200 && answer.is_complete)
         .count();
     Ok(Summary {
         faults: plan.len(),
@@ -185,16 +185,16 @@
             servers.push(server);
             ways.push(way);
         }
-        servers[0].name_limit(Some(&LIMIT.to_string()));
+        servers[0].announce_limit(Some(&LIMIT.to_string()));
         let mut fragile = Vec::new();
         for at in 0..FRAGILE {
             let pace = Duration::from_millis(15);
             let server = Server::start(&format!("f-{at}"), "fragile", pace).await?;
-            server.crash_by(Crashes::by(callers::DEADLY, AWAY, &store));
+            server.set_crash_rule(CrashRule::on_body(callers::DEADLY, AWAY, &store));
             store.put(&server.key(), &server.entry("ready"));
             fragile.push(server);
         }
-        let ips: Vec<_> = (0..size.boxes).map(|_| draw_ip()).collect();
+        let ips: Vec<_> = (0..size.boxes).map(|_| random_loopback_ip()).collect();
         let mut boxes = Vec::new();
         for (at, ip) in ips.iter().enumerate() {
             let seeds = &ips[..ips.len().min(3)];
@@ -242,14 +242,14 @@
                 last().await;
                 self.store.set_mode(Mode::Serving);
             }
-            Fault::LoseAnswers(count) => self.store.lose_answers(count),
-            Fault::ForgetHistory => self.store.forget_history(),
+            Fault::LoseAnswers(count) => self.store.drop_responses(count),
+            Fault::ForgetHistory => self.store.compact_history(),
             Fault::ReturnFromCopy => {
-                self.store.keep_copy();
+                self.store.take_backup();
                 last().await;
-                let before = self.store.return_from_copy();
+                let before = self.store.restore_backup();
                 tokio::time::sleep(WRITTEN_AGAIN_AFTER).await;
-                self.store.write_again(before);
+                self.store.replay_lost_writes(before);
             }
             Fault::Lapse(at) => {
                 self.store.remove(&self.servers[at].key());
@@ -261,14 +261,14 @@
                 last().await;
                 self.list(at, "ready");
             }
-            Fault::SayLeaving(at) => self.say_leaving(at, planned.lasts).await,
+            Fault::SayLeaving(at) => self.announce_leaving(at, planned.lasts).await,
             Fault::Shed(at) => {
                 self.servers[at].shed(Some(PAUSE_TEXT));
                 last().await;
                 self.servers[at].shed(None);
             }
             Fault::Misbehave(at, behaviour, count) => {
-                self.servers[at].next(&vec![behaviour; count]);
+                self.servers[at].queue_behaviours(&vec![behaviour; count]);
             }
             Fault::Kill(at) => self.boxes[at].lock().await.restart()?,
             Fault::Terminate(at) => self.stop_in_order(at).await?,
@@ -288,9 +288,9 @@
     }
 
     /// Its answers say so for a while, nothing else does; then its entry goes with its life.
-    async fn say_leaving(&self, at: usize, lasts: Duration) {
+    async fn announce_leaving(&self, at: usize, lasts: Duration) {
         let server = &self.servers[at];
-        server.say_leaving(Some("1"));
+        server.announce_leaving(Some("1"));
         tokio::time::sleep(lasts).await;
         self.store.remove(&server.key());
         server.crash();
@@ -308,15 +308,15 @@
         let mut a_box = self.boxes[at].lock().await;
         a_box.signal("TERM")?;
         let begun = tokio::time::Instant::now();
-        while a_box.ended()?.is_none() {
+        while a_box.exit_code()?.is_none() {
             anyhow::ensure!(
                 begun.elapsed() < STOP_TIME,
                 "box {at} does not stop in time"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let code = a_box.ended()?;
-        let early = code == Some(BY_SIGNAL) && !a_box.has_taken_signals();
+        let code = a_box.exit_code()?;
+        let early = code == Some(BY_SIGNAL) && !a_box.handles_signals();
         anyhow::ensure!(code == Some(0) || early, "box {at} stopped with {code:?}");
         a_box.restart()
     }
@@ -340,7 +340,7 @@
                     "",
                     "",
                 );
-                let answer = Caller::once(*front, &text).await;
+                let answer = Caller::exchange(*front, &text).await;
                 served = answer.is_ok_and(|answer| answer.status == 200);
                 if served {
                     break;
@@ -358,7 +358,12 @@
             return Ok(());
         }
         tokio::time::sleep(NEWS_IN_FORCE).await;
-        let lives = || self.fragile.iter().map(Server::lives_ended).sum::<usize>();
+        let lives = || {
+            self.fragile
+                .iter()
+                .map(Server::times_crashed)
+                .sum::<usize>()
+        };
         let before = lives();
         for (at, front) in fronts.iter().enumerate() {
             let path = "/stream/fragile/a";
@@ -369,7 +374,7 @@
                 "",
                 callers::DEADLY,
             );
-            let answer = Caller::once(*front, &text).await?;
+            let answer = Caller::exchange(*front, &text).await?;
             let status = answer.status;
             anyhow::ensure!(
                 status == 503,
@@ -395,7 +400,7 @@
             let text = text.replace("key-1", "key-new");
             let until = tokio::time::Instant::now() + IN_FORCE_WITHIN;
             for (at, front) in fronts.iter().enumerate() {
-                while Caller::once(*front, &text).await?.status != wanted {
+                while Caller::exchange(*front, &text).await?.status != wanted {
                     let in_time = tokio::time::Instant::now() < until;
                     anyhow::ensure!(in_time, "version {version} is not in force at box {at}");
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -408,7 +413,7 @@
     /// The platform starts a process again that a signal ended before it could take signals.
     async fn start_again_if_ended(&self, at: usize) -> anyhow::Result<()> {
         let mut a_box = self.boxes[at].lock().await;
-        match a_box.ended()? {
+        match a_box.exit_code()? {
             None => Ok(()),
             Some(BY_SIGNAL) => a_box.restart(),
             Some(code) => anyhow::bail!("box {at} ended by itself with code {code}"),
