--- a/daemon/tests/relay_fleet.rs
+++ b/daemon/tests/relay_fleet.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use badgerferry_standin::caller::Answer;
 use badgerferry_standin::caller::Caller;
+use badgerferry_standin::caller::RawResponse;
 use badgerferry_standin::caller::call;
 use badgerferry_standin::relay_box::RelayBox;
 use badgerferry_standin::relay_box::desired_state;
@@ -63,7 +63,7 @@
         path: &str,
         headers: &str,
         duration: Duration,
-    ) -> Vec<(Answer, Duration)> {
+    ) -> Vec<(RawResponse, Duration)> {
         let until = Instant::now() + duration;
         let callers = self
             .boxes
@@ -84,7 +84,7 @@
                         "a prompt",
                     );
                     // A connection closed without a response counts as status 0.
-                    let answer = Caller::once(relay_box.front(), &request)
+                    let answer = Caller::exchange(relay_box.front(), &request)
                         .await
                         .unwrap_or_default();
                     let took = started_at.elapsed();
@@ -107,13 +107,16 @@
     /// The server that received the most calls. Short calls are concentrated on few servers, so a
     /// test of a server that gets none would check nothing.
     pub fn busiest(&self) -> &Server {
-        let busiest = self.servers.iter().max_by_key(|server| server.seen().len());
+        let busiest = self
+            .servers
+            .iter()
+            .max_by_key(|server| server.received_calls().len());
         busiest.expect("fleet has a server")
     }
 }
 
 /// Number of calls answered with status 200.
-pub fn count_served(responses: &[(Answer, Duration)]) -> usize {
+pub fn count_served(responses: &[(RawResponse, Duration)]) -> usize {
     responses
         .iter()
         .filter(|(answer, _)| answer.status == 200)
