--- a/daemon/src/api_error.rs
+++ b/daemon/src/api_error.rs
@@ -112,7 +112,7 @@
             Outcome::Cancelled => Some(Self {
                 status: StatusCode::BAD_REQUEST,
                 code: "cancelled",
-                message: "the caller disconnected".to_owned(),
+                message: "the caller went away".to_owned(),
                 ran: Ran::Maybe,
                 retry_after: None,
             }),
@@ -192,31 +192,25 @@
 
 const fn refusal_message(reason: RefusalReason) -> &'static str {
     match reason {
-        RefusalReason::WouldMissDeadline => {
-            "the request could not have completed within its time limit"
-        }
-        RefusalReason::DeadlineWhileWaiting => "the time limit of the request can no longer be met",
-        RefusalReason::QueueFull => "the workspace has too many requests queued at this box",
-        RefusalReason::WorkspaceLimit => "the workspace exceeded its rate limit",
-        RefusalReason::NoServer => "no live server offers the requested model or service",
-        RefusalReason::PromptTooLong => "the prompt exceeds the limit or the memory of the fleet",
-        RefusalReason::Leaving => "this box is shutting down; send the request to another box",
-        RefusalReason::NoSettings => "this box has not received settings yet",
+        RefusalReason::WouldMissDeadline => "it could not have finished within its time limit",
+        RefusalReason::DeadlineWhileWaiting => "its time limit can't be met any more",
+        RefusalReason::QueueFull => "too many requests of the workspace wait here",
+        RefusalReason::WorkspaceLimit => "the workspace is over its limit",
+        RefusalReason::NoServer => "no live server has what it asks for",
+        RefusalReason::PromptTooLong => "the prompt is longer than the limit or the fleet's memory",
+        RefusalReason::Leaving => "this box is leaving; send it to another",
+        RefusalReason::NoSettings => "this box has no settings yet",
         RefusalReason::DuplicateKey => {
-            "this submission did not run; an earlier one with the same key may have run"
+            "this submission was not run; an earlier one with the same key may have been"
         }
         RefusalReason::KeyNotChecked => {
-            "the request key can't be checked while the platform is unreachable"
-        }
-        RefusalReason::CrashesServers => {
-            "servers crashed during each of the last runs of this request"
+            "its key can't be checked while the platform is out of reach"
         }
-        RefusalReason::SuspectRunning => {
-            "servers crashed during this request, and another run of it is in progress"
-        }
-        RefusalReason::ServersLimited => "all eligible servers have reached their limits",
-        RefusalReason::ServersShedding => "all eligible servers shed load",
-        RefusalReason::ServersLeaving => "all eligible servers are leaving",
+        RefusalReason::CrashesServers => "servers ended under each of the last runs of it",
+        RefusalReason::SuspectRunning => "servers ended under it, and another run of it goes on",
+        RefusalReason::ServersLimited => "the servers take no more calls now",
+        RefusalReason::ServersShedding => "the servers shed load",
+        RefusalReason::ServersLeaving => "all servers that could take it leave",
     }
 }
 
@@ -232,12 +226,10 @@
 
 const fn failure_message(reason: FailureReason) -> &'static str {
     match reason {
-        FailureReason::DeadlineWhileRunning => {
-            "the time limit passed while a server was processing the request"
-        }
-        FailureReason::ServerLost => "the server was lost and the request may not be retried",
-        FailureReason::AttemptsUsed => "all allowed attempts were used",
-        FailureReason::NoOtherServer => "no other server could take over the request",
-        FailureReason::ServerError => "the server responded with an error",
+        FailureReason::DeadlineWhileRunning => "the time limit passed while a server worked on it",
+        FailureReason::ServerLost => "the server was lost and the request may not be repeated",
+        FailureReason::AttemptsUsed => "every attempt that is allowed was used",
+        FailureReason::NoOtherServer => "no other server could take it over",
+        FailureReason::ServerError => "the server answered with an error of its own",
     }
 }
--- a/daemon/src/caller.rs
+++ b/daemon/src/caller.rs
@@ -69,14 +69,14 @@
         |message: &str| ApiError::refused(StatusCode::UNAUTHORIZED, "wrong_key", message);
     let Some(text) = single_value(headers, "authorization")? else {
         return Err(wrong_key(
-            "no key: send the key of the workspace as `Authorization: Bearer KEY`",
+            "send the workspace's key as `Authorization: Bearer KEY`",
         ));
     };
     let key = text.strip_prefix("Bearer ").unwrap_or_default();
     let found = view.workspace_for_key(key);
     found
         .cloned()
-        .ok_or_else(|| wrong_key("the key belongs to no workspace"))
+        .ok_or_else(|| wrong_key("the key opens no workspace"))
 }
 
 /// The value of a header. More than one value is rejected, since they might differ.
@@ -87,15 +87,12 @@
     let mut values = headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
-        let message = format!("header {name} appears more than once");
+        let message = format!("header {name} is given twice");
         return Err(ApiError::bad_request("duplicate_header", message));
     }
     let text = first.map(|value| value.to_str()).transpose();
     text.map_err(|_not_ascii| {
-        ApiError::bad_request(
-            "bad_header",
-            format!("header {name} is not printable ASCII"),
-        )
+        ApiError::bad_request("bad_header", format!("header {name} is not plain text"))
     })
 }
 
@@ -107,9 +104,7 @@
         Ok(millis) if millis > 0 => Ok(Duration::from_millis(millis).min(class.time_limit)),
         _ => Err(ApiError::bad_request(
             "bad_header",
-            format!(
-                "header {TIME_LIMIT_HEADER} must be a positive number of whole milliseconds, got {text:?}"
-            ),
+            format!("header {TIME_LIMIT_HEADER} takes whole milliseconds above zero, not {text:?}"),
         )),
     }
 }
@@ -121,7 +116,7 @@
         Some("true") => Ok(Some(false)),
         Some(other) => Err(ApiError::bad_request(
             "bad_header",
-            format!("header {NOT_REPEATABLE_HEADER} must be true or false, got {other:?}"),
+            format!("header {NOT_REPEATABLE_HEADER} takes true or false, not {other:?}"),
         )),
     }
 }
@@ -131,7 +126,7 @@
         Some(key) if key.is_empty() || key.len() > MAX_REQUEST_KEY_BYTES => {
             Err(ApiError::bad_request(
                 "bad_header",
-                format!("header {REQUEST_KEY_HEADER} must have 1 to {MAX_REQUEST_KEY_BYTES} bytes"),
+                format!("header {REQUEST_KEY_HEADER} takes 1 to {MAX_REQUEST_KEY_BYTES} bytes"),
             ))
         }
         key => Ok(key.map(str::to_owned)),
--- a/daemon/src/chat.rs
+++ b/daemon/src/chat.rs
@@ -36,6 +36,8 @@
     pub stream: bool,
 }
 
+// serde names the body types in its error messages, which are sent to callers.
+
 #[derive(Deserialize)]
 struct ChatBody {
     model: String,
@@ -55,7 +57,7 @@
 }
 
 #[derive(Deserialize)]
-struct CompletionBody {
+struct TextBody {
     model: String,
     prompt: String,
     #[serde(default)]
@@ -71,7 +73,7 @@
 /// The body is not JSON in the expected format, the prompt is empty, or `max_tokens` is zero.
 pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<ModelRequest, ApiError> {
     let invalid = |cause: serde_json::Error| {
-        ApiError::bad_request("invalid_body", format!("invalid body: {cause}"))
+        ApiError::bad_request("invalid_body", format!("the body can't be read: {cause}"))
     };
     let request = match endpoint {
         Endpoint::Chat => {
@@ -85,7 +87,7 @@
             }
         }
         Endpoint::Text => {
-            let body: CompletionBody = serde_json::from_slice(body).map_err(invalid)?;
+            let body: TextBody = serde_json::from_slice(body).map_err(invalid)?;
             ModelRequest {
                 endpoint,
                 model: ModelName::new(body.model),
@@ -119,13 +121,13 @@
         Value::Array(parts) => {
             for part in parts {
                 let text = part.get("text").and_then(Value::as_str).ok_or_else(|| {
-                    ApiError::bad_request("invalid_body", "only text parts are supported")
+                    ApiError::bad_request("invalid_body", "only text parts are served")
                 })?;
                 prompt.push_str(text);
             }
         }
         _ => {
-            let message = "the content of a message must be text or a list of text parts";
+            let message = "a message's content is text or a list of text parts";
             return Err(ApiError::bad_request("invalid_body", message));
         }
     }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -53,7 +53,7 @@
         (Some(path), false) => run_with_box_file(path, args.check),
         (None, true) => run_on_platform(args.check),
         _ => {
-            eprintln!("exactly one of --config FILE and --platform is required");
+            eprintln!("either --config FILE or --platform is needed, and not both");
             eprintln!("hint: badgerferryd --help");
             ExitCode::from(EXIT_INVALID_CONFIG)
         }
@@ -64,8 +64,8 @@
     let settings = match badgerferry_platform::settings_file::read() {
         Ok(settings) => settings,
         Err(cause) => {
-            eprintln!("invalid platform settings: {cause}");
-            eprintln!("hint: see docs/operators.md for the settings that are read");
+            eprintln!("the platform's settings can't be used: {cause}");
+            eprintln!("hint: docs/operators.md tells what is read from them");
             return ExitCode::from(EXIT_INVALID_CONFIG);
         }
     };
@@ -81,11 +81,11 @@
     let config = match box_config::read(path) {
         Ok(config) => config,
         Err(errors) => {
-            eprintln!("{}: invalid box file:", path.display());
+            eprintln!("{}: can't be used:", path.display());
             for error in &errors {
                 eprintln!("  {error}");
             }
-            eprintln!("hint: see docs/operators.md for the fields of a box file");
+            eprintln!("hint: docs/operators.md lists the fields of a box's own file");
             return ExitCode::from(EXIT_INVALID_CONFIG);
         }
     };
--- a/daemon/src/routes.rs
+++ b/daemon/src/routes.rs
@@ -189,7 +189,7 @@
 
 async fn read_body(req: &mut Request, limit: usize) -> Result<Bytes, ApiError> {
     let too_large = || {
-        let message = format!("the body exceeds the limit of {limit} bytes");
+        let message = format!("the body is larger than {limit} bytes");
         ApiError::refused(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
     };
     let declared = req.content_length();
@@ -206,14 +206,11 @@
     match tokio::time::timeout(BODY_TIMEOUT, complete).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(cause)) if cause.is::<http_body_util::LengthLimitError>() => Err(too_large()),
-        Ok(Err(_)) => Err(ApiError::bad_request(
-            "broken_body",
-            "the body is incomplete",
-        )),
+        Ok(Err(_)) => Err(ApiError::bad_request("broken_body", "the body broke off")),
         Err(_elapsed) => Err(ApiError::refused(
             StatusCode::REQUEST_TIMEOUT,
             "slow_body",
-            "the body did not arrive in time",
+            "the body took too long to arrive",
         )),
     }
 }
