--- a/daemon/src/api_error.rs
+++ b/daemon/src/api_error.rs
@@ -71,7 +71,7 @@
         Self::refused(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// A refusal before the request was admitted; it did not run.
+    /// An error for a request that did not run, without a time to retry.
     pub fn refused(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// A refusal by a filter, before the request was submitted to the dispatcher.
-    pub fn before_dispatch(reason: RefusalReason, retry_after: Duration) -> Self {
+    /// A refusal with the status, code and message of its reason.
+    pub fn from_refusal(reason: RefusalReason, retry_after: Duration) -> Self {
         let mut error = Self::refused(
             refusal_status(reason),
             reason.code(),
@@ -93,12 +93,12 @@
         error
     }
 
-    /// The error of an outcome; `None` for a completed request.
+    /// The error response for an outcome; `None` for a completed request.
     pub fn from_outcome(outcome: &Outcome) -> Option<Self> {
         match outcome {
             Outcome::Completed { .. } => None,
             Outcome::Refused(refused) => {
-                let mut error = Self::before_dispatch(refused.reason(), Duration::ZERO);
+                let mut error = Self::from_refusal(refused.reason(), Duration::ZERO);
                 error.retry_after = refused.retry_after();
                 Some(error)
             }
@@ -124,7 +124,7 @@
         self.code
     }
 
-    /// The response body, as JSON.
+    /// The error as JSON, for the body of a response or an event of a stream.
     pub fn json(&self) -> String {
         let body = ErrorBody {
             error: ErrorDetail {
--- a/daemon/src/caller.rs
+++ b/daemon/src/caller.rs
@@ -1,4 +1,4 @@
-//! First filters of a request: authentication and the headers of badgerferry.
+//! Authentication of callers and parsing of badgerferry's own request headers.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 pub const CLASS_HEADER: &str = "x-badgerferry-class";
 /// Header that marks a request as non-repeatable if its value is `true`.
 pub const NOT_REPEATABLE_HEADER: &str = "x-badgerferry-not-repeatable";
-/// Header with a key that is equal for all submissions of one non-repeatable request.
+/// Header with the request key: an idempotency key, the same on every submission of one
+/// non-repeatable request.
 pub const REQUEST_KEY_HEADER: &str = "x-badgerferry-request-key";
-/// Prefix of all request headers of badgerferry, none of which is forwarded to a plain service.
+/// Prefix of badgerferry's own headers, which are not forwarded to plain services.
 pub const HEADER_PREFIX: &str = "x-badgerferry-";
-/// Longest request key, in bytes.
 const MAX_REQUEST_KEY_BYTES: usize = 256;
 
 /// The caller's identity and options, from the headers of a request.
@@ -32,13 +32,14 @@
     pub class: ClassSettings,
     /// Time limit of the class, or a shorter one from the header.
     pub time_limit: Duration,
-    /// Whether the request may be retried after it may have run; `None` without the header.
+    /// Whether the request may be retried after it may have run; `None` without the header
+    /// [`NOT_REPEATABLE_HEADER`].
     pub repeatable: Option<bool>,
-    /// Key that is equal for all submissions of the same request.
+    /// Idempotency key, the same on every submission of the same request.
     pub request_key: Option<String>,
 }
 
-/// Authenticates the caller and parses the headers of badgerferry.
+/// Authenticates the caller and parses its headers.
 ///
 /// # Errors
 ///
@@ -57,7 +58,7 @@
     let request_key = request_key(headers)?;
     Ok(Caller {
         time_limit: time_limit(headers, class)?,
-        repeatable: is_repeatable(headers)?,
+        repeatable: repeatable(headers)?,
         request_key,
         class: class.clone(),
         workspace,
@@ -109,7 +110,7 @@
     }
 }
 
-fn is_repeatable(headers: &HeaderMap) -> Result<Option<bool>, ApiError> {
+fn repeatable(headers: &HeaderMap) -> Result<Option<bool>, ApiError> {
     match single_value(headers, NOT_REPEATABLE_HEADER)? {
         None => Ok(None),
         Some("false") => Ok(Some(true)),
--- a/daemon/src/chat.rs
+++ b/daemon/src/chat.rs
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-/// Encodes the response to one request.
+/// Encodes the response to one request, as one JSON body or as server-sent events.
 #[derive(Debug, Clone)]
 pub struct ResponseWriter {
     endpoint: Endpoint,
@@ -143,7 +143,7 @@
 }
 
 impl ResponseWriter {
-    /// A writer that uses the endpoint and the model of the request.
+    /// A writer for the format of the request's endpoint.
     pub fn new(request: &ModelRequest, id: RequestId) -> Self {
         Self {
             endpoint: request.endpoint,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// An event with a chunk of the response.
+    /// The event with a chunk of the response.
     pub fn chunk(&self, text: &str) -> String {
         let choice = match self.endpoint {
             Endpoint::Chat => json!({"index": 0, "delta": {"content": text}}),
@@ -189,8 +189,8 @@
         format!("data: {event}\n\n")
     }
 
-    /// A complete response.
-    pub fn complete(&self, text: &str, prompt_tokens: u64, tokens: u64) -> Value {
+    /// The body of a response that is not streamed, with its token counts.
+    pub fn complete(&self, text: &str, prompt_tokens: u64, completion_tokens: u64) -> Value {
         let (object, choice) = match self.endpoint {
             Endpoint::Chat => (
                 "chat.completion",
@@ -212,8 +212,8 @@
             "choices": [choice],
             "usage": {
                 "prompt_tokens": prompt_tokens,
-                "completion_tokens": tokens,
-                "total_tokens": prompt_tokens + tokens,
+                "completion_tokens": completion_tokens,
+                "total_tokens": prompt_tokens + completion_tokens,
             },
         })
     }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -3,6 +3,8 @@
 //! One thread runs the control tasks (settings, membership, engine reports, leases); the traffic
 //! threads run the filter chain of requests. Traffic threads read immutable snapshots and never
 //! wait for control.
+//!
+//! On the users' platform (`--platform`) the daemon runs in relay mode instead; see [`relay`].
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/daemon/src/request_driver.rs
+++ b/daemon/src/request_driver.rs
@@ -1,4 +1,5 @@
-//! Drives one model request: passes events to its exchange and executes the actions.
+//! Drives one model request: passes events to its [`Exchange`], the state machine of the request,
+//! and executes the actions that it returns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,7 +37,7 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Timeout for a caller to read the outcome from its buffer.
+/// Timeout for sending the outcome to a caller that reads slowly and has filled its buffer.
 const FINAL_SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Part of a response, sent to the task that writes the response to the caller.
@@ -245,7 +246,7 @@
             Action::Release { server, group } => self.release(&server, group),
             Action::Cancel { server, attempt } => self.cancel(&server, attempt),
             Action::Forward(text) => self.forward(now, text).await,
-            Action::CountDropped(why) => telemetry::count_dropped_frame(why.label()),
+            Action::CountDropped(reason) => telemetry::count_dropped_frame(reason.label()),
             Action::FirstToken => {
                 let elapsed = now.since(self.request.arrived);
                 telemetry::record_first_token(self.request.prompt_tokens, elapsed);
@@ -293,9 +294,9 @@
             text: self.prompt_slice(from, tokens).to_owned(),
         };
         let engine = self.traffic.engine.clone();
-        let connect = self.class.connect_timeout;
+        let connect_timeout = self.class.connect_timeout;
         let call = async move {
-            EngineCallResult::Prefilled(engine.prefill(&address, connect, &payload).await)
+            EngineCallResult::Prefilled(engine.prefill(&address, connect_timeout, &payload).await)
         };
         self.engine_call = Some(call.boxed());
     }
@@ -305,7 +306,7 @@
         self.request.priority.rank(long).index() as u8
     }
 
-    /// Text of a range of prompt tokens, by the estimated number of bytes per token.
+    /// Text of a range of prompt tokens, located by the estimated number of tokens in the prompt.
     fn prompt_slice(&self, from: u64, tokens: u64) -> &str {
         let bytes = self.prompt.len() as u64;
         let byte_offset = |token: u64| {
@@ -341,9 +342,9 @@
             group,
         };
         let engine = self.traffic.engine.clone();
-        let connect = self.class.connect_timeout;
+        let connect_timeout = self.class.connect_timeout;
         let call = async move {
-            EngineCallResult::Streaming(engine.generate(&address, connect, &payload).await)
+            EngineCallResult::Streaming(engine.generate(&address, connect_timeout, &payload).await)
         };
         self.engine_call = Some(call.boxed());
     }
@@ -413,7 +414,7 @@
             outcome,
             prompt_tokens,
         };
-        // A caller that does not read the end of its response must not block this task forever.
+        // Bounded: a caller that stops reading must not block this task forever.
         let _ = tokio::time::timeout(FINAL_SEND_TIMEOUT, self.tx.send(end)).await;
     }
 }
--- a/daemon/src/request_key_claim.rs
+++ b/daemon/src/request_key_claim.rs
@@ -25,7 +25,7 @@
 const RELEASE_ATTEMPTS: u32 = 10;
 const RELEASE_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// A claim held by a request.
+/// A claim owned by a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     key: String,
@@ -37,7 +37,7 @@
     format!("once/{}", hex::encode(digest))
 }
 
-/// Claims a request key for the request with this identifier.
+/// Claims a request key. The value of the claim is the identifier of the request that owns it.
 ///
 /// # Errors
 ///
@@ -54,11 +54,11 @@
         key: key.clone(),
         own_value: own_value.clone(),
     };
-    let written = traffic
+    let swapped = traffic
         .platform
         .swap(&key, 0, own_value.clone(), Some(CLAIM_TTL))
         .await;
-    if written == Ok(SwapResponse::Swapped) {
+    if swapped == Ok(SwapResponse::Swapped) {
         return Ok(claim);
     }
     // A conflict may be caused by this same write, if its response was lost at a lower layer.
@@ -88,8 +88,8 @@
     });
 }
 
-/// Deletes the claim if this request owns it, never that of another request. Returns whether it
-/// is released.
+/// Deletes the claim if this request owns it, never that of another request. Returns whether no
+/// further attempt is needed.
 async fn try_release(traffic: &Traffic, claim: &Claim) -> bool {
     match traffic.platform.read(&claim.key).await {
         Ok(found) if found.value.as_ref() == Some(&claim.own_value) => {
--- a/daemon/src/routes.rs
+++ b/daemon/src/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes: requests of callers, health, metrics and status.
+//! The HTTP routes: model requests, service calls, health, metrics and status.
 //!
 //! A request passes a chain of filters, each of which may reject it: settings present, key and
 //! headers, size of the body, format of the body, claim of the request key. Only then is it
@@ -62,11 +62,11 @@
 
 /// Header with the identifier of the request, set on every response.
 const REQUEST_ID_HEADER: &str = "x-badgerferry-request-id";
-/// Timeout for the head of a request. A slow caller occupies only its connection.
+/// Timeout for the head of a request. A caller that sends slowly occupies only its connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time after which a request refused by a filter may be retried.
+/// Time that callers are told to wait before they retry a request refused by a filter.
 const FILTER_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Maximum number of bytes to read and discard of a body that is too large.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
@@ -147,9 +147,9 @@
     let id = RequestId::draw(&mut rand::rng());
     let response = match service_call(&traffic, req, id).await {
         Ok(response) => response,
-        Err(error) => rejected(id, &error),
+        Err(error) => rejection(id, &error),
     };
-    Ok(with_id(response, id))
+    Ok(with_request_id(response, id))
 }
 
 async fn serve_model_request(req: Request, endpoint: Endpoint) -> Response {
@@ -157,17 +157,17 @@
     let id = RequestId::draw(&mut rand::rng());
     let response = match start_model_request(&traffic, req, endpoint, id).await {
         Ok(response) => response,
-        Err(error) => rejected(id, &error),
+        Err(error) => rejection(id, &error),
     };
-    with_id(response, id)
+    with_request_id(response, id)
 }
 
-fn rejected(id: RequestId, error: &ApiError) -> Response {
+fn rejection(id: RequestId, error: &ApiError) -> Response {
     tracing::info!(request = %id, code = error.code(), "request rejected");
     error.response()
 }
 
-fn with_id(mut response: Response, id: RequestId) -> Response {
+fn with_request_id(mut response: Response, id: RequestId) -> Response {
     let value = id
         .to_string()
         .parse()
@@ -177,7 +177,7 @@
 }
 
 fn refusal(reason: RefusalReason) -> ApiError {
-    ApiError::before_dispatch(reason, FILTER_RETRY_DELAY)
+    ApiError::from_refusal(reason, FILTER_RETRY_DELAY)
 }
 
 fn active_settings(traffic: &Traffic) -> Result<Arc<SettingsView>, ApiError> {
@@ -197,9 +197,9 @@
         return Ok(Bytes::new());
     };
     if declared.is_some_and(|length| length > limit as u64) {
-        // Read part of the body, or the caller sees a closed connection instead of the error.
-        let prefix = Limited::new(body, MAX_DISCARDED_BYTES).collect();
-        let _ = tokio::time::timeout(BODY_TIMEOUT, prefix).await;
+        // Read part of the body, or the connection closes before the caller has read the error.
+        let discarded = Limited::new(body, MAX_DISCARDED_BYTES).collect();
+        let _ = tokio::time::timeout(BODY_TIMEOUT, discarded).await;
         return Err(too_large());
     }
     let complete = Limited::new(body, limit).collect();
@@ -230,7 +230,8 @@
     }
 }
 
-fn dispatch_request(
+/// The request for the dispatcher, without the token counts and the prefix of a model request.
+fn new_dispatch_request(
     traffic: &Traffic,
     view: &SettingsView,
     caller: &Caller,
@@ -285,11 +286,15 @@
     let body = read_body(&mut req, view.max_body).await?;
     let model_request = chat::parse(endpoint, &body)?;
     drop(body);
-    let mut request = dispatch_request(traffic, &view, &caller, id, model_request.model.clone());
-    let ratio = caller.class.bytes_per_token;
+    let mut request =
+        new_dispatch_request(traffic, &view, &caller, id, model_request.model.clone());
+    let bytes_per_token = caller.class.bytes_per_token;
     let prompt_bytes = model_request.prompt.len();
-    request.prompt_tokens =
-        lock(&traffic.token_estimator).estimate(&model_request.model, prompt_bytes, ratio);
+    request.prompt_tokens = lock(&traffic.token_estimator).estimate(
+        &model_request.model,
+        prompt_bytes,
+        bytes_per_token,
+    );
     if request.prompt_tokens > caller.class.max_prompt {
         return Err(refusal(RefusalReason::PromptTooLong));
     }
@@ -316,7 +321,7 @@
     Ok(responder.respond(&model_request).await)
 }
 
-/// Writes the events of a request as the response to its caller.
+/// Turns the events of a model request into the response to its caller.
 struct Responder {
     traffic: SharedTraffic,
     writer: ResponseWriter,
@@ -326,7 +331,8 @@
 }
 
 impl Responder {
-    /// The error of an outcome, if it is one. Releases the claim of a refused request.
+    /// The error response for an outcome; `None` for a completed request. Releases the claim of a
+    /// refused request.
     fn error_for(&mut self, outcome: &Outcome) -> Option<ApiError> {
         if let (Outcome::Refused(_), Some(claim)) = (outcome, self.claim.take()) {
             request_key_claim::release(&self.traffic, claim);
@@ -335,7 +341,8 @@
     }
 
     async fn respond(mut self, request: &ModelRequest) -> Response {
-        // The first event decides between an error status and a stream.
+        // The status is sent before the first chunk, so only the first event can select an error
+        // status.
         let first = self.rx.recv().await;
         match first {
             Some(ResponseEvent::Text(text)) if request.stream => self.stream(text),
@@ -376,11 +383,11 @@
     }
 
     fn complete_response(&self, outcome: &Outcome, text: &str, prompt_tokens: u64) -> Response {
-        let tokens = match outcome {
+        let completion_tokens = match outcome {
             Outcome::Completed { tokens } => *tokens,
             _ => 0,
         };
-        let body = self.writer.complete(text, prompt_tokens, tokens);
+        let body = self.writer.complete(text, prompt_tokens, completion_tokens);
         json_response(body.to_string(), Ran::Yes)
     }
 
@@ -428,7 +435,7 @@
     let caller = caller::identify(&view, req.headers())?;
     let body = read_body(&mut req, view.max_body).await?;
     let pool = req.param::<String>("pool").unwrap_or_default();
-    let request = dispatch_request(traffic, &view, &caller, id, ModelName::new(&pool));
+    let request = new_dispatch_request(traffic, &view, &caller, id, ModelName::new(&pool));
     let claim = claim_key(traffic, &caller, id).await?;
     let prepared = PreparedCall {
         request,
@@ -444,10 +451,10 @@
         request_key_claim::release(traffic, claim);
     }
     match (ApiError::from_outcome(&end.outcome), end.response) {
-        (None, Some(found)) => {
-            let mut response = found.body.into_response();
-            *response.status_mut() = found.status;
-            *response.headers_mut() = found.headers;
+        (None, Some(service_response)) => {
+            let mut response = service_response.body.into_response();
+            *response.status_mut() = service_response.status;
+            *response.headers_mut() = service_response.headers;
             let headers = response.headers_mut();
             headers.remove("content-length");
             headers.remove("transfer-encoding");
--- a/daemon/src/service_driver.rs
+++ b/daemon/src/service_driver.rs
@@ -1,4 +1,5 @@
-//! Drives one call to a plain service: passes events to its exchange and executes the actions.
+//! Drives one call to a plain service: passes events to its [`Exchange`], the state machine of the
+//! request, and executes the actions that it returns.
 
 use std::sync::Arc;
 
@@ -48,7 +49,7 @@
 
 /// Runs a call until its outcome is known.
 ///
-/// If the caller disconnects, the future is dropped, which cancels the call.
+/// If the caller disconnects, this future is dropped, which aborts the call.
 pub async fn run(traffic: &Arc<Traffic>, prepared: PreparedCall) -> CallEnd {
     let id = prepared.request.id;
     let mut decisions = traffic.subscribe(id);
@@ -58,7 +59,7 @@
     end
 }
 
-/// Removes the request from the dispatcher on drop, also if the caller disconnects.
+/// Removes the request from the dispatcher on drop, and thus also if the caller disconnects.
 struct Registration<'a> {
     traffic: &'a Arc<Traffic>,
     id: badgerferry_lib::ids::RequestId,
@@ -156,10 +157,10 @@
     server: &ServerName,
 ) -> Result<BufferedResponse, SendError> {
     let address = traffic.address_of(server).unwrap_or_default();
-    let connect = prepared.class.connect_timeout;
+    let connect_timeout = prepared.class.connect_timeout;
     traffic
         .service
-        .call(&address, connect, &prepared.call)
+        .call(&address, connect_timeout, &prepared.call)
         .await
 }
 
--- a/daemon/src/traffic.rs
+++ b/daemon/src/traffic.rs
@@ -1,4 +1,4 @@
-//! State shared by the traffic threads, and the start of the daemon's threads.
+//! State shared by the traffic threads and the control thread, and the start of the daemon.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -45,7 +45,8 @@
 
 /// Timeout of a control call to a server or the platform.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which the dispatcher checks queued requests if no event does.
+/// Interval at which the dispatcher checks queued requests, in addition to the checks that other
+/// events cause.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Attempts and reservations of this box at one engine.
@@ -57,14 +58,15 @@
     pub empty_renewals: u32,
 }
 
-/// Attempts and reservations of this box at all engines, which it renews there.
+/// Attempts and reservations of this box at all engines. An engine frees those that are no longer
+/// renewed.
 #[derive(Debug, Default)]
 pub struct Holdings {
     /// Holdings at each engine.
     pub by_server: BTreeMap<ServerName, EngineHoldings>,
 }
 
-/// State shared by the traffic threads.
+/// State shared by the traffic threads and the control thread.
 #[derive(Debug)]
 pub struct Traffic {
     /// Configuration from the box file.
@@ -93,7 +95,7 @@
     pub leaving: AtomicBool,
     /// Whether a signal started a planned stop, which can't be cancelled.
     pub stop_signalled: AtomicBool,
-    /// Receives settings from the control thread and the listener for peers.
+    /// Receives settings from the control thread and the peer listener.
     pub settings_follower: Mutex<SettingsFollower>,
     /// Last state reported by the control thread, for `/status`.
     pub status: Mutex<control::ControlStatus>,
@@ -183,7 +185,7 @@
         rx
     }
 
-    /// Removes the registration of a request, and the request from the dispatcher.
+    /// Removes a request from the subscribers and from the dispatcher.
     pub fn forget(&self, id: RequestId) {
         lock(&self.subscribers).remove(&id);
         self.dispatcher().forget(self.clock.now(), id);
--- a/daemon/tests/test_failures.rs
+++ b/daemon/tests/test_failures.rs
@@ -39,7 +39,7 @@
         fleet.set_faults(engine.address, &faults).await?;
     }
 
-    // Engines are selected at random; two of the three crash during a request.
+    // Engines are selected at random, and two of the three crash after five tokens.
     let mut has_crashed = false;
     for _ in 0..MAX_REQUESTS {
         let resumed = text_of(&fleet.chat(0, "what crashed?", &[]).await?)?;
