--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,6 +1,6 @@
 //! The entry daemon: receives requests from callers and executes the decisions of the library.
 //!
-//! One thread runs the control tasks (settings, membership, engine reports, leases); the traffic
+//! One thread runs the controllers (settings, membership, engine reports, leases); the traffic
 //! threads run the filter chain of requests. Traffic threads read immutable snapshots and never
 //! wait for control.
 //!
