--- a/daemon/src/request_driver.rs
+++ b/daemon/src/request_driver.rs
@@ -49,7 +49,8 @@
     End {
         /// The outcome.
         outcome: Outcome,
-        /// Prompt tokens as counted by the engine, or estimated if no engine reported them.
+        /// Prompt tokens as counted by the engine, zero if it did not count them. The estimate if the
+        /// response is not complete.
         prompt_tokens: u64,
     },
 }
