--- a/daemon/src/caller.rs
+++ b/daemon/src/caller.rs
@@ -1,4 +1,4 @@
-//! First filters of a request: authentication and the headers of badgerferry.
+//! Authentication of callers and parsing of badgerferry's own request headers.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 pub const CLASS_HEADER: &str = "x-badgerferry-class";
 /// Header that marks a request as non-repeatable if its value is `true`.
 pub const NOT_REPEATABLE_HEADER: &str = "x-badgerferry-not-repeatable";
-/// Header with a key that is equal for all submissions of one non-repeatable request.
+/// Header with the request key: an idempotency key, the same on every submission of one
+/// non-repeatable request.
 pub const REQUEST_KEY_HEADER: &str = "x-badgerferry-request-key";
-/// Prefix of all request headers of badgerferry, none of which is forwarded to a plain service.
+/// Prefix of badgerferry's own headers, which are not forwarded to plain services.
 pub const HEADER_PREFIX: &str = "x-badgerferry-";
-/// Longest request key, in bytes.
 const MAX_REQUEST_KEY_BYTES: usize = 256;
 
 /// The caller's identity and options, from the headers of a request.
@@ -32,13 +32,14 @@
     pub class: ClassSettings,
     /// Time limit of the class, or a shorter one from the header.
     pub time_limit: Duration,
-    /// Whether the request may be retried after it may have run; `None` without the header.
+    /// Whether the request may be retried after it may have run; `None` without the header
+    /// [`NOT_REPEATABLE_HEADER`].
     pub repeatable: Option<bool>,
-    /// Key that is equal for all submissions of the same request.
+    /// Idempotency key, the same on every submission of the same request.
     pub request_key: Option<String>,
 }
 
-/// Authenticates the caller and parses the headers of badgerferry.
+/// Authenticates the caller and parses its headers.
 ///
 /// # Errors
 ///
@@ -57,7 +58,7 @@
     let request_key = request_key(headers)?;
     Ok(Caller {
         time_limit: time_limit(headers, class)?,
-        repeatable: is_repeatable(headers)?,
+        repeatable: repeatable(headers)?,
         request_key,
         class: class.clone(),
         workspace,
@@ -69,14 +70,14 @@
         |message: &str| ApiError::refused(StatusCode::UNAUTHORIZED, "wrong_key", message);
     let Some(text) = single_value(headers, "authorization")? else {
         return Err(wrong_key(
-            "no key: send the key of the workspace as `Authorization: Bearer KEY`",
+            "send the workspace's key as `Authorization: Bearer KEY`",
         ));
     };
     let key = text.strip_prefix("Bearer ").unwrap_or_default();
     let found = view.workspace_for_key(key);
     found
         .cloned()
-        .ok_or_else(|| wrong_key("the key belongs to no workspace"))
+        .ok_or_else(|| wrong_key("the key opens no workspace"))
 }
 
 /// The value of a header. More than one value is rejected, since they might differ.
@@ -87,15 +88,12 @@
     let mut values = headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
-        let message = format!("header {name} appears more than once");
+        let message = format!("header {name} is given twice");
         return Err(ApiError::bad_request("duplicate_header", message));
     }
     let text = first.map(|value| value.to_str()).transpose();
     text.map_err(|_not_ascii| {
-        ApiError::bad_request(
-            "bad_header",
-            format!("header {name} is not printable ASCII"),
-        )
+        ApiError::bad_request("bad_header", format!("header {name} is not plain text"))
     })
 }
 
@@ -107,21 +105,19 @@
         Ok(millis) if millis > 0 => Ok(Duration::from_millis(millis).min(class.time_limit)),
         _ => Err(ApiError::bad_request(
             "bad_header",
-            format!(
-                "header {TIME_LIMIT_HEADER} must be a positive number of whole milliseconds, got {text:?}"
-            ),
+            format!("header {TIME_LIMIT_HEADER} takes whole milliseconds above zero, not {text:?}"),
         )),
     }
 }
 
-fn is_repeatable(headers: &HeaderMap) -> Result<Option<bool>, ApiError> {
+fn repeatable(headers: &HeaderMap) -> Result<Option<bool>, ApiError> {
     match single_value(headers, NOT_REPEATABLE_HEADER)? {
         None => Ok(None),
         Some("false") => Ok(Some(true)),
         Some("true") => Ok(Some(false)),
         Some(other) => Err(ApiError::bad_request(
             "bad_header",
-            format!("header {NOT_REPEATABLE_HEADER} must be true or false, got {other:?}"),
+            format!("header {NOT_REPEATABLE_HEADER} takes true or false, not {other:?}"),
         )),
     }
 }
@@ -131,7 +127,7 @@
         Some(key) if key.is_empty() || key.len() > MAX_REQUEST_KEY_BYTES => {
             Err(ApiError::bad_request(
                 "bad_header",
-                format!("header {REQUEST_KEY_HEADER} must have 1 to {MAX_REQUEST_KEY_BYTES} bytes"),
+                format!("header {REQUEST_KEY_HEADER} takes 1 to {MAX_REQUEST_KEY_BYTES} bytes"),
             ))
         }
         key => Ok(key.map(str::to_owned)),
--- a/daemon/src/chat.rs
+++ b/daemon/src/chat.rs
@@ -36,6 +36,8 @@
     pub stream: bool,
 }
 
+// serde names the body types in its error messages, which are sent to callers.
+
 #[derive(Deserialize)]
 struct ChatBody {
     model: String,
@@ -55,7 +57,7 @@
 }
 
 #[derive(Deserialize)]
-struct CompletionBody {
+struct TextBody {
     model: String,
     prompt: String,
     #[serde(default)]
@@ -71,7 +73,7 @@
 /// The body is not JSON in the expected format, the prompt is empty, or `max_tokens` is zero.
 pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<ModelRequest, ApiError> {
     let invalid = |cause: serde_json::Error| {
-        ApiError::bad_request("invalid_body", format!("invalid body: {cause}"))
+        ApiError::bad_request("invalid_body", format!("the body can't be read: {cause}"))
     };
     let request = match endpoint {
         Endpoint::Chat => {
@@ -85,7 +87,7 @@
             }
         }
         Endpoint::Text => {
-            let body: CompletionBody = serde_json::from_slice(body).map_err(invalid)?;
+            let body: TextBody = serde_json::from_slice(body).map_err(invalid)?;
             ModelRequest {
                 endpoint,
                 model: ModelName::new(body.model),
@@ -119,20 +121,20 @@
         Value::Array(parts) => {
             for part in parts {
                 let text = part.get("text").and_then(Value::as_str).ok_or_else(|| {
-                    ApiError::bad_request("invalid_body", "only text parts are supported")
+                    ApiError::bad_request("invalid_body", "only text parts are served")
                 })?;
                 prompt.push_str(text);
             }
         }
         _ => {
-            let message = "the content of a message must be text or a list of text parts";
+            let message = "a message's content is text or a list of text parts";
             return Err(ApiError::bad_request("invalid_body", message));
         }
     }
     Ok(())
 }
 
-/// Encodes the response to one request.
+/// Encodes the response to one request, as one JSON body or as server-sent events.
 #[derive(Debug, Clone)]
 pub struct ResponseWriter {
     endpoint: Endpoint,
@@ -141,7 +143,7 @@
 }
 
 impl ResponseWriter {
-    /// A writer that uses the endpoint and the model of the request.
+    /// A writer for the format of the request's endpoint.
     pub fn new(request: &ModelRequest, id: RequestId) -> Self {
         Self {
             endpoint: request.endpoint,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// An event with a chunk of the response.
+    /// The event with a chunk of the response.
     pub fn chunk(&self, text: &str) -> String {
         let choice = match self.endpoint {
             Endpoint::Chat => json!({"index": 0, "delta": {"content": text}}),
@@ -187,8 +189,8 @@
         format!("data: {event}\n\n")
     }
 
-    /// A complete response.
-    pub fn complete(&self, text: &str, prompt_tokens: u64, tokens: u64) -> Value {
+    /// The body of a response that is not streamed, with its token counts.
+    pub fn complete(&self, text: &str, prompt_tokens: u64, completion_tokens: u64) -> Value {
         let (object, choice) = match self.endpoint {
             Endpoint::Chat => (
                 "chat.completion",
@@ -210,8 +212,8 @@
             "choices": [choice],
             "usage": {
                 "prompt_tokens": prompt_tokens,
-                "completion_tokens": tokens,
-                "total_tokens": prompt_tokens + tokens,
+                "completion_tokens": completion_tokens,
+                "total_tokens": prompt_tokens + completion_tokens,
             },
         })
     }
