--- a/daemon/src/box_config.rs
+++ b/daemon/src/box_config.rs
@@ -80,10 +80,11 @@
         serde_json::from_str(&text).map_err(|cause| file_error(cause.to_string()))?;
     match value {
         Value::Object(fields) => check(fields),
-        _ => Err(file_error("a JSON object is expected".to_owned())),
+        _ => Err(file_error("it is not a JSON object".to_owned())),
     }
 }
 
+/// Fields that are not validated yet, and the errors of those that are.
 struct Fields {
     remaining: Map<String, Value>,
     errors: Vec<ConfigError>,
@@ -165,8 +166,7 @@
             None => DEFAULT_TRAFFIC_THREADS as usize,
             Some(Some(count)) if (1..=MAX_TRAFFIC_THREADS).contains(&count) => count as usize,
             Some(_) => {
-                let problem =
-                    format!("a whole number from 1 to {MAX_TRAFFIC_THREADS} (threads) is expected");
+                let problem = format!("a whole number from 1 to {MAX_TRAFFIC_THREADS} (threads)");
                 self.add_error(path, problem);
                 1
             }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -77,7 +77,7 @@
     );
 }
 
-/// Returns the state of the daemon that `/status` shows.
+/// Returns the state of the daemon, which `/status` serves.
 pub fn status(traffic: &Traffic) -> DaemonStatus {
     let now = traffic.clock.now();
     let age_ms = |at: Option<Time>| at.map(|at| now.since(at).as_millis() as u64);
@@ -129,7 +129,7 @@
     }
 }
 
-/// Updates the gauges that `/metrics` shows.
+/// Updates the gauges that `/metrics` serves.
 pub fn set_gauges(traffic: &Traffic) {
     let status = status(traffic);
     let seconds = |millis: Option<u64>| millis.map_or(-1.0, |millis| millis as f64 / 1_000.0);
--- a/daemon/src/engine_reports.rs
+++ b/daemon/src/engine_reports.rs
@@ -21,19 +21,20 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Size of one report exchange including HTTP headers, in bytes, on loopback.
 const REPORT_BYTES: u64 = 550;
-/// Bandwidth budget of this box for reports; half of its budget for all control traffic.
+/// Bandwidth budget of this box for reports, in bytes per second; half of its budget for all control
+/// traffic.
 const REPORT_BYTES_PER_S: u64 = 1_000;
-/// Renewals per TTL, so that the loss of one has no effect.
+/// Renewals per TTL; more than one, so that nothing expires if a renewal is lost.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Age below which a renewal frees nothing. Longer than the time limit of any control call, so that
-/// a renewal which was sent before an attempt or reservation does not free it.
+/// Minimum age of an attempt or reservation that a renewal may free. Longer than the time limit of
+/// any control call, so that a renewal sent before an attempt began can't free it on late arrival.
 const RENEWAL_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
 /// Polls engines until the process ends.
 ///
-/// Each round polls all engines of the own hall, one engine of the other halls in rotation, and
-/// those not polled before. Requests go to other halls only if the own hall has no capacity, and
-/// for that an old report is sufficient.
+/// Each round polls all engines of this hall, one engine of the other halls in rotation, and all
+/// engines that were never polled. Requests go to other halls only if this hall has no capacity,
+/// and for that an old report is sufficient.
 pub async fn run(traffic: &Arc<Traffic>) {
     let mut polled_before = BTreeSet::new();
     for round in 0_usize.. {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Polling interval that keeps within the bandwidth budget.
+/// Returns the pause after a round that keeps the reports within the bandwidth budget.
 fn poll_interval(engines: usize) -> Duration {
     let bytes = engines as u64 * REPORT_BYTES;
     Duration::from_millis(bytes * 1_000 / REPORT_BYTES_PER_S).max(MIN_POLL_INTERVAL)
@@ -76,7 +77,7 @@
 async fn poll(traffic: &Traffic, engine: &ServerInfo) {
     let requested_at = traffic.clock.now();
     let Ok(response) = traffic.engine.report(&engine.address).await else {
-        // Without a response the last report ages; circuit breakers depend on requests only.
+        // The last report ages; circuit breakers count failures of requests, not of reports.
         return;
     };
     let age = Duration::from_millis(response.age_ms);
@@ -109,8 +110,8 @@
         .map_or(DEFAULT_TTL, |view| view.routing.holding_ttl)
 }
 
-/// Returns the holdings to renew, by server. A server without holdings is renewed for one more
-/// TTL, so that a lost cancel or release takes effect with a renewal.
+/// Returns the attempts to renew, by server. A server without any is still renewed for one TTL:
+/// such an empty renewal frees what a lost cancel or release left behind.
 fn next_renewals(traffic: &Traffic) -> Vec<(ServerName, BTreeSet<AttemptId>)> {
     let mut holdings = lock(&traffic.holdings);
     let renewals = holdings.by_server.iter();
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -29,7 +29,7 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Time limit of each half of an exchange.
+/// Time limit of sending a frame, and again of receiving the reply.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval between exchanges while this box has no settings.
 const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(200);
@@ -46,7 +46,7 @@
     std::thread::Builder::new()
         .name("peers".to_owned())
         .spawn(move || listener.serve(|frame| respond(&traffic, frame)))
-        .context("failed to start the thread that serves peers")?;
+        .context("failed to start the peers' thread")?;
     Ok(address)
 }
 
@@ -185,7 +185,7 @@
     Some(frame)
 }
 
-/// Returns the encoded head and, on request, its checkpoint if the peer has an older revision.
+/// Returns the encoded head if the peer has an older revision, and on request its checkpoint.
 fn settings_for(
     traffic: &Traffic,
     requester: &BoxRow,
--- a/daemon/src/placement_control.rs
+++ b/daemon/src/placement_control.rs
@@ -39,7 +39,8 @@
     }
 }
 
-/// Returns the placement settings, or `None` if they place nothing: then no lease is requested.
+/// Returns the placement settings, or `None` if they are not loaded yet or list no copies. Without
+/// them no lease is requested.
 fn placement_settings(traffic: &Traffic) -> Option<PlacementSettings> {
     let view = traffic.settings.load();
     let settings = &view.as_ref()?.placement;
--- a/daemon/src/settings_watch.rs
+++ b/daemon/src/settings_watch.rs
@@ -19,7 +19,7 @@
 use crate::traffic::Traffic;
 use crate::traffic::lock;
 
-/// Wait time of one watch request; each counts as one call at the platform.
+/// Time that one watch request waits for a change; each request counts as one call at the platform.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
 
 /// Watches the settings until the process ends.
@@ -66,8 +66,8 @@
     let head = match read_head(versioned) {
         Ok(head) => head,
         Err(error) => {
-            // Recorded before it is published; otherwise `/status` shows it only after the next
-            // watch.
+            // Recorded before the status is published; otherwise `/status` would not show the error
+            // until the next watch request returns.
             lock(&traffic.settings_follower).record_error(error.clone());
             apply_outcome(traffic, FollowOutcome::Rejected(error));
             return Some(versioned.version);
--- a/daemon/src/stop.rs
+++ b/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: readiness fails, requests in flight complete, then the process exits.
+//! Planned stops: the readiness check fails, requests in flight complete, then the process exits.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,11 +9,11 @@
 
 use crate::traffic::Traffic;
 
-/// Time for the load balancer to notice the failed readiness before new requests are refused.
+/// Time for the load balancer to see the failed readiness check before new requests are refused.
 pub const BALANCER_DETECTION_TIME: Duration = Duration::from_secs(2);
 /// Interval at which the number of requests in flight is checked during a stop.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Idle time after the last response, in which its last bytes are sent.
+/// Time without requests before the exit, in which the last bytes of the last response are sent.
 const FLUSH_TIME: Duration = Duration::from_millis(300);
 
 /// Waits until the daemon may exit: after SIGTERM or SIGINT and the last response, or after a
--- a/daemon/src/telemetry.rs
+++ b/daemon/src/telemetry.rs
@@ -45,7 +45,8 @@
 /// Counter of dropped log lines.
 static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Starts JSON logs on standard output, which never block the process.
+/// Starts JSON logs on standard output. Logging never blocks; lines that exceed the buffer are
+/// dropped.
 ///
 /// Dropping the guard writes the buffered lines.
 pub fn start_stdout_logs() -> WorkerGuard {
@@ -87,7 +88,8 @@
     Ok(handle)
 }
 
-/// Band of prompt lengths, as the value of the label `band`; `service` if there is no prompt.
+/// Returns the value of the label `band`: the order of magnitude of the prompt length in tokens, or
+/// `service` if there is no prompt.
 pub const fn band(prompt_tokens: u64) -> &'static str {
     match prompt_tokens {
         0 => "service",
@@ -128,7 +130,7 @@
     counter!("badgerferry_dropped_frames_total", "why" => reason).increment(1);
 }
 
-/// Sets a gauge to a value.
+/// Sets the gauge with the given metric name.
 pub fn set_gauge(name: &'static str, value: f64) {
     gauge!(name).set(value);
 }
@@ -138,7 +140,7 @@
     counter!("badgerferry_peer_bytes_total", "way" => direction).increment(bytes as u64);
 }
 
-/// Counts an invalid frame from a peer.
+/// Counts a frame from a peer that was dropped as invalid.
 pub fn count_bad_frame(reason: &'static str) {
     counter!("badgerferry_bad_peer_frames_total", "why" => reason).increment(1);
 }
--- a/daemon/tests/test_boxes.rs
+++ b/daemon/tests/test_boxes.rs
@@ -86,6 +86,7 @@
     .await
 }
 
+/// The platform's list lags: it still shows the engine as serving.
 #[tokio::test]
 async fn engine_that_reports_leaving_gets_no_new_requests() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
@@ -133,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn boxes_started_without_platform_refuse_with_no_settings() -> anyhow::Result<()> {
+async fn boxes_started_without_platform_refuse_until_it_returns() -> anyhow::Result<()> {
     let mut fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet
         .set_faults(fleet.platform.address, &json!({"down": true}))
@@ -158,6 +159,7 @@
     Ok(())
 }
 
+/// Guards against two lease holders after the first was suspended for longer than the TTL.
 #[tokio::test]
 async fn suspended_lease_holder_resumes_without_the_lease() -> anyhow::Result<()> {
     let plan = FleetPlan {
@@ -209,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn desired_copies_are_loaded_by_fenced_orders() -> anyhow::Result<()> {
+async fn each_desired_copy_is_loaded_once() -> anyhow::Result<()> {
     let plan = FleetPlan {
         settings: vec![
             ("lease.ttl_ms", 1_500.into()),
@@ -233,10 +235,10 @@
         let Ok(status) = fleet.status(0).await else {
             return false;
         };
-        let has = |server: &&badgerferry_lib::status_wire::ServerStatus| {
+        let has_model = |server: &&badgerferry_lib::status_wire::ServerStatus| {
             server.serves.contains(&"judge@v2".to_owned())
         };
-        status.servers.iter().filter(has).count() == 2
+        status.servers.iter().filter(has_model).count() == 2
     })
     .await?;
     let log = fleet.log(0)? + &fleet.log(1)?;
--- a/daemon/tests/test_command_line.rs
+++ b/daemon/tests/test_command_line.rs
@@ -29,6 +29,7 @@
     Ok(())
 }
 
+/// The platform applies the writes but their responses are lost, so the command sends them again.
 #[tokio::test]
 async fn edit_is_applied_once_if_its_response_is_lost() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
@@ -45,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn concurrent_edits_with_lost_responses_report_their_results() -> anyhow::Result<()> {
+async fn concurrent_edits_with_lost_responses_are_each_applied_once() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
     fleet
         .set_faults(fleet.platform.address, &json!({"lose_write_answers": 6}))
@@ -105,6 +106,7 @@
     Ok(())
 }
 
+/// A suspended box responds to nothing; the wait must name it instead of only timing out.
 #[tokio::test]
 async fn wait_reports_the_box_that_lags() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
@@ -143,16 +145,16 @@
     let weight = stdout(&fleet.cli(&["settings", "get", "crashes", "workspace.weight"])?);
     let text = std::fs::read_to_string(&file)?.replace("texas", "nevada");
     std::fs::write(&file, text)?;
-    let changed = fleet.cli(&["settings", "import", &path])?;
+    let modified = fleet.cli(&["settings", "import", &path])?;
 
     std::fs::remove_file(&file)?;
     assert!(restored.status.success(), "{}", stderr(&restored));
     assert_eq!(weight, "10\n");
-    assert_eq!(changed.status.code(), Some(1));
+    assert_eq!(modified.status.code(), Some(1));
     assert!(
-        stderr(&changed).contains("the digest does not match"),
+        stderr(&modified).contains("the digest does not match"),
         "{}",
-        stderr(&changed)
+        stderr(&modified)
     );
     Ok(())
 }
--- a/edges/src/engine.rs
+++ b/edges/src/engine.rs
@@ -26,7 +26,7 @@
 use crate::http_client::json;
 use crate::http_client::send_once;
 
-/// Maximum size of a line of a response stream; a frame holds one token.
+/// Maximum size of a line of a response stream; a line is one frame, which holds one token.
 const MAX_LINE_BYTES: usize = 64 << 10;
 /// Maximum size of an error body read from a server.
 const MAX_ERROR_BYTES: usize = 64 << 10;
@@ -83,7 +83,7 @@
         address: &str,
     ) -> impl Future<Output = Result<ReportResponse, CallError>> + Send;
 
-    /// Sends an order protected by a fencing token.
+    /// Sends a placement order, protected by a fencing token.
     fn order(
         &self,
         address: &str,
@@ -98,10 +98,10 @@
 }
 
 impl HttpEngine {
-    /// Creates a client whose control calls time out after `timeout`.
-    pub fn new(timeout: Duration) -> Self {
+    /// Creates a client whose control calls time out after `call_timeout`.
+    pub fn new(call_timeout: Duration) -> Self {
         Self {
-            client: ControlClient::new(timeout),
+            client: ControlClient::new(call_timeout),
         }
     }
 }
@@ -113,16 +113,16 @@
     buf: Vec<u8>,
 }
 
-/// The stream ended, failed or contained a line that is not a frame.
+/// The stream ended or failed, or a line was too long or not a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamEnded;
 
 impl FrameStream {
-    /// Returns the next frame. Cancel-safe: a dropped call loses no data.
+    /// Returns the next frame. Cancel safe: dropping the future loses no data.
     ///
     /// # Errors
     ///
-    /// The stream ended, failed or contained a line that is not a frame.
+    /// The stream ended or failed, or a line was too long or not a frame.
     pub async fn next(&mut self) -> Result<Frame, StreamEnded> {
         loop {
             if let Some(end) = self.buf.iter().position(|byte| *byte == b'\n') {
--- a/edges/src/http_client.rs
+++ b/edges/src/http_client.rs
@@ -1,8 +1,8 @@
 //! HTTP calls: requests over a new connection each, and control calls over pooled connections.
 //!
 //! Callers' requests use a new connection each. A failure to connect then proves that the
-//! request was not started, and no HTTP client below can send a request twice. Control calls
-//! are idempotent and use a connection pool, with its automatic retries disabled.
+//! request was not started, and no connection pool can send a request a second time. Control
+//! calls are idempotent and use a connection pool, with its automatic retries disabled.
 
 use std::time::Duration;
 
@@ -142,21 +142,24 @@
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     client: Client<HttpConnector, Body>,
-    time_limit: Duration,
+    call_timeout: Duration,
 }
 
 impl ControlClient {
-    /// Creates a client whose calls time out after `time_limit`.
-    pub fn new(time_limit: Duration) -> Self {
+    /// Creates a client whose calls time out after `call_timeout`.
+    pub fn new(call_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(time_limit));
+        connector.set_connect_timeout(Some(call_timeout));
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
-        Self { client, time_limit }
+        Self {
+            client,
+            call_timeout,
+        }
     }
 
     /// Makes a call with a time limit other than the client's.
@@ -166,7 +169,7 @@
     /// No complete response arrived within the limit.
     pub async fn call_with_timeout(
         &self,
-        time_limit: Duration,
+        call_timeout: Duration,
         method: Method,
         address: &str,
         path: &str,
@@ -193,7 +196,7 @@
                 body: body.to_bytes(),
             })
         };
-        match timeout(time_limit, call).await {
+        match timeout(call_timeout, call).await {
             Ok(response) => response,
             Err(elapsed) => Err(no_response(elapsed.to_string())),
         }
@@ -211,7 +214,7 @@
         path: &str,
         body: impl Into<Bytes>,
     ) -> Result<BufferedResponse, CallError> {
-        self.call_with_timeout(self.time_limit, method, address, path, body)
+        self.call_with_timeout(self.call_timeout, method, address, path, body)
             .await
     }
 
--- a/edges/src/lib.rs
+++ b/edges/src/lib.rs
@@ -1,8 +1,8 @@
 //! Clients of the platform, of backend servers and of peers.
 //!
 //! Each external system is a trait with one implementation, over HTTP or, for peers, over
-//! `nng`. If the users' protocols differ, another implementation is added without changes
-//! elsewhere. This crate makes no decisions: it makes each call once and returns the result.
+//! `nng`. Another protocol needs only another implementation of the trait. This crate makes no
+//! decisions: it makes each call once and returns the result.
 
 pub mod engine;
 pub mod http_client;
--- a/edges/src/peer.rs
+++ b/edges/src/peer.rs
@@ -18,7 +18,7 @@
 
 /// Failure of an exchange, or of listening for peers.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("peer exchange at {address} failed: {cause}")]
+#[error("no exchange with {address}: {cause}")]
 pub struct PeerError {
     address: String,
     cause: String,
--- a/edges/src/platform.rs
+++ b/edges/src/platform.rs
@@ -19,7 +19,7 @@
 use crate::http_client::ControlClient;
 use crate::http_client::parse;
 
-/// Time added to the wait of a watch request for its time limit.
+/// Time by which the timeout of a watch request exceeds its wait time.
 const WATCH_SLACK: Duration = Duration::from_secs(3);
 
 /// Requests that badgerferry sends to the platform.
@@ -72,10 +72,10 @@
 }
 
 impl HttpPlatform {
-    /// Creates a client for the platform at an address, whose calls time out after `time_limit`.
-    pub fn new(address: &str, time_limit: Duration) -> Self {
+    /// Creates a client for the platform at an address, whose calls time out after `call_timeout`.
+    pub fn new(address: &str, call_timeout: Duration) -> Self {
         Self {
-            client: ControlClient::new(time_limit),
+            client: ControlClient::new(call_timeout),
             address: address.to_owned(),
         }
     }
@@ -138,9 +138,9 @@
             "/v1/watch?key={key}&after={after}&wait_ms={}",
             wait.as_millis()
         );
-        let time_limit = wait + WATCH_SLACK;
+        let call_timeout = wait + WATCH_SLACK;
         let call = self.client.call_with_timeout(
-            time_limit,
+            call_timeout,
             Method::GET,
             &self.address,
             &path,
--- a/edges/src/service.rs
+++ b/edges/src/service.rs
@@ -19,7 +19,8 @@
 
 /// Maximum size of a service's response body.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Headers that apply to one connection only and are not forwarded.
+/// Headers that are not forwarded: those that apply to one connection only, and `content-length`,
+/// which is set anew from the buffered body.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -60,7 +61,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HttpService;
 
-/// Whether a header is forwarded.
+/// Returns whether a header is forwarded.
 pub fn is_end_to_end(name: &HeaderName) -> bool {
     !HOP_BY_HOP_HEADERS.contains(&name.as_str())
 }
