--- a/daemon/tests/test_command_line.rs
+++ b/daemon/tests/test_command_line.rs
@@ -29,7 +29,8 @@
     Ok(())
 }
 
-/// The platform applies the writes but their responses are lost, so the command sends them again.
+/// The platform applies a write but its response is lost; submitting the edit again must not
+/// commit it twice.
 #[tokio::test]
 async fn edit_is_applied_once_if_its_response_is_lost() -> anyhow::Result<()> {
     let fleet = Fleet::start(&FleetPlan::default()).await?;
