--- a/cli/src/command_line.rs
+++ b/cli/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as a whole.
+//! Parses the command line and dispatches to the commands.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -26,8 +26,8 @@
 use crate::exit::Failure;
 use crate::session::Session;
 
-/// Variable that stands in for `--platform`.
-const PLATFORM_VARIABLE: &str = "BADGERFERRY_PLATFORM";
+/// Environment variable that gives the platform's address if `--platform` is absent.
+const PLATFORM_ENV_VAR: &str = "BADGERFERRY_PLATFORM";
 
 /// Drives badgerferry: everything is done by editing the settings tree.
 #[derive(FromArgs)]
@@ -55,19 +55,19 @@
     Engines(EnginesArgs),
 }
 
-/// Runs the command that the process was started with.
+/// Runs the command given by the process's arguments and returns its exit code.
 pub fn run() -> ExitCode {
-    let words: Vec<String> = std::env::args().collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let parsed = CommandLine::from_args(&["badgerferry"], words.get(1..).unwrap_or_default());
+    let arguments: Vec<String> = std::env::args().collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let parsed = CommandLine::from_args(&["badgerferry"], arguments.get(1..).unwrap_or_default());
     let line = match parsed {
         Ok(line) => line,
-        Err(early) if early.status.is_ok() => {
-            println!("{}", early.output);
+        Err(early_exit) if early_exit.status.is_ok() => {
+            println!("{}", early_exit.output);
             return ExitCode::SUCCESS;
         }
-        Err(early) => {
-            let message = early.output.trim_end().to_owned();
+        Err(early_exit) => {
+            let message = early_exit.output.trim_end().to_owned();
             return CommandError::new(Failure::Usage, message)
                 .hint("badgerferry --help")
                 .report();
@@ -86,23 +86,23 @@
         .map_err(|cause| CommandError::new(Failure::Refused, cause))?;
     let platform = line
         .platform
-        .or_else(|| std::env::var(PLATFORM_VARIABLE).ok());
-    let patience = Duration::from_secs(line.patience);
+        .or_else(|| std::env::var(PLATFORM_ENV_VAR).ok());
+    let timeout = Duration::from_secs(line.patience);
     let address = || {
         platform.as_deref().ok_or_else(|| {
             CommandError::new(Failure::Usage, "the platform's address is not given")
-                .hint(format!("use --platform ADDRESS or set {PLATFORM_VARIABLE}"))
+                .hint(format!("use --platform ADDRESS or set {PLATFORM_ENV_VAR}"))
         })
     };
-    let session = || Ok(Session::new(address()?, patience));
+    let session = || Ok(Session::new(address()?, timeout));
     runtime.block_on(async {
         match line.command {
-            Command::Settings(args) => cmd_settings(session, patience, args).await,
+            Command::Settings(args) => cmd_settings(session, timeout, args).await,
             Command::Status(args) => cmd_status(&session()?, args).await,
             Command::Suspects(args) => {
                 let store = address()?.parse();
                 let store = store.map_err(|cause| CommandError::new(Failure::Usage, cause))?;
-                cmd_suspects(store, patience, args).await
+                cmd_suspects(store, timeout, args).await
             }
             Command::Explain(args) => cmd_explain(&session()?, args).await,
             Command::KeyDigest(args) => {
--- a/cli/src/commands/engines.rs
+++ b/cli/src/commands/engines.rs
@@ -20,7 +20,7 @@
 use crate::output::Format;
 use crate::output::Table;
 
-/// Engines that are listed with their estimates: those furthest over them.
+/// Number of engines to list: those whose time to the first event exceeds the estimate most.
 const WORST_ENGINES: usize = 8;
 
 /// Say what engines did while prompts waited, from the boxes' logs.
@@ -38,7 +38,7 @@
     plot: Option<PathBuf>,
 }
 
-/// The last line of JSON.
+/// Last line of the JSON output.
 #[derive(Serialize)]
 struct Summary<'a> {
     engines: usize,
@@ -47,7 +47,7 @@
     lines_skipped: u64,
 }
 
-/// Adds up the files' lines.
+/// Aggregates the logs' lines on engines.
 pub fn cmd_engines(args: &EnginesArgs) -> CommandResult {
     if args.files.is_empty() {
         let error = CommandError::new(Failure::Usage, "no log is named");
@@ -56,8 +56,8 @@
     let mut log = EngineLog::default();
     let mut skipped = 0;
     for path in &args.files {
-        log_files::read(path, |line| match line.as_ref().map(engine_line) {
-            Some(Ok(Some((at, line)))) => log.record(at, line),
+        log_files::read(path, |line| match line.as_ref().map(parse_engine_line) {
+            Some(Ok(Some((unix_ms, line)))) => log.record(unix_ms, line),
             Some(Ok(None)) => {}
             Some(Err(())) | None => skipped += 1,
         })?;
@@ -69,13 +69,13 @@
     }
     match Format::from_switch(args.json) {
         Format::Json => print_json(&report, skipped),
-        Format::Table => print!("{}", text_of(&report, skipped)),
+        Format::Table => print!("{}", render_text(&report, skipped)),
     }
     Ok(())
 }
 
-/// What a line tells of engines, if it does; an error where such a line lacks what it should hold.
-fn engine_line(line: &LogLine) -> Result<Option<(u64, EngineLine)>, ()> {
+/// Parses a line on engines: `Ok(None)` for other messages, an error if a field is missing.
+fn parse_engine_line(line: &LogLine) -> Result<Option<(u64, EngineLine)>, ()> {
     let Some(message) = line.value.get("message").and_then(Value::as_str) else {
         return Err(());
     };
@@ -83,7 +83,7 @@
         let call = line.value.get("call").and_then(Value::as_str);
         call.map(str::to_owned).ok_or(())
     };
-    let told = match message {
+    let event = match message {
         "call routed" => {
             let routed = serde_json::from_value(line.value.clone());
             EngineLine::Routed(routed.map_err(|_malformed| ())?)
@@ -92,7 +92,7 @@
         "call ended" => EngineLine::Ended { call: call()? },
         _ => return Ok(None),
     };
-    Ok(Some((line.millis.ok_or(())?, told)))
+    Ok(Some((line.unix_ms.ok_or(())?, event)))
 }
 
 fn print_json(report: &EngineReport, lines_skipped: u64) {
@@ -110,7 +110,7 @@
     }));
 }
 
-fn text_of(report: &EngineReport, skipped: u64) -> String {
+fn render_text(report: &EngineReport, skipped: u64) -> String {
     let share = |part: f64| format!("{part:.2}");
     let cells =
         |time: EngineUtilization| [time.reads, time.held, time.writes, time.unused].map(share);
@@ -119,17 +119,17 @@
         let mut line = vec![row.second.to_string()];
         line.extend(cells(row.time));
         line.push(format!("{:.1}", row.waiting));
-        seconds.row(line);
+        seconds.push_row(line);
     }
     if let Some(time) = report.while_waiting {
         let mut line = vec!["waiting".to_owned()];
         line.extend(cells(time));
-        seconds.row(line);
+        seconds.push_row(line);
     }
     let mut engines = Table::new(&["ENGINE", "CALLS", "FIRST EVENT/EXPECTED: MEDIAN"]);
     for row in report.estimates.iter().take(WORST_ENGINES) {
-        let over = format!("{:.2}", row.over_expected);
-        engines.row([row.engine.clone(), row.calls.to_string(), over]);
+        let ratio = format!("{:.2}", row.over_expected);
+        engines.push_row([row.engine.clone(), row.calls.to_string(), ratio]);
     }
     let count = format!("{} engines; {skipped} lines skipped\n", report.engines);
     [seconds.render(), engines.render(), count].join("\n")
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::commands::settings::key_of;
-use crate::commands::settings::node_of;
+use crate::commands::settings::find_node;
+use crate::commands::settings::parse_key;
 use crate::exit::CommandResult;
 use crate::output::Format;
 use crate::session::Session;
@@ -42,11 +42,11 @@
     set: Option<Value>,
 }
 
-/// Prints each step from the node to the value's origin.
+/// Prints each node from the given one up to the one that sets the value.
 pub async fn cmd_explain(session: &Session, args: ExplainArgs) -> CommandResult {
-    let key = key_of(&args.key)?;
-    let tree = session.current().await?.tree;
-    let mut at = Some(node_of(&tree, &args.node)?);
+    let key = parse_key(&args.key)?;
+    let tree = session.read_settings().await?.tree;
+    let mut next = Some(find_node(&tree, &args.node)?);
     let setting = key.setting();
     let mut explanation = Explanation {
         key: key.as_str(),
@@ -56,21 +56,21 @@
         help: setting.help,
         steps: Vec::new(),
     };
-    if let Some(node) = &at {
+    if let Some(node) = &next {
         explanation.value = tree.effective(node, key);
     }
-    while let Some(name) = at.take() {
+    while let Some(name) = next.take() {
         let Some(node) = tree.node(&name) else { break };
         let set = node.set.get(key.as_str()).cloned();
         let found = set.is_some();
         explanation.steps.push(Step { node: name, set });
-        at = node.parent.clone().filter(|_| !found);
+        next = node.parent.clone().filter(|_| !found);
     }
-    Format::from_switch(args.json).print(&explanation, || text_of(&explanation));
+    Format::from_switch(args.json).print(&explanation, || render_text(&explanation));
     Ok(())
 }
 
-fn text_of(explanation: &Explanation) -> String {
+fn render_text(explanation: &Explanation) -> String {
     let Explanation {
         key,
         value,
--- a/cli/src/commands/key_digest.rs
+++ b/cli/src/commands/key_digest.rs
@@ -13,7 +13,7 @@
     key: String,
 }
 
-/// Prints the digest.
+/// Prints the SHA-256 digest in hexadecimal.
 pub fn cmd_key_digest(args: &KeyDigestArgs) {
     println!("{}", hex::encode(Sha256::digest(args.key.as_bytes())));
 }
--- a/cli/src/commands/limits.rs
+++ b/cli/src/commands/limits.rs
@@ -26,32 +26,32 @@
     json: bool,
 }
 
-/// Adds up the files' lines.
+/// Summarizes the logs' lines on limits, load shedding and leaving servers.
 ///
 /// # Errors
 ///
-/// No file is named, or one can't be read.
+/// Returns an error if no file is given or one can't be read.
 pub fn cmd_limits(args: &LimitsArgs) -> CommandResult {
     if args.files.is_empty() {
         let error = CommandError::new(Failure::Usage, "no log is named");
         return Err(error.hint("badgerferry limits FILE..."));
     }
-    let mut uses = LimitSummary::default();
+    let mut summary = LimitSummary::default();
     for path in &args.files {
         log_files::read(path, |line| {
             let value = line.map(|line| line.value);
-            // Most lines tell of something else.
+            // Lines that are not about limits fail to deserialize and are skipped.
             let line = value.and_then(|value| serde_json::from_value::<LimitLogLine>(value).ok());
             if let Some(line) = line {
-                uses.add(line);
+                summary.add(line);
             }
         })?;
     }
-    Format::from_switch(args.json).print(&uses, || text_of(&uses));
+    Format::from_switch(args.json).print(&summary, || render_text(&summary));
     Ok(())
 }
 
-fn text_of(uses: &LimitSummary) -> String {
+fn render_text(summary: &LimitSummary) -> String {
     let (mut limited, mut others) = (
         Table::new(&["SERVER", "CALLS/S", "SINCE", "WENT", "FULL", "LONGEST WAIT"]),
         Table::new(&[
@@ -64,32 +64,32 @@
         ]),
     );
     let or_dash = |text: &Option<String>| text.clone().unwrap_or_else(|| "-".to_owned());
-    for (server, of) in &uses.servers {
-        if of.since.is_some() || of.granted + of.full > 0 {
-            let limit = of.limit.map(|limit| limit.to_string());
-            limited.row([
+    for (server, usage) in &summary.servers {
+        if usage.since.is_some() || usage.granted + usage.full > 0 {
+            let limit = usage.limit.map(|limit| limit.to_string());
+            limited.push_row([
                 server.clone(),
                 limit.unwrap_or_else(|| "over".to_owned()),
-                or_dash(&of.since),
-                of.granted.to_string(),
-                of.full.to_string(),
-                format!("{} ms", of.longest_wait_ms),
+                or_dash(&usage.since),
+                usage.granted.to_string(),
+                usage.full.to_string(),
+                format!("{} ms", usage.longest_wait_ms),
             ]);
         }
-        if of.leaves_since.is_some() || of.shed + of.held_back > 0 {
-            let pause = of.pause_ms.map(|pause| format!("{pause} ms"));
-            others.row([
+        if usage.leaves_since.is_some() || usage.shed + usage.held_back > 0 {
+            let pause = usage.pause_ms.map(|pause| format!("{pause} ms"));
+            others.push_row([
                 server.clone(),
-                or_dash(&of.leaves_since),
-                of.shed.to_string(),
-                or_dash(&of.shed_at),
+                or_dash(&usage.leaves_since),
+                usage.shed.to_string(),
+                or_dash(&usage.shed_at),
                 or_dash(&pause),
-                of.held_back.to_string(),
+                usage.held_back.to_string(),
             ]);
         }
     }
-    let refused: u64 = uses.refused.values().sum();
-    let by_outcome: Vec<String> = (uses.refused.iter())
+    let refused: u64 = summary.refused.values().sum();
+    let by_outcome: Vec<String> = (summary.refused.iter())
         .map(|(outcome, calls)| format!(" {outcome} {calls}"))
         .collect();
     format!(
@@ -97,6 +97,6 @@
         limited.render(),
         others.render(),
         by_outcome.concat(),
-        uses.unanswered
+        summary.unanswered
     )
 }
--- a/cli/src/commands/lost.rs
+++ b/cli/src/commands/lost.rs
@@ -19,9 +19,9 @@
 use crate::output::Format;
 use crate::output::Table;
 
-/// Worst seconds that are listed.
+/// Number of seconds to list: those with the most lost calls.
 const WORST_SECONDS: usize = 5;
-/// Bytes of a line's time that tell its second, as in 2026-03-07T04:57:50.
+/// Length in bytes of a timestamp up to its second, as in 2026-03-07T04:57:50.
 const SECOND_LEN: usize = 19;
 
 /// Say why calls were late or not served, from the boxes' logs.
@@ -66,27 +66,27 @@
     row: &'a LostRow,
 }
 
-/// Adds up the files' lines.
+/// Aggregates the end-of-call lines of the logs.
 pub fn cmd_lost(args: &LostArgs) -> CommandResult {
     if args.files.is_empty() {
         let error = CommandError::new(Failure::Usage, "no log is named");
         return Err(error.hint("badgerferry lost FILE..."));
     }
-    let mut all = LostCalls::default();
+    let mut lost_calls = LostCalls::default();
     for path in &args.files {
         log_files::read(path, |line| {
-            if let Some((second, line)) = line.as_ref().and_then(call_line) {
-                all.add(&second, &line);
+            if let Some((second, line)) = line.as_ref().and_then(parse_call_end) {
+                lost_calls.add(&second, &line);
             }
         })?;
     }
-    let report = report(&all);
-    Format::from_switch(args.json).print(&report, || text_of(&report));
+    let report = report(&lost_calls);
+    Format::from_switch(args.json).print(&report, || render_text(&report));
     Ok(())
 }
 
-/// The last line of a call, and the second in which it was written.
-fn call_line(line: &LogLine) -> Option<(String, CallRecord)> {
+/// Parses the end-of-call line and the second of its timestamp.
+fn parse_call_end(line: &LogLine) -> Option<(String, CallRecord)> {
     let value = &line.value;
     if value.get("message")?.as_str()? != CALL_END_MESSAGE {
         return None;
@@ -96,14 +96,14 @@
     Some((second.to_owned(), line))
 }
 
-fn report(all: &LostCalls) -> Report<'_> {
-    let estimates = all.prefill_ratios();
-    let sizes = all.calls.iter().map(|(size, &calls)| SizeRow {
+fn report(lost_calls: &LostCalls) -> Report<'_> {
+    let estimates = lost_calls.prefill_ratios();
+    let sizes = lost_calls.calls.iter().map(|(size, &calls)| SizeRow {
         size: size.to_string(),
         calls,
         read_over_expected: estimates.get(size).copied(),
     });
-    let mut lost: Vec<CauseRow<'_>> = (all.lost.iter())
+    let mut lost: Vec<CauseRow<'_>> = (lost_calls.lost.iter())
         .map(|((size, cause), row)| CauseRow {
             size: size.to_string(),
             cause: cause.to_string(),
@@ -111,12 +111,12 @@
         })
         .collect();
     lost.sort_by_key(|row| std::cmp::Reverse((row.row.tokens, row.row.calls)));
-    let mut worst_seconds: Vec<(&str, u64)> = (all.seconds.iter())
+    let mut worst_seconds: Vec<(&str, u64)> = (lost_calls.seconds.iter())
         .map(|(second, &calls)| (second.as_str(), calls))
         .collect();
     worst_seconds.sort_by_key(|&(_, calls)| std::cmp::Reverse(calls));
     worst_seconds.truncate(WORST_SECONDS);
-    let served = all.served_shares().into_iter();
+    let served = lost_calls.served_shares().into_iter();
     Report {
         sizes: sizes.collect(),
         served: served
@@ -127,14 +127,14 @@
     }
 }
 
-fn text_of(report: &Report<'_>) -> String {
+fn render_text(report: &Report<'_>) -> String {
     let heading = ["SIZE", "CALLS", "READ/EXPECTED: MEDIAN", "P90", "WORST"];
     let mut sizes = Table::new(&heading);
     for row in &report.sizes {
         let ratio =
             |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.2}"));
         let read = row.read_over_expected;
-        sizes.row([
+        sizes.push_row([
             row.size.clone(),
             row.calls.to_string(),
             ratio(read.map(|read| read.median)),
@@ -151,7 +151,7 @@
     ];
     let mut served = Table::new(&heading);
     for ServedRow { route, shares } in &report.served {
-        served.row([
+        served.push_row([
             (*route).to_owned(),
             shares.prompts.to_string(),
             format!("{:.2}", shares.all),
@@ -161,7 +161,7 @@
     }
     let mut lost = Table::new(&["SIZE", "LOST", "TOKENS", "CAUSE", "LOOK AT"]);
     for CauseRow { size, cause, row } in &report.lost {
-        lost.row([
+        lost.push_row([
             size.clone(),
             row.calls.to_string(),
             row.tokens.to_string(),
@@ -171,7 +171,7 @@
     }
     let mut seconds = Table::new(&["SECOND", "LOST"]);
     for (second, calls) in &report.worst_seconds {
-        seconds.row([(*second).to_owned(), calls.to_string()]);
+        seconds.push_row([(*second).to_owned(), calls.to_string()]);
     }
     let tables = [sizes, served, lost, seconds];
     tables.map(|table| table.render()).join("\n")
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file for each command: its arguments and what it does.
+//! The commands, one module each with its arguments and its implementation.
 
 pub mod engines;
 pub mod explain;
--- a/cli/src/commands/settings.rs
+++ b/cli/src/commands/settings.rs
@@ -79,7 +79,7 @@
 /// Runs one of the settings commands.
 pub async fn cmd_settings(
     session: impl Fn() -> Result<Session, CommandError>,
-    patience: Duration,
+    timeout: Duration,
     args: SettingsArgs,
 ) -> CommandResult {
     match args.command {
@@ -94,7 +94,7 @@
         SettingsCommand::Diff(args) => cmd_settings_diff(&session()?, args).await,
         SettingsCommand::Log(args) => cmd_settings_log(&session()?, args).await,
         SettingsCommand::Check(args) => cmd_settings_check(&args),
-        SettingsCommand::Wait(args) => cmd_settings_wait(&session()?, patience, args).await,
+        SettingsCommand::Wait(args) => cmd_settings_wait(&session()?, timeout, args).await,
         SettingsCommand::Export(args) => cmd_settings_export(&session()?, args).await,
         SettingsCommand::Import(args) => cmd_settings_import(&session()?, args).await,
         SettingsCommand::Keys(args) => {
@@ -104,16 +104,16 @@
     }
 }
 
-/// Finds a key, or says that there is none.
-pub fn key_of(text: &str) -> Result<Key, CommandError> {
+/// Parses a setting's key.
+pub fn parse_key(text: &str) -> Result<Key, CommandError> {
     Key::parse(text).ok_or_else(|| {
         CommandError::new(Failure::Refused, format!("{text}: no such setting"))
             .hint("`badgerferry settings keys` lists them")
     })
 }
 
-/// Finds a node, or says that there is none.
-pub fn node_of(tree: &SettingsTree, name: &str) -> Result<NodeName, CommandError> {
+/// Returns the name of a node if the tree has it.
+pub fn find_node(tree: &SettingsTree, name: &str) -> Result<NodeName, CommandError> {
     let name = NodeName::new(name);
     match tree.node(&name) {
         Some(_) => Ok(name),
@@ -124,19 +124,19 @@
     }
 }
 
-/// An edit identifier from the command line.
-pub fn edit_id_of(text: Option<&str>) -> Result<Option<EditId>, CommandError> {
+/// Parses the value of `--edit-id`.
+pub fn parse_edit_id(text: Option<&str>) -> Result<Option<EditId>, CommandError> {
     let parsed = text.map(str::parse).transpose();
     parsed.map_err(|cause| CommandError::new(Failure::Usage, format!("--edit-id: {cause}")))
 }
 
-/// What an edit made.
+/// JSON output of a committed edit.
 #[derive(Serialize)]
-struct Made {
+struct CommitOutput {
     revision: Revision,
 }
 
-/// Commits changes and prints the revision that they made.
+/// Commits changes as one edit and prints the resulting revision.
 pub async fn commit_changes(
     session: &Session,
     changes: Vec<Change>,
@@ -144,14 +144,14 @@
     edit_id: Option<&str>,
     json: bool,
 ) -> CommandResult {
-    let id = edit_id_of(edit_id)?;
+    let id = parse_edit_id(edit_id)?;
     let base = match base {
         Some(base) => Revision(base),
-        None => session.current().await?.head.revision,
+        None => session.read_settings().await?.head.revision,
     };
     let submission = Submission { changes, base, id };
     let revision = session.commit(submission).await?;
-    let made = Made { revision };
-    Format::from_switch(json).print(&made, || format!("revision {revision}\n"));
+    let output = CommitOutput { revision };
+    Format::from_switch(json).print(&output, || format!("revision {revision}\n"));
     Ok(())
 }
--- a/cli/src/commands/settings_add.rs
+++ b/cli/src/commands/settings_add.rs
@@ -36,11 +36,11 @@
     json: bool,
 }
 
-/// Commits the edit.
+/// Commits an edit that adds the node.
 pub async fn cmd_settings_add(session: &Session, args: SettingsAddArgs) -> CommandResult {
     let change = Change::Add {
         node: NodeName::new(args.node),
-        kind: kind_of(&args.kind)?,
+        kind: parse_kind(&args.kind)?,
         parent: NodeName::new(args.parent),
     };
     commit_changes(
@@ -53,7 +53,7 @@
     .await
 }
 
-fn kind_of(text: &str) -> Result<NodeKind, CommandError> {
+fn parse_kind(text: &str) -> Result<NodeKind, CommandError> {
     match text {
         "region" => Ok(NodeKind::Region),
         "hall" => Ok(NodeKind::Hall),
--- a/cli/src/commands/settings_check.rs
+++ b/cli/src/commands/settings_check.rs
@@ -25,53 +25,53 @@
 }
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckOutput {
     nodes: usize,
 }
 
-/// Checks the file.
+/// Validates the tree in the file.
 pub fn cmd_settings_check(args: &SettingsCheckArgs) -> CommandResult {
     let tree = read_tree(&args.file)?;
-    let checked = Checked {
+    let output = CheckOutput {
         nodes: tree.nodes().len(),
     };
-    Format::from_switch(args.json).print(&checked, || {
+    Format::from_switch(args.json).print(&output, || {
         format!(
             "{}: good, {} nodes
 ",
             args.file.display(),
-            checked.nodes
+            output.nodes
         )
     });
     Ok(())
 }
 
-/// Reads a tree and tells all its faults at once.
+/// Reads a tree from a file; the error lists all validation errors.
 pub fn read_tree(path: &Path) -> Result<SettingsTree, CommandError> {
     let text = read_file(path)?;
     let tree: SettingsTree = serde_json::from_str(&text).map_err(|cause| {
         CommandError::new(Failure::Refused, format!("{}: {cause}", path.display()))
             .hint("`badgerferry settings show --json` prints a tree in this form")
     })?;
-    let faults: Vec<_> = tree
+    let errors: Vec<_> = tree
         .validation_errors()
         .iter()
         .map(ToString::to_string)
         .collect();
-    if faults.is_empty() {
+    if errors.is_empty() {
         return Ok(tree);
     }
     let message = format!(
         "{}: {} faults:\n  {}",
         path.display(),
-        faults.len(),
-        faults.join("\n  ")
+        errors.len(),
+        errors.join("\n  ")
     );
     Err(CommandError::new(Failure::Refused, message)
         .hint("`badgerferry settings keys` lists the settings"))
 }
 
-/// Reads a file.
+/// Reads a text file; the error names its path.
 pub fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|cause| {
         CommandError::new(
--- a/cli/src/commands/settings_diff.rs
+++ b/cli/src/commands/settings_diff.rs
@@ -22,13 +22,13 @@
     json: bool,
 }
 
-/// Prints the changes.
+/// Prints the changes from the current tree to the file's tree.
 pub async fn cmd_settings_diff(session: &Session, args: SettingsDiffArgs) -> CommandResult {
-    let wanted = read_tree(&args.file)?;
-    let current = session.current().await?;
-    let changes = current.tree.changes_to(&wanted);
+    let target = read_tree(&args.file)?;
+    let current = session.read_settings().await?;
+    let changes = current.tree.changes_to(&target);
     Format::from_switch(args.json).print(&changes, || {
-        let lines: Vec<_> = changes.iter().map(change_line).collect();
+        let lines: Vec<_> = changes.iter().map(describe_change).collect();
         lines.join(
             "
 ",
@@ -38,8 +38,8 @@
     Ok(())
 }
 
-/// One line for a change.
-pub fn change_line(change: &Change) -> String {
+/// Describes a change in one line.
+pub fn describe_change(change: &Change) -> String {
     match change {
         Change::Add { node, kind, parent } => {
             format!(
--- a/cli/src/commands/settings_edit.rs
+++ b/cli/src/commands/settings_edit.rs
@@ -7,7 +7,7 @@
 
 use crate::commands::settings::commit_changes;
 use crate::commands::settings_check::read_tree;
-use crate::commands::settings_diff::change_line;
+use crate::commands::settings_diff::describe_change;
 use crate::exit::CommandResult;
 use crate::session::Session;
 
@@ -23,29 +23,29 @@
     json: bool,
 }
 
-/// Commits what differs.
+/// Commits the changes from the current tree to the file's tree.
 pub async fn cmd_settings_edit(session: &Session, args: SettingsEditArgs) -> CommandResult {
-    let wanted = read_tree(&args.file)?;
-    put_in_force(session, &wanted, false, args.json).await
+    let target = read_tree(&args.file)?;
+    apply_tree(session, &target, false, args.json).await
 }
 
-/// Shows what differs from a wanted tree and, unless it is a dry run, commits it as one edit.
-pub async fn put_in_force(
+/// Prints the changes to reach `target` and, unless it is a dry run, commits them as one edit.
+pub async fn apply_tree(
     session: &Session,
-    wanted: &SettingsTree,
+    target: &SettingsTree,
     dry_run: bool,
     json: bool,
 ) -> CommandResult {
-    let current = session.current().await?;
+    let current = session.read_settings().await?;
     let base = current.head.revision;
-    let changes = current.tree.changes_to(wanted);
+    let changes = current.tree.changes_to(target);
     if changes.is_empty() {
         println!("nothing differs from revision {base}");
         return Ok(());
     }
     if !json {
         for change in &changes {
-            println!("{}", change_line(change));
+            println!("{}", describe_change(change));
         }
     }
     if dry_run {
--- a/cli/src/commands/settings_export.rs
+++ b/cli/src/commands/settings_export.rs
@@ -19,9 +19,9 @@
     file: PathBuf,
 }
 
-/// Writes the file.
+/// Writes a snapshot of the tree to the file.
 pub async fn cmd_settings_export(session: &Session, args: SettingsExportArgs) -> CommandResult {
-    let current = session.current().await?;
+    let current = session.read_settings().await?;
     let snapshot = SettingsSnapshot::new(current.head.revision, current.tree);
     std::fs::write(&args.file, snapshot.to_json()).map_err(|cause| {
         let message = format!("failed to write {}: {cause}", args.file.display());
--- a/cli/src/commands/settings_get.rs
+++ b/cli/src/commands/settings_get.rs
@@ -2,8 +2,8 @@
 
 use argh::FromArgs;
 
-use crate::commands::settings::key_of;
-use crate::commands::settings::node_of;
+use crate::commands::settings::find_node;
+use crate::commands::settings::parse_key;
 use crate::exit::CommandResult;
 use crate::output::Format;
 use crate::session::Session;
@@ -23,11 +23,11 @@
     json: bool,
 }
 
-/// Prints the value.
+/// Prints the effective value of a setting at a node.
 pub async fn cmd_settings_get(session: &Session, args: SettingsGetArgs) -> CommandResult {
-    let key = key_of(&args.key)?;
-    let current = session.current().await?;
-    let node = node_of(&current.tree, &args.node)?;
+    let key = parse_key(&args.key)?;
+    let current = session.read_settings().await?;
+    let node = find_node(&current.tree, &args.node)?;
     let value = current.tree.effective(&node, key);
     Format::from_switch(args.json).print(&value, || format!("{value}\n"));
     Ok(())
--- a/cli/src/commands/settings_import.rs
+++ b/cli/src/commands/settings_import.rs
@@ -6,7 +6,7 @@
 use badgerferry_lib::settings_snapshot::SettingsSnapshot;
 
 use crate::commands::settings_check::read_file;
-use crate::commands::settings_edit::put_in_force;
+use crate::commands::settings_edit::apply_tree;
 use crate::exit::CommandError;
 use crate::exit::CommandResult;
 use crate::exit::Failure;
@@ -27,7 +27,7 @@
     json: bool,
 }
 
-/// Commits what differs from the backup.
+/// Commits the changes from the current tree to the backup's tree.
 pub async fn cmd_settings_import(session: &Session, args: SettingsImportArgs) -> CommandResult {
     let text = read_file(&args.file)?;
     let snapshot = SettingsSnapshot::from_json(&text).map_err(|cause| {
@@ -37,5 +37,5 @@
         )
         .hint("nothing was changed")
     })?;
-    put_in_force(session, snapshot.tree(), args.dry_run, args.json).await
+    apply_tree(session, snapshot.tree(), args.dry_run, args.json).await
 }
--- a/cli/src/commands/settings_keys.rs
+++ b/cli/src/commands/settings_keys.rs
@@ -10,11 +10,11 @@
 #[argh(subcommand, name = "keys")]
 pub struct SettingsKeysArgs {}
 
-/// Prints the table.
+/// Prints the settings schema as a table.
 pub fn cmd_settings_keys(_args: &SettingsKeysArgs) {
     let mut table = Table::new(&["KEY", "DEFAULT", "UNIT", "TAKES", "MEANING"]);
     for setting in SETTINGS {
-        table.row([
+        table.push_row([
             setting.key.to_string(),
             setting.domain.default_value().to_string(),
             setting.unit.to_owned(),
--- a/cli/src/commands/settings_log.rs
+++ b/cli/src/commands/settings_log.rs
@@ -3,7 +3,7 @@
 use argh::FromArgs;
 use badgerferry_lib::settings_head::CommittedEdit;
 
-use crate::commands::settings_diff::change_line;
+use crate::commands::settings_diff::describe_change;
 use crate::exit::CommandResult;
 use crate::output::Format;
 use crate::session::Session;
@@ -20,24 +20,24 @@
     json: bool,
 }
 
-/// Prints the edits.
+/// Prints edits from the head, then from as many checkpoints as `--limit` needs.
 pub async fn cmd_settings_log(session: &Session, args: SettingsLogArgs) -> CommandResult {
-    let current = session.current().await?;
+    let current = session.read_settings().await?;
     let mut edits: Vec<CommittedEdit> = current.head.edits;
     edits.reverse();
-    let mut before = current.checkpoint;
-    while let Some(checkpoint) = before.take().filter(|_| edits.len() < args.limit) {
+    let mut next_checkpoint = current.checkpoint;
+    while let Some(checkpoint) = next_checkpoint.take().filter(|_| edits.len() < args.limit) {
         edits.extend(checkpoint.edits.into_iter().rev());
         if let Some(previous) = checkpoint.previous {
-            before = session.checkpoint(&previous.key).await?;
+            next_checkpoint = session.checkpoint(&previous.key).await?;
         }
     }
     edits.truncate(args.limit);
-    Format::from_switch(args.json).print(&edits, || edits.iter().map(entry).collect());
+    Format::from_switch(args.json).print(&edits, || edits.iter().map(describe_edit).collect());
     Ok(())
 }
 
-fn entry(committed: &CommittedEdit) -> String {
+fn describe_edit(committed: &CommittedEdit) -> String {
     let edit = &committed.edit;
     let mut text = format!(
         "revision {}  edit {}  by {}\n",
@@ -45,7 +45,7 @@
     );
     for change in &edit.changes {
         text.push_str("    ");
-        text.push_str(&change_line(change));
+        text.push_str(&describe_change(change));
         text.push('\n');
     }
     text
--- a/cli/src/commands/settings_move.rs
+++ b/cli/src/commands/settings_move.rs
@@ -29,7 +29,7 @@
     json: bool,
 }
 
-/// Commits the edit.
+/// Commits an edit that changes the node's parent.
 pub async fn cmd_settings_move(session: &Session, args: SettingsMoveArgs) -> CommandResult {
     let change = Change::Move {
         node: NodeName::new(args.node),
--- a/cli/src/commands/settings_remove.rs
+++ b/cli/src/commands/settings_remove.rs
@@ -26,7 +26,7 @@
     json: bool,
 }
 
-/// Commits the edit.
+/// Commits an edit that removes the node.
 pub async fn cmd_settings_remove(session: &Session, args: SettingsRemoveArgs) -> CommandResult {
     let change = Change::Remove {
         node: NodeName::new(args.node),
--- a/cli/src/commands/settings_set.rs
+++ b/cli/src/commands/settings_set.rs
@@ -33,12 +33,12 @@
     json: bool,
 }
 
-/// Commits the edit.
+/// Commits an edit that sets the override.
 pub async fn cmd_settings_set(session: &Session, args: SettingsSetArgs) -> CommandResult {
     let change = Change::Set {
         node: NodeName::new(args.node),
         key: args.key,
-        value: value_of(&args.value),
+        value: parse_value(&args.value),
     };
     commit_changes(
         session,
@@ -50,7 +50,7 @@
     .await
 }
 
-/// Reads a value as JSON; what is no JSON is a word.
-fn value_of(text: &str) -> Value {
-    serde_json::from_str(text).unwrap_or_else(|_a_word| Value::from(text))
+/// Parses a value as JSON; text that is not valid JSON becomes a string.
+fn parse_value(text: &str) -> Value {
+    serde_json::from_str(text).unwrap_or_else(|_not_json| Value::from(text))
 }
--- a/cli/src/commands/settings_show.rs
+++ b/cli/src/commands/settings_show.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::commands::settings::node_of;
+use crate::commands::settings::find_node;
 use crate::exit::CommandResult;
 use crate::output::Format;
 use crate::output::Table;
@@ -33,13 +33,13 @@
     from: String,
 }
 
-/// Prints the tree or a node.
+/// Prints the whole tree, or the effective values at one node.
 pub async fn cmd_settings_show(session: &Session, args: SettingsShowArgs) -> CommandResult {
-    let current = session.current().await?;
+    let current = session.read_settings().await?;
     let format = Format::from_switch(args.json);
     match &args.effective {
         Some(node) => {
-            let node = node_of(&current.tree, node)?;
+            let node = find_node(&current.tree, node)?;
             let rows = effective_rows(&current.tree, &node);
             format.print(&rows, || effective_table(&rows));
         }
@@ -68,7 +68,7 @@
     let mut table = Table::new(&["KEY", "VALUE", "UNIT", "FROM"]);
     for row in rows {
         let value = row.value.to_string();
-        table.row([
+        table.push_row([
             row.key.to_owned(),
             value,
             row.unit.to_owned(),
@@ -84,11 +84,11 @@
         let kind = format!("{:?}", node.kind).to_lowercase();
         let parent = node.parent.as_ref().map_or("-", NodeName::as_str);
         if node.set.is_empty() {
-            table.row([name.to_string(), kind.clone(), parent.to_owned()]);
+            table.push_row([name.to_string(), kind.clone(), parent.to_owned()]);
         }
         for (key, value) in &node.set {
             let cells = [name.as_str(), &kind, parent, key, &value.to_string()];
-            table.row(cells.map(str::to_owned));
+            table.push_row(cells.map(str::to_owned));
         }
     }
     table.render()
--- a/cli/src/commands/settings_unset.rs
+++ b/cli/src/commands/settings_unset.rs
@@ -29,7 +29,7 @@
     json: bool,
 }
 
-/// Commits the edit.
+/// Commits an edit that removes the override.
 pub async fn cmd_settings_unset(session: &Session, args: SettingsUnsetArgs) -> CommandResult {
     let change = Change::Unset {
         node: NodeName::new(args.node),
--- a/cli/src/commands/settings_wait.rs
+++ b/cli/src/commands/settings_wait.rs
@@ -14,11 +14,11 @@
 use crate::exit::CommandResult;
 use crate::exit::Failure;
 use crate::output::Format;
-use crate::output::ago;
+use crate::output::format_age;
 use crate::session::Session;
 
-/// Time between two looks at the boxes.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval between two polls of the boxes.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Wait until every live box has a revision in force.
 #[derive(FromArgs)]
@@ -38,83 +38,91 @@
     boxes: usize,
 }
 
-struct Seen {
+struct PolledBox {
     info: BoxInfo,
     status: Option<DaemonStatus>,
 }
 
-/// Waits, and names the boxes that do not have it in time.
+/// Polls the live boxes; after `timeout` the error lists those without the revision.
 pub async fn cmd_settings_wait(
     session: &Session,
-    patience: Duration,
+    timeout: Duration,
     args: SettingsWaitArgs,
 ) -> CommandResult {
     let wanted = Revision(args.revision);
     let start = Instant::now();
     loop {
-        let seen = look(session).await?;
-        let behind: Vec<_> = seen.iter().filter(|row| !has(row, wanted)).collect();
+        let polled = poll_boxes(session).await?;
+        let behind: Vec<_> = polled
+            .iter()
+            .filter(|row| !has_revision(row, wanted))
+            .collect();
         if behind.is_empty() {
             let in_force = InForce {
                 revision: wanted,
-                boxes: seen.len(),
+                boxes: polled.len(),
             };
             Format::from_switch(args.json).print(&in_force, || {
                 format!(
                     "revision {wanted} is in force on {} boxes
 ",
-                    seen.len()
+                    polled.len()
                 )
             });
             return Ok(());
         }
-        if start.elapsed() >= patience {
-            let lines: Vec<_> = behind.iter().map(|row| line(row, &seen)).collect();
+        if start.elapsed() >= timeout {
+            let lines: Vec<_> = behind
+                .iter()
+                .map(|row| describe_box(row, &polled))
+                .collect();
             let message = format!(
                 "revision {wanted} is not in force on {} of {} boxes:\n  {}",
                 behind.len(),
-                seen.len(),
+                polled.len(),
                 lines.join("\n  ")
             );
             return Err(CommandError::new(Failure::NotInForce, message)
                 .hint("a box that is cut off takes it up as soon as it reaches a peer"));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn look(session: &Session) -> Result<Vec<Seen>, CommandError> {
+async fn poll_boxes(session: &Session) -> Result<Vec<PolledBox>, CommandError> {
     let boxes = session.boxes().await?;
     let live: Vec<_> = boxes.into_iter().filter(|info| !info.leaving).collect();
     let statuses = join_all(live.iter().map(|info| session.status_of(&info.address))).await;
     let rows = live.into_iter().zip(statuses);
-    Ok(rows.map(|(info, status)| Seen { info, status }).collect())
+    Ok(rows
+        .map(|(info, status)| PolledBox { info, status })
+        .collect())
 }
 
-fn has(row: &Seen, wanted: Revision) -> bool {
+fn has_revision(row: &PolledBox, wanted: Revision) -> bool {
     let status = row.status.as_ref();
     status.is_some_and(|status| status.settings.revision >= wanted)
 }
 
-fn line(row: &Seen, all: &[Seen]) -> String {
+fn describe_box(row: &PolledBox, all: &[PolledBox]) -> String {
     let name = &row.info.name;
     if let Some(status) = &row.status {
-        let ago = ago(status.settings.unconfirmed_ms);
+        let age = format_age(status.settings.unconfirmed_ms);
         return format!(
-            "{name}: revision {}, confirmed {ago} ago",
+            "{name}: revision {}, confirmed {age} ago",
             status.settings.revision
         );
     }
-    let told = all.iter().filter_map(|other| other.status.as_ref());
-    let peers = told.flat_map(|status| &status.peers);
-    let known = peers
+    let statuses = all.iter().filter_map(|other| other.status.as_ref());
+    let peers = statuses.flat_map(|status| &status.peers);
+    let latest = peers
         .filter(|peer| peer.name == *name)
         .max_by_key(|peer| peer.revision);
-    match known {
+    match latest {
         Some(peer) => {
-            let ago = ago(peer.silent_ms);
+            let age = format_age(peer.silent_ms);
             format!(
-                "{name}: no answer; a peer heard of revision {} {ago} ago",
+                "{name}: no answer; a peer heard of revision {} {age} ago",
                 peer.revision
             )
         }
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -9,7 +9,7 @@
 use crate::exit::CommandResult;
 use crate::output::Format;
 use crate::output::Table;
-use crate::output::ago;
+use crate::output::format_age;
 use crate::session::Session;
 
 /// Show boxes, backend servers, leases and revisions.
@@ -31,7 +31,7 @@
     status: Option<DaemonStatus>,
 }
 
-/// Prints what the daemons tell.
+/// Prints the boxes' status and their view of the servers.
 pub async fn cmd_status(session: &Session, args: StatusArgs) -> CommandResult {
     let rows = match &args.one_box {
         Some(address) => {
@@ -66,7 +66,7 @@
     Ok(rows.collect())
 }
 
-fn state_of(row: &BoxRow) -> &'static str {
+fn box_state(row: &BoxRow) -> &'static str {
     let listed_leaving = row.listed.as_ref().is_some_and(|info| info.leaving);
     match &row.status {
         None => "no answer",
@@ -96,9 +96,9 @@
             let cells = [
                 row.name.clone(),
                 hall.unwrap_or_default(),
-                state_of(row).to_owned(),
+                box_state(row).to_owned(),
             ];
-            table.row(cells);
+            table.push_row(cells);
             continue;
         };
         let lease = match &status.lease {
@@ -107,13 +107,13 @@
             None => "-".to_owned(),
         };
         let live = status.peers.iter().filter(|peer| peer.live).count();
-        table.row([
+        table.push_row([
             row.name.clone(),
             status.hall.to_string(),
-            state_of(row).to_owned(),
-            revision_of(status),
-            ago(status.settings.unconfirmed_ms),
-            ago(status.platform_silent_ms),
+            box_state(row).to_owned(),
+            revision_cell(status),
+            format_age(status.settings.unconfirmed_ms),
+            format_age(status.platform_silent_ms),
             lease,
             format!("{live}/{}", status.peers.len()),
             status.waiting.to_string(),
@@ -123,7 +123,7 @@
     table.render()
 }
 
-fn revision_of(status: &DaemonStatus) -> String {
+fn revision_cell(status: &DaemonStatus) -> String {
     match &status.settings.fault {
         Some(_) => format!("{} (newer one unusable)", status.settings.revision),
         None => status.settings.revision.to_string(),
@@ -145,13 +145,13 @@
     ]);
     for row in rows {
         for server in row.status.iter().flat_map(|status| &status.servers) {
-            table.row([
+            table.push_row([
                 row.name.clone(),
                 server.name.to_string(),
                 server.hall.to_string(),
                 server.serves.join(","),
                 if server.takes_work { "yes" } else { "no" }.to_owned(),
-                ago(server.report_age_ms),
+                format_age(server.report_age_ms),
                 server.queued_tokens.to_string(),
                 server.running.to_string(),
                 format!("{}/{}", server.memory_used, server.memory_total),
--- a/cli/src/commands/suspects.rs
+++ b/cli/src/commands/suspects.rs
@@ -31,7 +31,7 @@
     json: bool,
 }
 
-/// What the store holds of a work.
+/// The quarantine state of a request fingerprint, as stored.
 #[derive(Debug, Default, Serialize)]
 struct SuspectRow {
     work: String,
@@ -40,38 +40,40 @@
     released: bool,
 }
 
-/// Lists or releases; `store` is the address of the platform's store.
+/// Lists the suspects or releases one; `store` is the address of the platform's store.
 ///
 /// # Errors
 ///
-/// The store gave no answer, or refused.
+/// Returns an error if the store does not respond or refuses.
 pub async fn cmd_suspects(
     store: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
     args: SuspectsArgs,
 ) -> CommandResult {
-    let mut store = Store::new(store, patience);
-    if let Some(work) = args.release {
-        let released = store.put_suspects(&[(work, StoredFact::Released)]).await;
-        released.map_err(|cause| failed("release the work", &cause))?;
-        println!("{work} released: one run of it decides");
+    let mut store = Store::new(store, timeout);
+    if let Some(fingerprint) = args.release {
+        let released = store
+            .put_suspects(&[(fingerprint, StoredFact::Released)])
+            .await;
+        released.map_err(|cause| store_error("release the work", &cause))?;
+        println!("{fingerprint} released: one run of it decides");
         return Ok(());
     }
     let all = store.read_all().await;
-    let all = all.map_err(|cause| failed("read the store", &cause))?;
+    let all = all.map_err(|cause| store_error("read the store", &cause))?;
     let rows = rows(&all.items);
-    Format::from_switch(args.json).print(&rows, || text_of(&rows));
+    Format::from_switch(args.json).print(&rows, || render_text(&rows));
     Ok(())
 }
 
-fn failed(what: &str, cause: &StoreError) -> CommandError {
+fn store_error(operation: &str, cause: &StoreError) -> CommandError {
     let kind = match cause {
         StoreError::NotDone(_) | StoreError::HistoryGone | StoreError::NewEra(_) => {
             Failure::Refused
         }
         StoreError::NoAnswer(_) => Failure::NoAnswer,
     };
-    CommandError::new(kind, format!("failed to {what}: {cause}"))
+    CommandError::new(kind, format!("failed to {operation}: {cause}"))
         .hint("--platform is the address of the platform's store here")
 }
 
@@ -92,12 +94,12 @@
     rows.into_values().collect()
 }
 
-fn text_of(rows: &[SuspectRow]) -> String {
+fn render_text(rows: &[SuspectRow]) -> String {
     let mut table = Table::new(&["WORK", "SERVERS ENDED", "HELD", "RELEASED"]);
-    let word = |holds: bool| if holds { "yes" } else { "-" }.to_owned();
+    let word = |flag: bool| if flag { "yes" } else { "-" }.to_owned();
     for row in rows {
         let (held, released) = (word(row.held), word(row.released));
-        table.row([
+        table.push_row([
             row.work.clone(),
             row.lives_ended.to_string(),
             held,
--- a/cli/src/engine_plot.rs
+++ b/cli/src/engine_plot.rs
@@ -1,4 +1,4 @@
-//! A plot of what engines did by second, and of the prompts that waited.
+//! Plot of engine utilization and waiting prompts per second.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 use badgerferry_lib::relay::engine_utilization::EngineSecond;
 use plotters::prelude::*;
 
-/// Size of the plot, in points.
-const SIZE: (u32, u32) = (960, 480);
+/// Width and height of the plot, in SVG user units.
+const PLOT_SIZE: (u32, u32) = (960, 480);
 
-/// A layer: its name, its colour, and how much of a second it takes.
+/// A stacked layer: its label, its colour, and its share of the engines' time in a second.
 type Layer = (&'static str, RGBColor, fn(&EngineSecond) -> f64);
 
 const LAYERS: [Layer; 4] = [
@@ -20,18 +20,18 @@
     ("unused", RGBColor(225, 225, 225), |row| row.time.unused),
 ];
 
-/// Draws it.
+/// Writes the plot to `path` as SVG.
 ///
 /// # Errors
 ///
-/// The file can't be written.
+/// Returns an error if the file can't be written.
 pub fn draw(path: &Path, report: &EngineReport) -> anyhow::Result<()> {
-    let failed = || format!("failed to draw {}", path.display());
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let error_context = || format!("failed to draw {}", path.display());
+    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     draw_on(&root, report)
         .map_err(|cause| anyhow::anyhow!("{cause}"))
-        .with_context(failed)?;
-    root.present().with_context(failed)
+        .with_context(error_context)?;
+    root.present().with_context(error_context)
 }
 
 fn draw_on<'a>(
@@ -40,8 +40,8 @@
 ) -> Result<(), DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>> {
     root.fill(&WHITE)?;
     let seconds = report.seconds.len().max(1) as f64;
-    let most = report.seconds.iter().map(|row| row.waiting);
-    let most = most.fold(1.0, f64::max);
+    let max_waiting = report.seconds.iter().map(|row| row.waiting);
+    let max_waiting = max_waiting.fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(root)
         .margin(12)
         .caption("Engines by second", ("sans-serif", 18))
@@ -49,7 +49,7 @@
         .y_label_area_size(44)
         .right_y_label_area_size(44)
         .build_cartesian_2d(0.0..seconds, 0.0..1.0)?
-        .set_secondary_coord(0.0..seconds, 0.0..most * 1.1);
+        .set_secondary_coord(0.0..seconds, 0.0..max_waiting * 1.1);
     chart
         .configure_mesh()
         .disable_x_mesh()
@@ -60,11 +60,16 @@
         .configure_secondary_axes()
         .y_desc("prompts waiting")
         .draw()?;
-    for (at, (name, colour, _)) in LAYERS.iter().enumerate() {
-        let below = |row: &EngineSecond| LAYERS[..at].iter().map(|layer| layer.2(row)).sum::<f64>();
+    for (index, (name, colour, _)) in LAYERS.iter().enumerate() {
+        let stack_height = |row: &EngineSecond| {
+            LAYERS[..index]
+                .iter()
+                .map(|layer| layer.2(row))
+                .sum::<f64>()
+        };
         let bar = |row: &EngineSecond| {
-            let (left, bottom) = (row.second as f64, below(row));
-            let top = bottom + LAYERS[at].2(row);
+            let (left, bottom) = (row.second as f64, stack_height(row));
+            let top = bottom + LAYERS[index].2(row);
             Rectangle::new([(left, bottom), (left + 1.0, top)], colour.filled())
         };
         let bars = chart.draw_series(report.seconds.iter().map(bar))?;
@@ -72,8 +77,8 @@
         bars.label(*name)
             .legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.filled()));
     }
-    let middle = |row: &EngineSecond| (row.second as f64 + 0.5, row.waiting);
-    let waiting = LineSeries::new(report.seconds.iter().map(middle), BLACK.stroke_width(2));
+    let line_point = |row: &EngineSecond| (row.second as f64 + 0.5, row.waiting);
+    let waiting = LineSeries::new(report.seconds.iter().map(line_point), BLACK.stroke_width(2));
     let line = chart.draw_secondary_series(waiting)?;
     line.label("prompts waiting")
         .legend(|(x, y)| PathElement::new([(x, y), (x + 12, y)], BLACK.stroke_width(2)));
--- a/cli/src/exit.rs
+++ b/cli/src/exit.rs
@@ -1,9 +1,9 @@
-//! How a command ends, and its exit code. `docs/operators.md` lists the codes.
+//! Errors of commands and their exit codes. See `docs/operators.md` for the list of codes.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// A command that did not do what was asked.
+/// Failure of a command: its kind, a message and an optional hint for the operator.
 #[derive(Debug)]
 pub struct CommandError {
     kind: Failure,
@@ -11,30 +11,30 @@
     hint: Option<String>,
 }
 
-/// Why, as scripts tell it apart.
+/// Kind of a failure; each has its own exit code, so that scripts can tell them apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The request itself is wrong, or was refused.
+    /// The request is invalid or was refused.
     Refused,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
-    /// Another operator changed the same part first.
+    /// The edit conflicts with one that another operator committed first.
     Conflict,
-    /// It is not known whether the edit is in.
-    Unsure,
-    /// Not every live box has the revision in force.
+    /// It is unknown whether the edit was committed.
+    UnknownOutcome,
+    /// At least one live box does not have the revision in force.
     NotInForce,
-    /// The platform or the box gave no answer; nothing was changed.
+    /// The platform or the box did not respond; nothing was changed.
     NoAnswer,
 }
 
 impl Failure {
-    const fn code(self) -> u8 {
+    const fn exit_code(self) -> u8 {
         match self {
             Self::Refused => 1,
             Self::Usage => 2,
             Self::Conflict => 3,
-            Self::Unsure => 4,
+            Self::UnknownOutcome => 4,
             Self::NotInForce => 5,
             Self::NoAnswer => 6,
         }
@@ -42,7 +42,7 @@
 }
 
 impl CommandError {
-    /// A failure with what was attempted and why it failed.
+    /// Creates an error whose message says what was attempted and why it failed.
     pub fn new(kind: Failure, message: impl fmt::Display) -> Self {
         Self {
             kind,
@@ -51,22 +51,22 @@
         }
     }
 
-    /// Adds what the operator can do.
+    /// Adds a hint on what the operator can do.
     #[must_use]
     pub fn hint(mut self, hint: impl Into<String>) -> Self {
         self.hint = Some(hint.into());
         self
     }
 
-    /// Prints it and gives back the exit code.
+    /// Prints the error to stderr and returns its exit code.
     pub fn report(&self) -> ExitCode {
         eprintln!("error: {}", self.message);
         if let Some(hint) = &self.hint {
             eprintln!("hint: {hint}");
         }
-        ExitCode::from(self.kind.code())
+        ExitCode::from(self.kind.exit_code())
     }
 }
 
-/// A command's result.
+/// Result of a command that prints its own output.
 pub type CommandResult = Result<(), CommandError>;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command-line tool for operators: edits the settings tree and evaluates boxes' logs.
 
 use std::process::ExitCode;
 
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,23 +1,23 @@
-//! Tables for people and JSON for programs.
+//! Output of commands, as a text table or as JSON.
 
 use serde::Serialize;
 
-/// How a command prints.
+/// Output format of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Aligned text columns.
     Table,
-    /// For programs.
+    /// Pretty-printed JSON.
     Json,
 }
 
 impl Format {
-    /// From the `--json` switch.
+    /// The format that the `--json` switch selects.
     pub const fn from_switch(json: bool) -> Self {
         if json { Self::Json } else { Self::Table }
     }
 
-    /// Prints JSON, or what `table` makes.
+    /// Prints `value` as JSON, or the text that `table` returns.
     pub fn print<T: Serialize>(self, value: &T, table: impl FnOnce() -> String) {
         match self {
             Self::Json => {
@@ -29,26 +29,26 @@
     }
 }
 
-/// Rows under a heading, in columns as wide as their widest cell.
+/// Text table with a heading; each column is as wide as its widest cell.
 #[derive(Debug)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with a heading.
+    /// Creates a table that holds only its heading.
     pub fn new(heading: &[&str]) -> Self {
         Self {
             rows: vec![heading.iter().map(ToString::to_string).collect()],
         }
     }
 
-    /// Adds a row.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    /// Appends a row, which may have fewer cells than the heading.
+    pub fn push_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The text.
+    /// Returns the aligned text, one line per row, without trailing spaces.
     pub fn render(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column: usize| {
@@ -69,11 +69,11 @@
     }
 }
 
-/// Milliseconds as people read them.
-pub fn ago(millis: Option<u64>) -> String {
-    match millis {
+/// Formats an age in milliseconds: whole seconds from 10 s on, "never" for `None`.
+pub fn format_age(age_ms: Option<u64>) -> String {
+    match age_ms {
         None => "never".to_owned(),
-        Some(millis) if millis < 10_000 => format!("{millis} ms"),
-        Some(millis) => format!("{} s", millis / 1_000),
+        Some(age_ms) if age_ms < 10_000 => format!("{age_ms} ms"),
+        Some(age_ms) => format!("{} s", age_ms / 1_000),
     }
 }
--- a/cli/src/session.rs
+++ b/cli/src/session.rs
@@ -1,4 +1,4 @@
-//! What commands do at the platform: read the tree, and commit an edit.
+//! Access to the platform for commands: reads the settings tree, commits edits and queries boxes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -32,53 +32,53 @@
 use crate::exit::CommandError;
 use crate::exit::Failure;
 
-/// Longest single call.
-const CALL: Duration = Duration::from_secs(2);
-/// Checkpoints that are kept: with 980 edits a day, two days of history.
+/// Timeout of a single HTTP call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of checkpoints to keep: two days of history at 980 edits a day.
 const KEPT_CHECKPOINTS: usize = 32;
-/// Reads of a head whose checkpoint was replaced in between.
-const READ_TRIES: u32 = 5;
+/// Attempts to read the head and its checkpoint, which may be replaced between the two reads.
+const MAX_READ_ATTEMPTS: u32 = 5;
 
-/// The platform as commands use it.
+/// Clients for the platform and for the boxes.
 #[derive(Debug)]
 pub struct Session {
     platform: HttpPlatform,
     boxes: ControlClient,
     address: String,
-    patience: Duration,
+    timeout: Duration,
     start: Instant,
 }
 
-/// The tree as it was read.
+/// The settings as read from the platform.
 #[derive(Debug, Clone)]
-pub struct Current {
-    /// The head.
+pub struct CurrentSettings {
+    /// The head, with the edits since the checkpoint.
     pub head: Head,
-    /// The checkpoint behind it.
+    /// The checkpoint that the head refers to.
     pub checkpoint: Option<Checkpoint>,
-    /// The tree.
+    /// The tree at the revision of the head.
     pub tree: SettingsTree,
 }
 
 /// An edit to commit.
 #[derive(Debug, Clone)]
 pub struct Submission {
-    /// What it changes.
+    /// Changes to the tree, committed together.
     pub changes: Vec<Change>,
-    /// The revision that the operator saw.
+    /// The revision that the edit is based on.
     pub base: Revision,
-    /// The identifier of an earlier submission of the same edit.
+    /// Identifier of an earlier submission of the same edit; a new one is drawn if `None`.
     pub id: Option<EditId>,
 }
 
 impl Session {
-    /// A session with the platform at an address.
-    pub fn new(address: &str, patience: Duration) -> Self {
+    /// Creates a session; `timeout` bounds the commit of an edit.
+    pub fn new(address: &str, timeout: Duration) -> Self {
         Self {
-            platform: HttpPlatform::new(address, CALL),
-            boxes: ControlClient::new(CALL),
+            platform: HttpPlatform::new(address, CALL_TIMEOUT),
+            boxes: ControlClient::new(CALL_TIMEOUT),
             address: address.to_owned(),
-            patience,
+            timeout,
             start: Instant::now(),
         }
     }
@@ -87,7 +87,7 @@
         Time::ZERO + self.start.elapsed()
     }
 
-    fn no_answer(&self, attempt: &str) -> CommandError {
+    fn no_response_error(&self, attempt: &str) -> CommandError {
         let message = format!(
             "failed to {attempt}: no answer from the platform at {}",
             self.address
@@ -96,21 +96,21 @@
             .hint("check --platform; boxes go on with the settings they have")
     }
 
-    /// Reads the tree.
-    pub async fn current(&self) -> Result<Current, CommandError> {
+    /// Reads the head and its checkpoint, and builds the tree.
+    pub async fn read_settings(&self) -> Result<CurrentSettings, CommandError> {
         let unusable = |cause: &dyn std::fmt::Display| {
             CommandError::new(
                 Failure::Refused,
                 format!("failed to read the settings: {cause}"),
             )
         };
-        for _ in 0..READ_TRIES {
+        for _ in 0..MAX_READ_ATTEMPTS {
             let found = self.platform.read(HEAD_KEY).await;
-            let found = found.map_err(|NoAnswer| self.no_answer("read the settings"))?;
+            let found = found.map_err(|NoAnswer| self.no_response_error("read the settings"))?;
             let head = read_head(&found).map_err(|cause| unusable(&cause))?;
             let checkpoint = match &head.checkpoint {
                 None => None,
-                Some(wanted) => match self.checkpoint(&wanted.key).await? {
+                Some(reference) => match self.checkpoint(&reference.key).await? {
                     Some(checkpoint) => Some(checkpoint),
                     None => continue,
                 },
@@ -118,7 +118,7 @@
             let tree = head
                 .tree(checkpoint.as_ref())
                 .map_err(|cause| unusable(&cause))?;
-            return Ok(Current {
+            return Ok(CurrentSettings {
                 head,
                 checkpoint,
                 tree,
@@ -127,10 +127,10 @@
         Err(unusable(&"the checkpoint that the head names is gone"))
     }
 
-    /// Reads a checkpoint; none if it is gone.
+    /// Reads a checkpoint; `None` if it was removed.
     pub async fn checkpoint(&self, key: &str) -> Result<Option<Checkpoint>, CommandError> {
         let found = self.platform.read(key).await;
-        let found = found.map_err(|NoAnswer| self.no_answer("read a checkpoint"))?;
+        let found = found.map_err(|NoAnswer| self.no_response_error("read a checkpoint"))?;
         let Some(bytes) = found.value else {
             return Ok(None);
         };
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Commits an edit and gives back its revision.
+    /// Commits an edit and returns its revision.
     pub async fn commit(&self, submission: Submission) -> Result<Revision, CommandError> {
         let id = submission
             .id
@@ -151,65 +151,65 @@
             changes: submission.changes,
         };
         let base = submission.base;
-        let give_up_at = self.now() + self.patience;
-        let mut commit = SettingsCommit::new(edit, base, give_up_at);
+        let deadline = self.now() + self.timeout;
+        let mut commit = SettingsCommit::new(edit, base, deadline);
         let mut event = CommitEvent::Start;
         let mut wrote_checkpoint = false;
         loop {
             let action = commit.on(self.now(), event);
             wrote_checkpoint |= matches!(action, CommitAction::WriteCheckpoint { .. });
             event = match action {
-                CommitAction::Done(end) => {
+                CommitAction::Done(outcome) => {
                     if wrote_checkpoint {
-                        // History that stays longer than planned does no harm.
+                        // Failing to remove old checkpoints only keeps history longer.
                         let _ = self.remove_old_checkpoints().await;
                     }
-                    return self.settled(id, base, end);
+                    return self.commit_result(id, base, outcome);
                 }
-                other => self.carry_out(other).await,
+                action => self.perform(action).await,
             };
         }
     }
 
-    async fn carry_out(&self, action: CommitAction) -> CommitEvent {
+    async fn perform(&self, action: CommitAction) -> CommitEvent {
         match action {
             CommitAction::ReadHead => CommitEvent::Read(self.platform.read(HEAD_KEY).await),
             CommitAction::ReadCheckpoint(key) => CommitEvent::Read(self.platform.read(&key).await),
             CommitAction::WriteCheckpoint { key, value } => {
-                // A conflict means that the same bytes are there: the key is their digest.
+                // On a conflict the same bytes are already stored, since the key is their digest.
                 let written = self.platform.swap(&key, 0, value, None).await;
-                CommitEvent::Written(written.map(|_there| ()))
+                CommitEvent::Written(written.map(|_response| ()))
             }
             CommitAction::SwapHead { expect, value } => {
                 CommitEvent::Swapped(self.platform.swap(HEAD_KEY, expect, value, None).await)
             }
-            CommitAction::Backoff(span) => {
-                tokio::time::sleep(span).await;
+            CommitAction::Backoff(duration) => {
+                tokio::time::sleep(duration).await;
                 CommitEvent::BackoffElapsed
             }
             CommitAction::Done(_) => CommitEvent::BackoffElapsed,
         }
     }
 
-    fn settled(
+    fn commit_result(
         &self,
         id: EditId,
         base: Revision,
-        end: CommitOutcome,
+        outcome: CommitOutcome,
     ) -> Result<Revision, CommandError> {
-        match end {
+        match outcome {
             CommitOutcome::Accepted(accepted) => Ok(accepted.revision),
-            CommitOutcome::Rejected(why @ Rejection::Conflict(_)) => {
-                let message = format!("failed to commit edit {id} on revision {base}: {why}");
+            CommitOutcome::Rejected(rejection @ Rejection::Conflict(_)) => {
+                let message = format!("failed to commit edit {id} on revision {base}: {rejection}");
                 Err(CommandError::new(Failure::Conflict, message)
                     .hint("see `badgerferry settings log`, then edit again"))
             }
-            CommitOutcome::Rejected(why) => {
-                let message = format!("failed to commit edit {id} on revision {base}: {why}");
+            CommitOutcome::Rejected(rejection) => {
+                let message = format!("failed to commit edit {id} on revision {base}: {rejection}");
                 Err(CommandError::new(Failure::Refused, message)
                     .hint("nothing was changed; `badgerferry settings keys` lists the settings"))
             }
-            CommitOutcome::NotSent => Err(self.no_answer("commit the edit")),
+            CommitOutcome::NotSent => Err(self.no_response_error("commit the edit")),
             CommitOutcome::Unknown => {
                 let message = format!(
                     "edit {id} was sent and the platform does not say whether it took effect"
@@ -217,12 +217,12 @@
                 let hint = format!(
                     "repeat the command with --edit-id {id} --base {base}: it goes in once at most"
                 );
-                Err(CommandError::new(Failure::Unsure, message).hint(hint))
+                Err(CommandError::new(Failure::UnknownOutcome, message).hint(hint))
             }
         }
     }
 
-    /// Removes checkpoints that are older than the history that is kept.
+    /// Removes all but the newest `KEPT_CHECKPOINTS` checkpoints.
     async fn remove_old_checkpoints(&self) -> Result<(), NoAnswer> {
         let keys = self.platform.list(CHECKPOINT_PREFIX).await?;
         for key in prunable_checkpoints(keys, KEPT_CHECKPOINTS) {
@@ -232,20 +232,20 @@
         Ok(())
     }
 
-    /// The boxes that the platform lists.
+    /// Reads the list of boxes from the platform.
     pub async fn boxes(&self) -> Result<Vec<BoxInfo>, CommandError> {
         let list = self.platform.boxes().await;
-        let list = list.map_err(|NoAnswer| self.no_answer("read the list of boxes"))?;
+        let list = list.map_err(|NoAnswer| self.no_response_error("read the list of boxes"))?;
         Ok(list.boxes)
     }
 
-    /// What a daemon tells of itself; none if it does not answer.
+    /// Reads the status of a daemon; `None` on any error.
     pub async fn status_of(&self, address: &str) -> Option<DaemonStatus> {
         self.boxes.get(address, "/status").await.ok()
     }
 }
 
 fn seconds_since_epoch() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    since.map_or(0, |span| span.as_secs())
+    let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    elapsed.map_or(0, |duration| duration.as_secs())
 }
--- a/cli/tests/runner.rs
+++ b/cli/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The command line's tests, in one runner; those that need a daemon are the daemon's.
+//! Tests of the command line. Those that need a daemon are among the daemon's tests.
 
 mod test_output;
 mod test_suspects;
--- a/cli/tests/test_output.rs
+++ b/cli/tests/test_output.rs
@@ -1,4 +1,4 @@
-//! What the command line prints, as snapshots.
+//! Snapshots of the command line's output.
 
 use std::process::Command;
 use std::process::Output;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn wrong_words_are_a_usage_error() {
+fn unknown_subcommand_is_a_usage_error() {
     let output = run(&["settings", "paint"]);
 
     assert_eq!(output.status.code(), Some(2), "{}", text(&output));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn engines_without_a_log_are_a_usage_error() {
+fn engines_without_a_log_file_is_a_usage_error() {
     let output = run(&["engines"]);
 
     assert_eq!(output.status.code(), Some(2), "{}", text(&output));
--- a/cli/tests/test_suspects.rs
+++ b/cli/tests/test_suspects.rs
@@ -1,4 +1,4 @@
-//! What operators see and do of works that end servers, against a stand-in of the platform's store.
+//! The `suspects` command, against a stand-in of the platform's store.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -11,7 +11,7 @@
 use badgerferry_standin::store::Store;
 use serde_json::json;
 
-const HELD: RequestFingerprint = RequestFingerprint {
+const QUARANTINED: RequestFingerprint = RequestFingerprint {
     workspace_digest: 1,
     digest: 2,
 };
@@ -34,19 +34,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn works_are_listed_and_one_is_released() -> anyhow::Result<()> {
+async fn suspects_are_listed_and_one_is_released() -> anyhow::Result<()> {
     let store = Store::start().await?;
-    let ends = (0..3).map(|life| (HELD, StoredFact::Crashed(ServerIncarnation(life))));
-    let mut facts: Vec<(RequestFingerprint, StoredFact)> = ends.collect();
-    facts.push((HELD, StoredFact::Quarantined));
+    let crashes = (0..3).map(|incarnation| {
+        (
+            QUARANTINED,
+            StoredFact::Crashed(ServerIncarnation(incarnation)),
+        )
+    });
+    let mut facts: Vec<(RequestFingerprint, StoredFact)> = crashes.collect();
+    facts.push((QUARANTINED, StoredFact::Quarantined));
     facts.push((SUSPECT, StoredFact::Crashed(ServerIncarnation(9))));
     let mut client = Client::new(store.address, Duration::from_secs(2));
     client.put_suspects(&facts).await?;
-    // Another writer's key hides none of the others.
+    // A malformed key of another writer must not hide the other entries.
     store.put("badgerferry/suspects/no-work/none", &json!({}));
 
     let before = badgerferry(store.address, &["suspects"]).await;
-    let released = badgerferry(store.address, &["suspects", "--release", &HELD.to_string()]).await;
+    let released = badgerferry(
+        store.address,
+        &["suspects", "--release", &QUARANTINED.to_string()],
+    )
+    .await;
     let after = badgerferry(store.address, &["suspects", "--json"]).await;
 
     let table = "WORK                      SERVERS ENDED  HELD  RELEASED\n\
@@ -61,14 +70,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_wrong_is_told_by_the_exit_code() -> anyhow::Result<()> {
+async fn suspects_failures_set_the_exit_code() -> anyhow::Result<()> {
     let store = Store::start().await?;
 
-    let no_work = badgerferry(store.address, &["suspects", "--release", "zz"]).await;
-    let nobody = badgerferry("127.0.0.1:1".parse()?, &["suspects"]).await;
+    let malformed_fingerprint = badgerferry(store.address, &["suspects", "--release", "zz"]).await;
+    let unreachable_store = badgerferry("127.0.0.1:1".parse()?, &["suspects"]).await;
 
-    assert_eq!(no_work.0, Some(2), "{}", no_work.1);
-    assert_eq!(nobody.0, Some(1), "{}", nobody.1);
-    assert!(nobody.1.contains("hint: "), "{}", nobody.1);
+    assert_eq!(
+        malformed_fingerprint.0,
+        Some(2),
+        "{}",
+        malformed_fingerprint.1
+    );
+    assert_eq!(unreachable_store.0, Some(1), "{}", unreachable_store.1);
+    assert!(
+        unreachable_store.1.contains("hint: "),
+        "{}",
+        unreachable_store.1
+    );
     Ok(())
 }
