--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that go on using a connection until the box closes it.
+//! Callers that reuse a connection until the box closes it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,83 +15,90 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::timeout;
 
-use crate::ledger::Kind;
-use crate::ledger::Row;
+use crate::ledger::CallKind;
+use crate::ledger::CallRecord;
 
-/// How long a caller waits, as it tells the box.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Beyond that it hangs; the ledger tells.
-const LAST: Duration = Duration::from_secs(10);
-/// Body of the calls that end the servers which run them.
-pub const DEADLY: &str = "a prompt that ends whoever reads it";
-/// Between two calls of one caller.
-const REST: std::ops::Range<u64> = 5..60;
+/// Deadline that callers send to the box.
+const CALL_DEADLINE: Duration = Duration::from_secs(5);
+/// Client-side timeout; the ledger reports a call that took that long as hung.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Request body that crashes the servers that run it.
+pub const CRASHING_PROMPT: &str = "a prompt that ends whoever reads it";
+/// Pause between two calls of one caller.
+const CALL_INTERVAL_MS: std::ops::Range<u64> = 5..60;
 
-/// Rows of all callers.
-pub type Rows = Arc<Mutex<Vec<Row>>>;
+/// Records of all callers.
+pub type CallRecords = Arc<Mutex<Vec<CallRecord>>>;
 
-/// One caller: calls boxes at random until told to stop.
+/// Runs one caller, which calls random boxes until `stop` is set.
 pub async fn run(
     name: usize,
     fronts: Vec<SocketAddr>,
     mut rng: ChaCha8Rng,
-    rows: Rows,
+    records: CallRecords,
     stop: Arc<AtomicBool>,
 ) {
-    let mut open: Option<Caller> = None;
+    let mut connection: Option<Caller> = None;
     let mut number = 0;
     while !stop.load(Ordering::SeqCst) {
         number += 1;
         let id = format!("c{name}-{number}");
         let kind = match rng.random_range(0..10) {
-            0..=2 => Kind::Once,
-            3..=5 => Kind::Again,
-            6..=7 => Kind::Stream,
-            8 => Kind::Fragile,
-            _ => Kind::Deadly,
+            0..=2 => CallKind::NonRepeatable,
+            3..=5 => CallKind::Repeatable,
+            6..=7 => CallKind::Stream,
+            8 => CallKind::Fragile,
+            _ => CallKind::Crashing,
         };
         let front = fronts[rng.random_range(0..fronts.len())];
-        let begun = Instant::now();
-        let answer = one(&mut open, front, &text(kind, &id)).await;
-        let row = Row {
+        let started = Instant::now();
+        let response = send_call(&mut connection, front, &request_text(kind, &id)).await;
+        let record = CallRecord {
             id,
             kind,
-            answer,
-            took: begun.elapsed(),
-            patience: PATIENCE,
+            response,
+            elapsed: started.elapsed(),
+            deadline: CALL_DEADLINE,
         };
-        rows.lock()
+        records
+            .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(row);
-        tokio::time::sleep(Duration::from_millis(rng.random_range(REST))).await;
+            .push(record);
+        tokio::time::sleep(Duration::from_millis(rng.random_range(CALL_INTERVAL_MS))).await;
     }
 }
 
-fn text(kind: Kind, id: &str) -> String {
+fn request_text(kind: CallKind, id: &str) -> String {
     match kind {
-        Kind::Once => call("POST", "/once/a", id, "", "body"),
-        Kind::Again => call("GET", "/again/a", id, "", ""),
-        Kind::Stream => call("POST", "/stream/a", id, "", "prompt"),
-        // All of these are equal, as those that end servers are.
-        Kind::Fragile => call("POST", "/stream/fragile/a", id, "", "prompt"),
-        Kind::Deadly => call("POST", "/stream/fragile/a", id, "", DEADLY),
+        CallKind::NonRepeatable => call("POST", "/once/a", id, "", "body"),
+        CallKind::Repeatable => call("GET", "/again/a", id, "", ""),
+        CallKind::Stream => call("POST", "/stream/a", id, "", "prompt"),
+        // All fragile calls have the same body, and so have all crashing calls.
+        CallKind::Fragile => call("POST", "/stream/fragile/a", id, "", "prompt"),
+        CallKind::Crashing => call("POST", "/stream/fragile/a", id, "", CRASHING_PROMPT),
     }
 }
 
-async fn one(
-    open: &mut Option<Caller>,
+async fn send_call(
+    connection: &mut Option<Caller>,
     front: SocketAddr,
     text: &str,
 ) -> Option<badgerferry_standin::caller::RawResponse> {
-    let mut caller = match open.take() {
+    let mut caller = match connection.take() {
         Some(caller) => caller,
-        None => timeout(LAST, Caller::connect(front)).await.ok()?.ok()?,
+        None => timeout(CLIENT_TIMEOUT, Caller::connect(front))
+            .await
+            .ok()?
+            .ok()?,
     };
     caller.send(text).await.ok()?;
-    let answer = timeout(LAST, caller.read_response()).await.ok()?.ok()?;
-    let closes = answer.header("connection") == Some("close") || !answer.is_complete;
+    let response = timeout(CLIENT_TIMEOUT, caller.read_response())
+        .await
+        .ok()?
+        .ok()?;
+    let closes = response.header("connection") == Some("close") || !response.is_complete;
     if !closes {
-        *open = Some(caller);
+        *connection = Some(caller);
     }
-    Some(answer)
+    Some(response)
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The plan of a seed, and how each fault is brought about.
+//! Draws the fault plan of a seed.
 
 use std::time::Duration;
 
@@ -9,94 +9,94 @@
 
 use crate::proxy::Link;
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The way to a server changes.
+    /// Changes the link to a server.
     ServerLink(usize, Link),
-    /// The way to the store changes.
+    /// Changes the link to the store.
     StoreLink(Link),
-    /// The store treats calls otherwise.
+    /// Switches the store to another response mode.
     StoreMode(Mode),
-    /// The store carries out writes without answering.
+    /// The store applies this many writes but drops their responses.
     LoseAnswers(u32),
-    /// The store forgets its history.
+    /// The store compacts its history.
     ForgetHistory,
-    /// The store comes back from a copy that it kept when the fault began, and what operators and
-    /// servers wrote since is written again some time later.
+    /// The store is restored from a backup taken when the fault began; the writes of operators and
+    /// servers since then are replayed some time later.
     ReturnFromCopy,
-    /// A server's entry lapses and comes back.
+    /// A server's entry expires and is published again.
     Lapse(usize),
-    /// A server says that it leaves, and comes back later.
+    /// A server is marked as draining in the store, and as ready again later.
     Leave(usize),
-    /// A server says in its answers that it leaves, ends, and starts again under its name.
+    /// A server announces in its responses that it leaves, stops, and restarts under its name.
     SayLeaving(usize),
-    /// A server turns all calls away and asks for a pause each time.
+    /// A server rejects all calls and asks for a pause each time.
     Shed(usize),
-    /// A server does this with its next calls.
+    /// A server shows this behaviour on its next calls; the last field counts them.
     Misbehave(usize, Behaviour, usize),
     /// A box is killed and started again.
     Kill(usize),
-    /// A box is stopped in order and started again.
+    /// A box is stopped gracefully and started again.
     Terminate(usize),
-    /// A box stands still.
+    /// A box is suspended (SIGSTOP) and resumed.
     Freeze(usize),
-    /// A box is told that its settings file changed.
+    /// A box gets SIGHUP, which announces a changed settings file.
     Hangup(usize),
-    /// A new version of the routes.
+    /// A new version of the routes is published.
     NewRoutes,
 }
 
 impl Fault {
-    /// Whether a box forgets what it knew.
-    pub const fn starts_a_box(self) -> bool {
+    /// Whether a box restarts and so loses its state in memory.
+    pub const fn restarts_box(self) -> bool {
         matches!(self, Self::Kill(_) | Self::Terminate(_))
     }
 }
 
-/// A fault, when it comes and how long it lasts.
+/// A fault with its start and duration.
 #[derive(Debug, Clone, Copy)]
 pub struct Planned {
-    /// From the beginning of the faults.
+    /// Start, from the beginning of the fault phase.
     pub at: Duration,
-    /// What goes wrong.
+    /// The fault to inject.
     pub fault: Fault,
-    /// How long.
+    /// Duration, for faults that are undone.
     pub lasts: Duration,
 }
 
-/// Faults a second, on average.
-const RATE: f64 = 3.0;
-/// Besides, servers that say in their answers that they leave, or ask for pauses.
+/// Faults a second.
+const FAULT_RATE: f64 = 3.0;
+/// Additional faults a second where a server announces that it leaves or asks for pauses.
 const NOTICE_RATE: f64 = 0.7;
-/// Besides, returns of the store from a copy.
+/// Additional restores of the store from a backup a second.
 const RETURN_RATE: f64 = 0.3;
 
-/// Draws a plan.
+/// Draws a plan, sorted by start. The order of draws determines what a seed stands for.
 pub fn plan(rng: &mut ChaCha8Rng, length: Duration, boxes: usize, servers: usize) -> Vec<Planned> {
-    let count = (length.as_secs_f64() * RATE).ceil() as usize;
-    let mut rows: Vec<Planned> = (0..count)
+    let count = (length.as_secs_f64() * FAULT_RATE).ceil() as usize;
+    let mut plan: Vec<Planned> = (0..count)
         .map(|_| Planned {
             at: length.mul_f64(rng.random()),
-            fault: draw(rng, boxes, servers),
+            fault: draw_fault(rng, boxes, servers),
             lasts: Duration::from_millis(rng.random_range(100..2_500)),
         })
         .collect();
-    // Drawn after the others, which stay what they are for a seed.
+    // Drawn after the other faults, so that a seed keeps those unchanged.
     let notices = (length.as_secs_f64() * NOTICE_RATE).ceil() as usize;
-    rows.extend((0..notices).map(|_| Planned {
+    plan.extend((0..notices).map(|_| Planned {
         at: length.mul_f64(rng.random()),
         fault: draw_notice(rng, servers),
         lasts: Duration::from_millis(rng.random_range(500..4_000)),
     }));
     let returns = (length.as_secs_f64() * RETURN_RATE).ceil() as usize;
-    rows.extend((0..returns).map(|_| Planned {
+    plan.extend((0..returns).map(|_| Planned {
         at: length.mul_f64(rng.random()),
         fault: Fault::ReturnFromCopy,
         lasts: Duration::from_millis(rng.random_range(100..3_000)),
     }));
-    rows.sort_by_key(|row| row.at);
-    rows
+    plan.sort_by_key(|planned| planned.at);
+    plan
 }
 
 fn draw_notice(rng: &mut ChaCha8Rng, servers: usize) -> Fault {
@@ -108,7 +108,7 @@
     }
 }
 
-fn draw(rng: &mut ChaCha8Rng, boxes: usize, servers: usize) -> Fault {
+fn draw_fault(rng: &mut ChaCha8Rng, boxes: usize, servers: usize) -> Fault {
     let a_box = rng.random_range(0..boxes);
     let server = rng.random_range(0..servers);
     match rng.random_range(0..15) {
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers saw, and the promises that it is held against.
+//! Records of calls, and the invariants that they are checked against.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,120 +8,123 @@
 use badgerferry_standin::caller::RawResponse;
 use badgerferry_standin::server::Server;
 
-/// What was asked.
+/// Kind of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// May run once.
-    Once,
-    /// May run again.
-    Again,
-    /// A stream that may be continued.
+pub enum CallKind {
+    /// May run at most once.
+    NonRepeatable,
+    /// May be repeated.
+    Repeatable,
+    /// A stream that may be resumed on another server.
     Stream,
-    /// The same, of servers that other calls end.
+    /// A resumable stream of servers that crashing calls also reach.
     Fragile,
-    /// A stream whose request ends the servers that run it.
-    Deadly,
+    /// A stream whose request crashes the servers that run it.
+    Crashing,
 }
 
-/// One call and its end.
+/// One call and its result.
 #[derive(Debug, Clone)]
-pub struct Row {
-    /// The caller's id.
+pub struct CallRecord {
+    /// Call id, as servers receive it.
     pub id: String,
-    /// What was asked.
-    pub kind: Kind,
-    /// What came; none where there was no connection.
-    pub answer: Option<RawResponse>,
-    /// How long it took.
-    pub took: Duration,
-    /// How long the caller would wait.
-    pub patience: Duration,
+    /// Kind of the call.
+    pub kind: CallKind,
+    /// Response; `None` if connecting, sending or reading failed or timed out.
+    pub response: Option<RawResponse>,
+    /// Time until the call ended.
+    pub elapsed: Duration,
+    /// Deadline that the caller sent to the box.
+    pub deadline: Duration,
 }
 
-/// What a hang is: no end this long after the caller's own limit.
-const HANG: Duration = Duration::from_secs(3);
+/// A call hangs if it has not ended this long after its deadline.
+const HANG_GRACE: Duration = Duration::from_secs(3);
 
-/// Holds rows against the promises.
+/// Checks the records of all calls against what servers received.
 ///
 /// # Errors
 ///
-/// The first promise that is broken.
-pub fn check(rows: &[Row], servers: &[Server]) -> anyhow::Result<()> {
+/// The first violated invariant.
+pub fn check(records: &[CallRecord], servers: &[Server]) -> anyhow::Result<()> {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
-    let sent: BTreeSet<&str> = rows.iter().map(|row| row.id.as_str()).collect();
+    let sent: BTreeSet<&str> = records.iter().map(|record| record.id.as_str()).collect();
     for seen in servers.iter().flat_map(Server::received_calls) {
         let id = seen.id();
         let known = id.starts_with("recovery-") || sent.contains(id);
         let line = &seen.request_line;
-        anyhow::ensure!(known, "a server got call {id}, which nobody sent: {line}");
+        anyhow::ensure!(
+            known,
+            "a server received call {id}, which no caller sent: {line}"
+        );
         *runs.entry(id.to_owned()).or_default() += usize::from(seen.ran);
     }
-    for row in rows {
-        let ran = runs.get(&row.id).copied().unwrap_or_default();
-        check_row(row, ran, servers[0].events)?;
+    for record in records {
+        let ran = runs.get(&record.id).copied().unwrap_or_default();
+        check_record(record, ran, servers[0].events)?;
     }
     Ok(())
 }
 
-/// Servers that one life of a box may let a piece of work end, where it hears no other box and the
-/// store is away: then each box can only count by itself.
-const MOST_LIVES: usize = 3;
+/// Server crashes that one run of a box may allow per request. Without other boxes and the store,
+/// each box can only count the crashes that it sees itself.
+const MAX_CRASHES_PER_BOX_START: usize = 3;
 
-/// A limit counts from so long after the server's first call, which is told that there is one.
-const LIMIT_IN_FORCE: Duration = Duration::from_secs(3);
-/// What a limit counts over.
+/// Grace period from the server's first call, whose response announces the limit.
+const LIMIT_WARM_UP: Duration = Duration::from_secs(3);
+/// Sliding window over which a limit is checked.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 
-/// Holds what a server got against the calls a second that it says it takes: in each window half as much
-/// again and five calls may come, for boxes that end, start and freeze.
+/// Checks the calls that a server received against its announced limit a second. Each window
+/// allows 1.5 times the limit plus five calls, for boxes that stop, start and are suspended.
 ///
 /// # Errors
 ///
-/// More came.
+/// A window has more calls than that.
 pub fn check_limit(server: &Server, limit: f64) -> anyhow::Result<()> {
     let mut arrivals = server.arrivals();
     arrivals.sort_unstable();
     let Some(&first) = arrivals.first() else {
         return Ok(());
     };
-    let from = arrivals.partition_point(|at| *at < first + LIMIT_IN_FORCE);
-    let judged = &arrivals[from..];
-    let most = (limit * LIMIT_WINDOW.as_secs_f64()).mul_add(1.5, 5.0) as usize;
-    for (at, begin) in judged.iter().enumerate() {
-        let got = judged[at..].partition_point(|other| *other < *begin + LIMIT_WINDOW);
+    let from = arrivals.partition_point(|at| *at < first + LIMIT_WARM_UP);
+    let counted = &arrivals[from..];
+    let max = (limit * LIMIT_WINDOW.as_secs_f64()).mul_add(1.5, 5.0) as usize;
+    for (at, start) in counted.iter().enumerate() {
+        let got = counted[at..].partition_point(|other| *other < *start + LIMIT_WINDOW);
         anyhow::ensure!(
-            got <= most,
-            "a server that takes {limit} a second got {got} in {LIMIT_WINDOW:?}, {most} at most may come"
+            got <= max,
+            "server limited to {limit} calls/s received {got} in {LIMIT_WINDOW:?}, at most {max} allowed"
         );
     }
     Ok(())
 }
 
-/// Requests that a box may send a server in a pause that it was asked for, by the rule.
-const IN_A_PAUSE: usize = 2;
+/// Requests that a box may send to a server within a pause that the server asked for.
+const MAX_CALLS_PER_PAUSE: usize = 2;
 
-/// Holds what servers turned away against the pauses that they asked for: in any of that length each
-/// caller may have a call on its way, and each life of a box two more.
+/// Checks rejected calls against the pauses that servers asked for. In any window of that length
+/// each caller may have one call in flight, and each run of a box two more.
 ///
 /// # Errors
 ///
-/// A server turned more away.
+/// A server rejected more calls than that.
 pub fn check_pauses(
     servers: &[Server],
     pause: Duration,
     callers: usize,
-    box_lives: usize,
+    box_starts: usize,
 ) -> anyhow::Result<()> {
-    let most = callers + IN_A_PAUSE * box_lives;
+    let max = callers + MAX_CALLS_PER_PAUSE * box_starts;
     for server in servers {
         let seen = server.received_calls();
         let asked = seen.iter().filter(|seen| seen.sent_retry_after);
         let times: Vec<Instant> = asked.filter_map(|seen| seen.received_at).collect();
-        for (at, begin) in times.iter().enumerate() {
-            let got = times[at..].partition_point(|other| *other < *begin + pause);
+        for (at, start) in times.iter().enumerate() {
+            let got = times[at..].partition_point(|other| *other < *start + pause);
             anyhow::ensure!(
-                got <= most,
-                "{} turned {got} calls away within a pause that it asked for, {most} at most may come",
+                got <= max,
+                "{} rejected {got} calls within a pause that it asked for, at most {max} allowed",
                 server.name
             );
         }
@@ -129,73 +132,77 @@
     Ok(())
 }
 
-/// Holds the servers that ended under one piece of work against what so many lives of boxes may let end.
+/// Checks the servers crashed by one request against what this many runs of boxes may allow.
 ///
 /// # Errors
 ///
-/// More of them ended.
-pub fn check_lives(servers: &[Server], box_lives: usize) -> anyhow::Result<()> {
-    let lives: usize = servers.iter().map(Server::times_crashed).sum();
-    let most = MOST_LIVES * box_lives;
+/// More servers crashed.
+pub fn check_crashes(servers: &[Server], box_starts: usize) -> anyhow::Result<()> {
+    let crashes: usize = servers.iter().map(Server::times_crashed).sum();
+    let max = MAX_CRASHES_PER_BOX_START * box_starts;
     anyhow::ensure!(
-        lives <= most,
-        "{lives} lives of servers ended, {most} at most may"
+        crashes <= max,
+        "servers crashed {crashes} times, at most {max} allowed"
     );
     Ok(())
 }
 
-/// Whether a piece of work has ended as many servers as hold it.
-pub fn is_held(servers: &[Server]) -> bool {
-    servers.iter().map(Server::times_crashed).sum::<usize>() >= MOST_LIVES
+/// Whether one request has crashed enough servers to be held.
+pub fn crash_limit_reached(servers: &[Server]) -> bool {
+    servers.iter().map(Server::times_crashed).sum::<usize>() >= MAX_CRASHES_PER_BOX_START
 }
 
-fn check_row(row: &Row, ran: usize, events: u64) -> anyhow::Result<()> {
-    let id = &row.id;
+fn check_record(record: &CallRecord, ran: usize, events: u64) -> anyhow::Result<()> {
+    let id = &record.id;
     anyhow::ensure!(
-        row.kind != Kind::Once || ran <= 1,
-        "call {id} may run once and ran {ran} times"
+        record.kind != CallKind::NonRepeatable || ran <= 1,
+        "call {id} may run at most once but ran {ran} times"
     );
     anyhow::ensure!(
-        row.took <= row.patience + HANG,
+        record.elapsed <= record.deadline + HANG_GRACE,
         "call {id} hung for {:?}",
-        row.took
+        record.elapsed
     );
-    let Some(answer) = &row.answer else {
+    let Some(response) = &record.response else {
         return Ok(());
     };
-    match (answer.status, row.kind) {
-        (503 | 429 | 408 | 421, Kind::Once) => anyhow::ensure!(
+    match (response.status, record.kind) {
+        (503 | 429 | 408 | 421, CallKind::NonRepeatable) => anyhow::ensure!(
             ran == 0,
-            "call {id} was told that it has not run, and it ran {ran} times"
+            "call {id} was reported as not run but ran {ran} times"
+        ),
+        (200, CallKind::Stream | CallKind::Fragile) => check_stream(id, response, events)?,
+        (200, CallKind::Crashing) => anyhow::ensure!(
+            !response.is_complete,
+            "call {id} crashes servers but got a complete response"
         ),
-        (200, Kind::Stream | Kind::Fragile) => check_stream(id, answer, events)?,
-        (200, Kind::Deadly) => anyhow::ensure!(!answer.is_complete, "call {id} can't be served"),
-        (503, Kind::Fragile) => anyhow::ensure!(
-            !answer.body.contains("ends_servers"),
-            "call {id} is blamed for what another one did"
+        (503, CallKind::Fragile) => anyhow::ensure!(
+            !response.body.contains("ends_servers"),
+            "call {id} was refused for crashes caused by another call"
         ),
-        (200, _) if answer.is_complete => anyhow::ensure!(
-            answer.body.ends_with(&format!(" served {id}")),
-            "call {id} got another answer: {}",
-            answer.body
+        (200, _) if response.is_complete => anyhow::ensure!(
+            response.body.ends_with(&format!(" served {id}")),
+            "call {id} got the wrong response: {}",
+            response.body
         ),
-        (401 | 403 | 404, _) => anyhow::bail!("call {id} was denied: {}", answer.status),
+        (401 | 403 | 404, _) => anyhow::bail!("call {id} was denied: {}", response.status),
         _ => {}
     }
     Ok(())
 }
 
-fn check_stream(id: &str, answer: &RawResponse, events: u64) -> anyhow::Result<()> {
-    let rows: Vec<String> = (0..events)
+fn check_stream(id: &str, response: &RawResponse, events: u64) -> anyhow::Result<()> {
+    let frames: Vec<String> = (0..events)
         .map(|at| format!("id: {at}\ndata: piece {at}\n\n"))
         .collect();
-    let all = rows.concat();
-    let holds = all.starts_with(&answer.body) && (!answer.is_complete || answer.body == all);
+    let all = frames.concat();
+    let matches =
+        all.starts_with(&response.body) && (!response.is_complete || response.body == all);
     anyhow::ensure!(
-        holds,
-        "stream {id}, whole: {}: {:?}",
-        answer.is_complete,
-        answer.body
+        matches,
+        "stream {id} has unexpected content, complete: {}: {:?}",
+        response.is_complete,
+        response.body
     );
     Ok(())
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,8 +1,8 @@
-//! Soaks the real daemon: processes on this machine, faults from outside, promises checked
-//! from what callers and servers see.
+//! Soaks the real daemon: starts processes on this machine, injects faults from outside,
+//! and checks invariants from what callers and servers observe.
 //!
-//! A seed gives the plan: what goes wrong, where, when and for how long. Faults overlap and
-//! come in series. The timing of the processes themselves is not part of the seed.
+//! A seed determines the fault plan: kind, target, start and duration of each fault. Faults
+//! overlap and come in series. The timing of the processes themselves does not depend on the seed.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 mod proxy;
 mod run;
 
-/// Seeds that failed once, each with its cause; they run first, every time.
+/// Seeds that failed before, each with its cause; they run before all others.
 const REGRESSIONS: &str = include_str!("../regressions.txt");
 
 /// Soak the daemon under seeded faults.
@@ -51,7 +51,7 @@
         .collect()
 }
 
-async fn told_to_stop(term: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_stop_signal(term: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
@@ -84,11 +84,11 @@
             servers: args.servers,
             faults_for: Duration::from_secs(args.seconds),
         };
-        // Dropping a run ends its boxes: left behind, they would go on asking for their store at
-        // an address that another run's server may get.
+        // Dropping a run kills its boxes. Orphaned boxes would keep polling their store at an
+        // address that a server of another run may get.
         let result = tokio::select! {
             result = run::run(*seed, size) => result,
-            () = told_to_stop(&mut term, &mut interrupt) => {
+            () = wait_for_stop_signal(&mut term, &mut interrupt) => {
                 println!("seed {seed}: stopped; its boxes are ended");
                 return ExitCode::FAILURE;
             }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A loopback proxy in front of one listener, which delays, resets, cuts one way or silences.
+//! A loopback proxy in front of one listener, which can delay or reset connections, or
+//! hold the bytes of one or both directions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,35 +15,35 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::Notify;
 
-/// What the proxy does with bytes.
+/// How the proxy treats connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Link {
-    /// Passes them on.
+    /// Forwards bytes at once.
     #[default]
     Open,
-    /// Passes them on later.
+    /// Forwards each read after this delay.
     Delayed(Duration),
-    /// Closes connections, open and new ones.
+    /// Closes open and new connections.
     Reset,
-    /// Holds what goes to the listener.
+    /// Holds the bytes towards the listener.
     CutThere,
-    /// Holds what comes back.
+    /// Holds the bytes from the listener.
     CutBack,
-    /// Holds both.
+    /// Holds the bytes of both directions.
     Silent,
 }
 
-/// A proxy.
+/// Proxy to one target; clones share its link.
 #[derive(Debug, Clone)]
 pub struct Proxy {
     link: Arc<Mutex<Link>>,
     changed: Arc<Notify>,
-    /// Where it listens.
+    /// The loopback address that it listens on.
     pub address: SocketAddr,
 }
 
 impl Proxy {
-    /// Starts one in front of `target`.
+    /// Starts a proxy in front of `target`.
     pub async fn start(target: SocketAddr) -> anyhow::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let proxy = Self {
@@ -50,16 +51,16 @@
             changed: Arc::default(),
             address: listener.local_addr()?,
         };
-        let accepting = proxy.clone();
+        let acceptor = proxy.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(accepting.clone().carry(stream, target));
+                tokio::spawn(acceptor.clone().forward_connection(stream, target));
             }
         });
         Ok(proxy)
     }
 
-    /// Changes what it does.
+    /// Changes the link for open and new connections.
     pub fn set(&self, link: Link) {
         *self.link.lock().unwrap_or_else(PoisonError::into_inner) = link;
         self.changed.notify_waiters();
@@ -69,26 +70,26 @@
         *self.link.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn carry(self, near: TcpStream, target: SocketAddr) {
-        let Ok(far) = TcpStream::connect(target).await else {
+    async fn forward_connection(self, client: TcpStream, target: SocketAddr) {
+        let Ok(upstream) = TcpStream::connect(target).await else {
             return;
         };
-        let (near_in, near_out) = near.into_split();
-        let (far_in, far_out) = far.into_split();
-        let there = self.pass(near_in, far_out, Link::CutThere);
-        let back = self.pass(far_in, near_out, Link::CutBack);
+        let (client_in, client_out) = client.into_split();
+        let (upstream_in, upstream_out) = upstream.into_split();
+        let requests = self.forward(client_in, upstream_out, Link::CutThere);
+        let responses = self.forward(upstream_in, client_out, Link::CutBack);
         let reset = async {
             while self.link() != Link::Reset {
                 self.changed.notified().await;
             }
         };
         tokio::select! {
-            _ = async { tokio::join!(there, back) } => {}
+            _ = async { tokio::join!(requests, responses) } => {}
             () = reset => {}
         }
     }
 
-    async fn pass(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: Link) {
+    async fn forward(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: Link) {
         let mut buf = [0; 4_096];
         while let Ok(read) = from.read(&mut buf).await {
             loop {
@@ -102,7 +103,7 @@
                 break;
             }
         }
-        // The other side may be gone already.
+        // The peer may have closed the connection already.
         let _ = to.shutdown().await;
     }
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed: starts everything, brings the faults about, and holds the rows to the promises.
+//! Runs one seed: starts all processes, injects the faults, and checks the invariants.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 use tokio::sync::Mutex;
 
 use crate::callers;
-use crate::callers::Rows;
+use crate::callers::CallRecords;
 use crate::faults;
 use crate::faults::Fault;
 use crate::faults::Planned;
@@ -32,44 +32,43 @@
 use crate::proxy::Link;
 use crate::proxy::Proxy;
 
-/// Callers for each box.
-const CALLERS: usize = 4;
-/// Servers that end under a certain call, and are away so long.
-const FRAGILE: usize = 16;
-const AWAY: Duration = Duration::from_secs(2);
-/// Time that a stopping box has before it is killed, as its settings say, and a bit more.
-const STOP_TIME: Duration = Duration::from_secs(9);
-/// Calls a second that the first server says it takes, all the time.
-const LIMIT: f64 = 3.0;
-/// The pause that servers ask for which shed.
-const PAUSE_TEXT: &str = "1";
+const CALLERS_PER_BOX: usize = 4;
+/// Servers that crash on [`callers::CRASHING_PROMPT`], and their downtime after each crash.
+const FRAGILE_SERVERS: usize = 16;
+const CRASH_DOWNTIME: Duration = Duration::from_secs(2);
+/// Slightly more than the time that the settings of a box allow for a graceful stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(9);
+/// Limit that the first server announces throughout the run.
+const CALLS_PER_SECOND: f64 = 3.0;
+/// Pause that shedding servers ask for, in seconds and as a duration.
+const RETRY_AFTER: &str = "1";
 const PAUSE: Duration = Duration::from_secs(1);
-/// How long a server that left is away.
-const STARTS_AGAIN: Duration = Duration::from_millis(200);
-/// After the faults, until all boxes must know of calls that end servers.
-const NEWS_IN_FORCE: Duration = Duration::from_secs(2);
-/// From the store's return until what operators and servers wrote since is written again.
-const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(300);
-/// Within this time a new version is in force at all boxes that reach each other and the store.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
-/// Tries to be served after the faults, a tenth of a second apart, before a run counts as lost.
-const RECOVERY_TRIES: usize = 200;
+/// Downtime of a server that announced that it leaves.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
+/// Time after the faults within which all boxes must know which calls crash servers.
+const CRASH_REPORT_PROPAGATION: Duration = Duration::from_secs(2);
+/// Delay between a restore of the store and the replay of the lost writes.
+const REPLAY_DELAY: Duration = Duration::from_millis(300);
+/// Time within which new routes take effect at all boxes that reach each other and the store.
+const ROUTES_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(4);
+/// Attempts to be served after the faults, 100 ms apart, before the run fails.
+const RECOVERY_ATTEMPTS: usize = 200;
 
-/// What is told of a process that a signal ended.
-const BY_SIGNAL: i32 = -1;
+/// Exit code reported for a process that was killed by a signal.
+const KILLED_BY_SIGNAL: i32 = -1;
 
-/// How large a run is.
+/// Size of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Servers.
+    /// Number of servers, without the fragile ones.
     pub servers: usize,
-    /// How long faults come.
+    /// Length of the fault phase.
     pub faults_for: Duration,
 }
 
-/// What a run did.
+/// Counts of a successful run.
 #[derive(Debug)]
 pub struct Summary {
     faults: usize,
@@ -88,12 +87,12 @@
     }
 }
 
-struct Stage {
+struct Cluster {
     store: Store,
-    store_way: Proxy,
+    store_proxy: Proxy,
     servers: Vec<Server>,
-    ways: Vec<Proxy>,
-    /// Reached without a proxy: nobody listens there while they are away.
+    proxies: Vec<Proxy>,
+    /// Reached without a proxy, so that connections are refused while they are down.
     fragile: Vec<Server>,
     boxes: Vec<Mutex<RelayBox>>,
     version: AtomicU64,
@@ -103,94 +102,106 @@
 ///
 /// # Errors
 ///
-/// A promise is broken, or something could not be started.
+/// An invariant is violated, or a process or a fault could not be started.
 pub async fn run(seed: u64, size: Size) -> anyhow::Result<Summary> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let plan = faults::plan(&mut rng, size.faults_for, size.boxes, size.servers);
-    let stage = Arc::new(Stage::start(size).await?);
-    let rows = Rows::default();
+    let cluster = Arc::new(Cluster::start(size).await?);
+    let records = CallRecords::default();
     let stop = Arc::new(AtomicBool::new(false));
-    let fronts = stage.fronts().await;
-    let callers: Vec<_> = (0..CALLERS * size.boxes)
+    let fronts = cluster.fronts().await;
+    let callers: Vec<_> = (0..CALLERS_PER_BOX * size.boxes)
         .map(|name| {
             let rng = ChaCha8Rng::seed_from_u64(seed ^ (name as u64 + 1));
-            let (rows, stop) = (Arc::clone(&rows), Arc::clone(&stop));
-            tokio::spawn(callers::run(name, fronts.clone(), rng, rows, stop))
+            let (records, stop) = (Arc::clone(&records), Arc::clone(&stop));
+            tokio::spawn(callers::run(name, fronts.clone(), rng, records, stop))
         })
         .collect();
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let faults: Vec<_> = (plan.iter().copied())
         .map(|planned| {
-            let stage = Arc::clone(&stage);
+            let cluster = Arc::clone(&cluster);
             tokio::spawn(async move {
-                tokio::time::sleep_until(begun + planned.at).await;
-                stage.bring_about(planned).await
+                tokio::time::sleep_until(started + planned.at).await;
+                cluster.inject(planned).await
             })
         })
         .collect();
     for fault in faults {
-        fault.await?.context("a fault could not be brought about")?;
+        fault.await?.context("fault could not be injected")?;
     }
-    stage.heal();
-    let recovered = stage.recovers(&fronts).await;
+    cluster.clear_faults();
+    let recovered = cluster.wait_until_served(&fronts).await;
     stop.store(true, Ordering::SeqCst);
     for caller in callers {
         caller.await?;
     }
     let recovered = match recovered {
-        Ok(()) => stage.holds_what_ends_servers(&fronts).await,
+        Ok(()) => cluster.check_crashing_call_is_held(&fronts).await,
         Err(cause) => Err(cause),
     };
     let recovered = match recovered {
-        Ok(()) => stage.takes_new_routes(&fronts).await,
+        Ok(()) => cluster.check_new_routes(&fronts).await,
         Err(cause) => Err(cause),
     };
-    let restarts = plan.iter().filter(|planned| planned.fault.starts_a_box());
-    let box_lives = size.boxes + restarts.count();
-    let rows = rows.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    let servers = [stage.servers.as_slice(), &stage.fragile].concat();
+    let restarts = plan.iter().filter(|planned| planned.fault.restarts_box());
+    let box_starts = size.boxes + restarts.count();
+    let records = records
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
+    let servers = [cluster.servers.as_slice(), &cluster.fragile].concat();
     let checked = recovered
-        .and_then(|()| ledger::check(&rows, &servers))
-        .and_then(|()| ledger::check_lives(&stage.fragile, box_lives))
-        .and_then(|()| ledger::check_limit(&stage.servers[0], LIMIT))
+        .and_then(|()| ledger::check(&records, &servers))
+        .and_then(|()| ledger::check_crashes(&cluster.fragile, box_starts))
+        .and_then(|()| ledger::check_limit(&cluster.servers[0], CALLS_PER_SECOND))
         .and_then(|()| {
-            ledger::check_pauses(&stage.servers, PAUSE, CALLERS * size.boxes, box_lives)
+            ledger::check_pauses(
+                &cluster.servers,
+                PAUSE,
+                CALLERS_PER_BOX * size.boxes,
+                box_starts,
+            )
         });
     if let Err(cause) = checked {
-        let logs = stage.keep_logs(seed).await?;
+        let logs = cluster.save_logs(seed).await?;
         return Err(cause.context(format!("plan {plan:#?}; logs in {logs}")));
     }
-    let served = rows.iter().filter_map(|row| row.answer.as_ref());
+    let served = records.iter().filter_map(|record| record.response.as_ref());
     let served = served
-        .filter(|answer| answer.status == 200 && answer.is_complete)
+        .filter(|response| response.status == 200 && response.is_complete)
         .count();
     Ok(Summary {
         faults: plan.len(),
-        calls: rows.len(),
+        calls: records.len(),
         served,
     })
 }
 
-impl Stage {
+impl Cluster {
     async fn start(size: Size) -> anyhow::Result<Self> {
         let store = Store::start().await?;
         store.put_routes(&desired_state(1, &["key-1"]));
-        let store_way = Proxy::start(store.address).await?;
-        let (mut servers, mut ways) = (Vec::new(), Vec::new());
+        let store_proxy = Proxy::start(store.address).await?;
+        let (mut servers, mut proxies) = (Vec::new(), Vec::new());
         for at in 0..size.servers {
             let pace = Duration::from_millis(15);
             let server = Server::start(&format!("i-{at}"), "boards", pace).await?;
-            let way = Proxy::start(server.address).await?;
-            store.put(&server.key(), &server.entry_at("ready", way.address));
+            let proxy = Proxy::start(server.address).await?;
+            store.put(&server.key(), &server.entry_at("ready", proxy.address));
             servers.push(server);
-            ways.push(way);
+            proxies.push(proxy);
         }
-        servers[0].announce_limit(Some(&LIMIT.to_string()));
+        servers[0].announce_limit(Some(&CALLS_PER_SECOND.to_string()));
         let mut fragile = Vec::new();
-        for at in 0..FRAGILE {
+        for at in 0..FRAGILE_SERVERS {
             let pace = Duration::from_millis(15);
             let server = Server::start(&format!("f-{at}"), "fragile", pace).await?;
-            server.set_crash_rule(CrashRule::on_body(callers::DEADLY, AWAY, &store));
+            server.set_crash_rule(CrashRule::on_body(
+                callers::CRASHING_PROMPT,
+                CRASH_DOWNTIME,
+                &store,
+            ));
             store.put(&server.key(), &server.entry("ready"));
             fragile.push(server);
         }
@@ -199,7 +210,7 @@
         for (at, ip) in ips.iter().enumerate() {
             let seeds = &ips[..ips.len().min(3)];
             let name = format!("box-{at}");
-            let started = RelayBox::start_at(&name, *ip, store_way.address, seeds)?;
+            let started = RelayBox::start_at(&name, *ip, store_proxy.address, seeds)?;
             boxes.push(Mutex::new(started));
         }
         for a_box in &boxes {
@@ -207,9 +218,9 @@
         }
         Ok(Self {
             store,
-            store_way,
+            store_proxy,
             servers,
-            ways,
+            proxies,
             fragile,
             boxes,
             version: AtomicU64::new(1),
@@ -224,58 +235,58 @@
         fronts
     }
 
-    async fn bring_about(&self, planned: Planned) -> anyhow::Result<()> {
-        let last = || tokio::time::sleep(planned.lasts);
+    async fn inject(&self, planned: Planned) -> anyhow::Result<()> {
+        let wait = || tokio::time::sleep(planned.lasts);
         match planned.fault {
             Fault::ServerLink(at, link) => {
-                self.ways[at].set(link);
-                last().await;
-                self.ways[at].set(Link::Open);
+                self.proxies[at].set(link);
+                wait().await;
+                self.proxies[at].set(Link::Open);
             }
             Fault::StoreLink(link) => {
-                self.store_way.set(link);
-                last().await;
-                self.store_way.set(Link::Open);
+                self.store_proxy.set(link);
+                wait().await;
+                self.store_proxy.set(Link::Open);
             }
             Fault::StoreMode(mode) => {
                 self.store.set_mode(mode);
-                last().await;
+                wait().await;
                 self.store.set_mode(Mode::Serving);
             }
             Fault::LoseAnswers(count) => self.store.drop_responses(count),
             Fault::ForgetHistory => self.store.compact_history(),
             Fault::ReturnFromCopy => {
                 self.store.take_backup();
-                last().await;
+                wait().await;
                 let before = self.store.restore_backup();
-                tokio::time::sleep(WRITTEN_AGAIN_AFTER).await;
+                tokio::time::sleep(REPLAY_DELAY).await;
                 self.store.replay_lost_writes(before);
             }
             Fault::Lapse(at) => {
                 self.store.remove(&self.servers[at].key());
-                last().await;
-                self.list(at, "ready");
+                wait().await;
+                self.publish_entry(at, "ready");
             }
             Fault::Leave(at) => {
-                self.list(at, "draining");
-                last().await;
-                self.list(at, "ready");
+                self.publish_entry(at, "draining");
+                wait().await;
+                self.publish_entry(at, "ready");
             }
             Fault::SayLeaving(at) => self.announce_leaving(at, planned.lasts).await,
             Fault::Shed(at) => {
-                self.servers[at].shed(Some(PAUSE_TEXT));
-                last().await;
+                self.servers[at].shed(Some(RETRY_AFTER));
+                wait().await;
                 self.servers[at].shed(None);
             }
             Fault::Misbehave(at, behaviour, count) => {
                 self.servers[at].queue_behaviours(&vec![behaviour; count]);
             }
             Fault::Kill(at) => self.boxes[at].lock().await.restart()?,
-            Fault::Terminate(at) => self.stop_in_order(at).await?,
+            Fault::Terminate(at) => self.stop_gracefully(at).await?,
             Fault::Freeze(at) => {
                 let a_box = self.boxes[at].lock().await;
                 a_box.signal("STOP")?;
-                last().await;
+                wait().await;
                 a_box.signal("CONT")?;
             }
             Fault::Hangup(at) => self.boxes[at].lock().await.signal("HUP")?,
@@ -287,52 +298,55 @@
         Ok(())
     }
 
-    /// Its answers say so for a while, nothing else does; then its entry goes with its life.
+    /// Announces the departure only in responses for a while, then removes the entry and crashes.
     async fn announce_leaving(&self, at: usize, lasts: Duration) {
         let server = &self.servers[at];
         server.announce_leaving(Some("1"));
         tokio::time::sleep(lasts).await;
         self.store.remove(&server.key());
         server.crash();
-        tokio::time::sleep(STARTS_AGAIN).await;
-        self.list(at, "ready");
+        tokio::time::sleep(RESTART_DELAY).await;
+        self.publish_entry(at, "ready");
     }
 
-    fn list(&self, at: usize, state: &str) {
+    fn publish_entry(&self, at: usize, state: &str) {
         let server = &self.servers[at];
-        let entry = server.entry_at(state, self.ways[at].address);
+        let entry = server.entry_at(state, self.proxies[at].address);
         self.store.put(&server.key(), &entry);
     }
 
-    async fn stop_in_order(&self, at: usize) -> anyhow::Result<()> {
+    async fn stop_gracefully(&self, at: usize) -> anyhow::Result<()> {
         let mut a_box = self.boxes[at].lock().await;
         a_box.signal("TERM")?;
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         while a_box.exit_code()?.is_none() {
             anyhow::ensure!(
-                begun.elapsed() < STOP_TIME,
-                "box {at} does not stop in time"
+                started.elapsed() < STOP_TIMEOUT,
+                "box {at} did not stop in time"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let code = a_box.exit_code()?;
-        let early = code == Some(BY_SIGNAL) && !a_box.handles_signals();
-        anyhow::ensure!(code == Some(0) || early, "box {at} stopped with {code:?}");
+        let early = code == Some(KILLED_BY_SIGNAL) && !a_box.handles_signals();
+        anyhow::ensure!(
+            code == Some(0) || early,
+            "box {at} stopped with exit code {code:?}"
+        );
         a_box.restart()
     }
 
-    fn heal(&self) {
-        self.ways.iter().for_each(|way| way.set(Link::Open));
-        self.store_way.set(Link::Open);
+    fn clear_faults(&self) {
+        self.proxies.iter().for_each(|proxy| proxy.set(Link::Open));
+        self.store_proxy.set(Link::Open);
         self.store.set_mode(Mode::Serving);
-        (0..self.servers.len()).for_each(|at| self.list(at, "ready"));
+        (0..self.servers.len()).for_each(|at| self.publish_entry(at, "ready"));
     }
 
-    async fn recovers(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
+    async fn wait_until_served(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
         for (at, front) in fronts.iter().enumerate() {
-            self.start_again_if_ended(at).await?;
+            self.restart_if_killed(at).await?;
             let mut served = false;
-            for number in 0..RECOVERY_TRIES {
+            for number in 0..RECOVERY_ATTEMPTS {
                 let text = call(
                     "GET",
                     "/again/a",
@@ -340,31 +354,31 @@
                     "",
                     "",
                 );
-                let answer = Caller::exchange(*front, &text).await;
-                served = answer.is_ok_and(|answer| answer.status == 200);
+                let response = Caller::exchange(*front, &text).await;
+                served = response.is_ok_and(|response| response.status == 200);
                 if served {
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
-            anyhow::ensure!(served, "box {at} does not serve after the faults");
+            anyhow::ensure!(served, "box {at} did not serve after the faults");
         }
         Ok(())
     }
 
-    /// Once all reach each other and the store, no box sends on a call that has ended servers.
-    async fn holds_what_ends_servers(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
-        if !ledger::is_held(&self.fragile) {
+    /// Once boxes reach each other and the store, none forwards a call that has crashed servers.
+    async fn check_crashing_call_is_held(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
+        if !ledger::crash_limit_reached(&self.fragile) {
             return Ok(());
         }
-        tokio::time::sleep(NEWS_IN_FORCE).await;
-        let lives = || {
+        tokio::time::sleep(CRASH_REPORT_PROPAGATION).await;
+        let crashes = || {
             self.fragile
                 .iter()
                 .map(Server::times_crashed)
                 .sum::<usize>()
         };
-        let before = lives();
+        let before = crashes();
         for (at, front) in fronts.iter().enumerate() {
             let path = "/stream/fragile/a";
             let text = call(
@@ -372,21 +386,24 @@
                 path,
                 &format!("recovery-held-{at}"),
                 "",
-                callers::DEADLY,
+                callers::CRASHING_PROMPT,
             );
-            let answer = Caller::exchange(*front, &text).await?;
-            let status = answer.status;
+            let response = Caller::exchange(*front, &text).await?;
+            let status = response.status;
             anyhow::ensure!(
                 status == 503,
-                "box {at} answers {status} to a call that ends servers"
+                "box {at} responded {status} to a call that crashes servers"
             );
         }
-        anyhow::ensure!(lives() == before, "a call that ends servers was sent on");
+        anyhow::ensure!(
+            crashes() == before,
+            "a call that crashes servers was forwarded"
+        );
         Ok(())
     }
 
-    /// Whatever became of the store, a new version is in force in time at each box, and the one after it.
-    async fn takes_new_routes(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
+    /// After any fault of the store, two successive versions take effect in time at each box.
+    async fn check_new_routes(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
         for (keys, wanted) in [(&["key-1", "key-new"][..], 200), (&["key-1"][..], 401)] {
             let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
             self.store.put_routes(&desired_state(version, keys));
@@ -398,11 +415,14 @@
                 "",
             );
             let text = text.replace("key-1", "key-new");
-            let until = tokio::time::Instant::now() + IN_FORCE_WITHIN;
+            let until = tokio::time::Instant::now() + ROUTES_PROPAGATION_TIMEOUT;
             for (at, front) in fronts.iter().enumerate() {
                 while Caller::exchange(*front, &text).await?.status != wanted {
                     let in_time = tokio::time::Instant::now() < until;
-                    anyhow::ensure!(in_time, "version {version} is not in force at box {at}");
+                    anyhow::ensure!(
+                        in_time,
+                        "version {version} is not in force at box {at} in time"
+                    );
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             }
@@ -410,17 +430,17 @@
         Ok(())
     }
 
-    /// The platform starts a process again that a signal ended before it could take signals.
-    async fn start_again_if_ended(&self, at: usize) -> anyhow::Result<()> {
+    /// Stands in for the platform, which restarts a process killed before it handled signals.
+    async fn restart_if_killed(&self, at: usize) -> anyhow::Result<()> {
         let mut a_box = self.boxes[at].lock().await;
         match a_box.exit_code()? {
             None => Ok(()),
-            Some(BY_SIGNAL) => a_box.restart(),
+            Some(KILLED_BY_SIGNAL) => a_box.restart(),
             Some(code) => anyhow::bail!("box {at} ended by itself with code {code}"),
         }
     }
 
-    async fn keep_logs(&self, seed: u64) -> anyhow::Result<String> {
+    async fn save_logs(&self, seed: u64) -> anyhow::Result<String> {
         let folder = std::env::temp_dir().join(format!("badgerferry-soak-{seed}"));
         std::fs::create_dir_all(&folder)?;
         for (at, a_box) in self.boxes.iter().enumerate() {
--- a/soak/tests/test_stop.rs
+++ b/soak/tests/test_stop.rs
@@ -1,4 +1,4 @@
-//! A soak that is told to stop leaves no box behind.
+//! Guards against orphaned boxes: a soak that gets SIGTERM must stop the boxes it started.
 
 use std::path::Path;
 use std::process::Child;
@@ -6,18 +6,18 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// Looks before a condition counts as never met; each takes [`LOOK`].
-const LOOKS: u32 = 1_500;
-const LOOK: Duration = Duration::from_millis(20);
+/// Polls before a wait fails, [`POLL_INTERVAL`] apart.
+const MAX_POLLS: u32 = 1_500;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         if holds() {
             return;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    panic!("waited in vain until {what}");
+    panic!("timed out waiting until {what}");
 }
 
 fn start_soak() -> Child {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_soak_that_is_told_to_stop_ends_its_boxes() {
+fn sigterm_stops_the_boxes_of_a_soak() {
     let mut soak = start_soak();
     let mut boxes = Vec::new();
     wait_until("a box runs", || {
@@ -46,11 +46,11 @@
         !boxes.is_empty()
     });
 
-    let told = Command::new("kill")
+    let killed = Command::new("kill")
         .args(["-TERM", &soak.id().to_string()])
         .status();
 
-    assert!(told.is_ok_and(|status| status.success()));
+    assert!(killed.is_ok_and(|status| status.success()));
     wait_until("the soak ends", || {
         soak.try_wait().is_ok_and(|status| status.is_some())
     });
