--- a/cli/src/command_line.rs
+++ b/cli/src/command_line.rs
@@ -88,19 +88,19 @@
         .platform
         .or_else(|| std::env::var(PLATFORM_ENV_VAR).ok());
     let timeout = Duration::from_secs(line.patience);
-    let address = || {
+    let platform_address = || {
         platform.as_deref().ok_or_else(|| {
             CommandError::new(Failure::Usage, "the platform's address is not given")
                 .hint(format!("use --platform ADDRESS or set {PLATFORM_ENV_VAR}"))
         })
     };
-    let session = || Ok(Session::new(address()?, timeout));
+    let session = || Ok(Session::new(platform_address()?, timeout));
     runtime.block_on(async {
         match line.command {
             Command::Settings(args) => cmd_settings(session, timeout, args).await,
             Command::Status(args) => cmd_status(&session()?, args).await,
             Command::Suspects(args) => {
-                let store = address()?.parse();
+                let store = platform_address()?.parse();
                 let store = store.map_err(|cause| CommandError::new(Failure::Usage, cause))?;
                 cmd_suspects(store, timeout, args).await
             }
--- a/cli/src/commands/engines.rs
+++ b/cli/src/commands/engines.rs
@@ -38,7 +38,7 @@
     plot: Option<PathBuf>,
 }
 
-/// Last line of the JSON output.
+/// Last line of the JSON output, over all seconds.
 #[derive(Serialize)]
 struct Summary<'a> {
     engines: usize,
@@ -47,7 +47,7 @@
     lines_skipped: u64,
 }
 
-/// Aggregates the logs' lines on engines.
+/// Prints the utilization of the engines by second and the accuracy of their estimates.
 pub fn cmd_engines(args: &EnginesArgs) -> CommandResult {
     if args.files.is_empty() {
         let error = CommandError::new(Failure::Usage, "no log is named");
@@ -74,7 +74,10 @@
     Ok(())
 }
 
-/// Parses a line on engines: `Ok(None)` for other messages, an error if a field is missing.
+/// Parses the log line of a call that was routed, streamed its first event or ended.
+///
+/// `Ok(None)` for other messages; an error if the message or a required field is missing or
+/// malformed.
 fn parse_engine_line(line: &LogLine) -> Result<Option<(u64, EngineLine)>, ()> {
     let Some(message) = line.value.get("message").and_then(Value::as_str) else {
         return Err(());
@@ -96,13 +99,13 @@
 }
 
 fn print_json(report: &EngineReport, lines_skipped: u64) {
-    let line = |text: serde_json::Result<String>| {
+    let print_line = |text: serde_json::Result<String>| {
         println!("{}", text.expect("plain data always encodes"));
     };
     for second in &report.seconds {
-        line(serde_json::to_string(second));
+        print_line(serde_json::to_string(second));
     }
-    line(serde_json::to_string(&Summary {
+    print_line(serde_json::to_string(&Summary {
         engines: report.engines,
         while_waiting: report.while_waiting,
         estimates: &report.estimates,
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -36,6 +36,7 @@
     steps: Vec<Step>,
 }
 
+/// A node on the path from the given node towards the root.
 #[derive(Serialize)]
 struct Step {
     node: NodeName,
--- a/cli/src/commands/limits.rs
+++ b/cli/src/commands/limits.rs
@@ -26,7 +26,7 @@
     json: bool,
 }
 
-/// Summarizes the logs' lines on limits, load shedding and leaving servers.
+/// Prints the servers that are limited, and those that leave or shed load, with their calls.
 ///
 /// # Errors
 ///
@@ -52,7 +52,7 @@
 }
 
 fn render_text(summary: &LimitSummary) -> String {
-    let (mut limited, mut others) = (
+    let (mut limited, mut leaving_or_shedding) = (
         Table::new(&["SERVER", "CALLS/S", "SINCE", "WENT", "FULL", "LONGEST WAIT"]),
         Table::new(&[
             "SERVER",
@@ -78,7 +78,7 @@
         }
         if usage.leaves_since.is_some() || usage.shed + usage.held_back > 0 {
             let pause = usage.pause_ms.map(|pause| format!("{pause} ms"));
-            others.push_row([
+            leaving_or_shedding.push_row([
                 server.clone(),
                 or_dash(&usage.leaves_since),
                 usage.shed.to_string(),
@@ -95,7 +95,7 @@
     format!(
         "{}\n{}\ncalls refused, no server open: {refused}{}\nquestions without an answer: {}\n",
         limited.render(),
-        others.render(),
+        leaving_or_shedding.render(),
         by_outcome.concat(),
         summary.unanswered
     )
--- a/cli/src/commands/lost.rs
+++ b/cli/src/commands/lost.rs
@@ -66,7 +66,7 @@
     row: &'a LostRow,
 }
 
-/// Aggregates the end-of-call lines of the logs.
+/// Prints the latencies and losses of calls by size, route and cause, from the end-of-call lines.
 pub fn cmd_lost(args: &LostArgs) -> CommandResult {
     if args.files.is_empty() {
         let error = CommandError::new(Failure::Usage, "no log is named");
@@ -75,8 +75,8 @@
     let mut lost_calls = LostCalls::default();
     for path in &args.files {
         log_files::read(path, |line| {
-            if let Some((second, line)) = line.as_ref().and_then(parse_call_end) {
-                lost_calls.add(&second, &line);
+            if let Some((second, record)) = line.as_ref().and_then(parse_call_end) {
+                lost_calls.add(&second, &record);
             }
         })?;
     }
@@ -85,23 +85,23 @@
     Ok(())
 }
 
-/// Parses the end-of-call line and the second of its timestamp.
+/// Parses an end-of-call line, with the second of its timestamp; `None` for any other line.
 fn parse_call_end(line: &LogLine) -> Option<(String, CallRecord)> {
     let value = &line.value;
     if value.get("message")?.as_str()? != CALL_END_MESSAGE {
         return None;
     }
     let second = value.get("timestamp")?.as_str()?.get(..SECOND_LEN)?;
-    let line = serde_json::from_value(value.clone()).ok()?;
-    Some((second.to_owned(), line))
+    let record = serde_json::from_value(value.clone()).ok()?;
+    Some((second.to_owned(), record))
 }
 
 fn report(lost_calls: &LostCalls) -> Report<'_> {
-    let estimates = lost_calls.prefill_ratios();
+    let prefill_ratios = lost_calls.prefill_ratios();
     let sizes = lost_calls.calls.iter().map(|(size, &calls)| SizeRow {
         size: size.to_string(),
         calls,
-        read_over_expected: estimates.get(size).copied(),
+        read_over_expected: prefill_ratios.get(size).copied(),
     });
     let mut lost: Vec<CauseRow<'_>> = (lost_calls.lost.iter())
         .map(|((size, cause), row)| CauseRow {
@@ -131,15 +131,15 @@
     let heading = ["SIZE", "CALLS", "READ/EXPECTED: MEDIAN", "P90", "WORST"];
     let mut sizes = Table::new(&heading);
     for row in &report.sizes {
-        let ratio =
+        let format_ratio =
             |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.2}"));
         let read = row.read_over_expected;
         sizes.push_row([
             row.size.clone(),
             row.calls.to_string(),
-            ratio(read.map(|read| read.median)),
-            ratio(read.map(|read| read.p90)),
-            ratio(read.map(|read| read.worst)),
+            format_ratio(read.map(|read| read.median)),
+            format_ratio(read.map(|read| read.p90)),
+            format_ratio(read.map(|read| read.worst)),
         ]);
     }
     let heading = [
--- a/cli/src/commands/settings.rs
+++ b/cli/src/commands/settings.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Parses a setting's key.
+/// Parses the key of a setting; an error if the schema does not have it.
 pub fn parse_key(text: &str) -> Result<Key, CommandError> {
     Key::parse(text).ok_or_else(|| {
         CommandError::new(Failure::Refused, format!("{text}: no such setting"))
@@ -112,7 +112,7 @@
     })
 }
 
-/// Returns the name of a node if the tree has it.
+/// Returns `name` as a node name; an error if the tree has no such node.
 pub fn find_node(tree: &SettingsTree, name: &str) -> Result<NodeName, CommandError> {
     let name = NodeName::new(name);
     match tree.node(&name) {
--- a/cli/src/commands/settings_edit.rs
+++ b/cli/src/commands/settings_edit.rs
@@ -29,7 +29,9 @@
     apply_tree(session, &target, false, args.json).await
 }
 
-/// Prints the changes to reach `target` and, unless it is a dry run, commits them as one edit.
+/// Commits the changes from the current tree to `target` as one edit, unless `dry_run` is set.
+///
+/// Prints the changes first, unless the output is JSON.
 pub async fn apply_tree(
     session: &Session,
     target: &SettingsTree,
--- a/cli/src/commands/settings_keys.rs
+++ b/cli/src/commands/settings_keys.rs
@@ -10,7 +10,7 @@
 #[argh(subcommand, name = "keys")]
 pub struct SettingsKeysArgs {}
 
-/// Prints the settings schema as a table.
+/// Prints the settings schema as a text table.
 pub fn cmd_settings_keys(_args: &SettingsKeysArgs) {
     let mut table = Table::new(&["KEY", "DEFAULT", "UNIT", "TAKES", "MEANING"]);
     for setting in SETTINGS {
--- a/cli/src/commands/settings_wait.rs
+++ b/cli/src/commands/settings_wait.rs
@@ -33,17 +33,19 @@
 }
 
 #[derive(Serialize)]
-struct InForce {
+struct WaitOutput {
     revision: Revision,
     boxes: usize,
 }
 
+/// A listed box and its status, `None` if it did not respond.
 struct PolledBox {
     info: BoxInfo,
     status: Option<DaemonStatus>,
 }
 
-/// Polls the live boxes; after `timeout` the error lists those without the revision.
+/// Polls the live boxes until all have the revision; after `timeout` the error lists those without
+/// it.
 pub async fn cmd_settings_wait(
     session: &Session,
     timeout: Duration,
@@ -55,14 +57,14 @@
         let polled = poll_boxes(session).await?;
         let behind: Vec<_> = polled
             .iter()
-            .filter(|row| !has_revision(row, wanted))
+            .filter(|polled_box| !has_revision(polled_box, wanted))
             .collect();
         if behind.is_empty() {
-            let in_force = InForce {
+            let output = WaitOutput {
                 revision: wanted,
                 boxes: polled.len(),
             };
-            Format::from_switch(args.json).print(&in_force, || {
+            Format::from_switch(args.json).print(&output, || {
                 format!(
                     "revision {wanted} is in force on {} boxes
 ",
@@ -74,7 +76,7 @@
         if start.elapsed() >= timeout {
             let lines: Vec<_> = behind
                 .iter()
-                .map(|row| describe_box(row, &polled))
+                .map(|polled_box| describe_box(polled_box, &polled))
                 .collect();
             let message = format!(
                 "revision {wanted} is not in force on {} of {} boxes:\n  {}",
@@ -89,6 +91,7 @@
     }
 }
 
+/// Reads the status of the live boxes: those that the platform lists and that are not leaving.
 async fn poll_boxes(session: &Session) -> Result<Vec<PolledBox>, CommandError> {
     let boxes = session.boxes().await?;
     let live: Vec<_> = boxes.into_iter().filter(|info| !info.leaving).collect();
@@ -99,14 +102,16 @@
         .collect())
 }
 
-fn has_revision(row: &PolledBox, wanted: Revision) -> bool {
-    let status = row.status.as_ref();
+fn has_revision(polled_box: &PolledBox, wanted: Revision) -> bool {
+    let status = polled_box.status.as_ref();
     status.is_some_and(|status| status.settings.revision >= wanted)
 }
 
-fn describe_box(row: &PolledBox, all: &[PolledBox]) -> String {
-    let name = &row.info.name;
-    if let Some(status) = &row.status {
+/// Describes a box that lacks the revision, by its own status or, if it did not respond, by the
+/// latest revision that a peer knows it to have.
+fn describe_box(polled_box: &PolledBox, all: &[PolledBox]) -> String {
+    let name = &polled_box.info.name;
+    if let Some(status) = &polled_box.status {
         let age = format_age(status.settings.unconfirmed_ms);
         return format!(
             "{name}: revision {}, confirmed {age} ago",
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -24,6 +24,7 @@
     json: bool,
 }
 
+/// A box as the platform lists it, and its own status; `None` where there is none.
 #[derive(Serialize)]
 struct BoxRow {
     name: String,
@@ -31,7 +32,7 @@
     status: Option<DaemonStatus>,
 }
 
-/// Prints the boxes' status and their view of the servers.
+/// Prints the state of the boxes, and the backend servers as each box sees them.
 pub async fn cmd_status(session: &Session, args: StatusArgs) -> CommandResult {
     let rows = match &args.one_box {
         Some(address) => {
--- a/cli/src/commands/suspects.rs
+++ b/cli/src/commands/suspects.rs
@@ -35,12 +35,15 @@
 #[derive(Debug, Default, Serialize)]
 struct SuspectRow {
     work: String,
+    /// Number of server incarnations that crashed while they ran the request.
     lives_ended: usize,
+    /// Whether the request is quarantined.
     held: bool,
+    /// Whether an operator has released it.
     released: bool,
 }
 
-/// Lists the suspects or releases one; `store` is the address of the platform's store.
+/// Lists the suspected requests or releases one; `store` is the address of the platform's store.
 ///
 /// # Errors
 ///
@@ -96,9 +99,9 @@
 
 fn render_text(rows: &[SuspectRow]) -> String {
     let mut table = Table::new(&["WORK", "SERVERS ENDED", "HELD", "RELEASED"]);
-    let word = |flag: bool| if flag { "yes" } else { "-" }.to_owned();
+    let yes_or_dash = |flag: bool| if flag { "yes" } else { "-" }.to_owned();
     for row in rows {
-        let (held, released) = (word(row.held), word(row.released));
+        let (held, released) = (yes_or_dash(row.held), yes_or_dash(row.released));
         table.push_row([
             row.work.clone(),
             row.lives_ended.to_string(),
--- a/cli/src/exit.rs
+++ b/cli/src/exit.rs
@@ -24,7 +24,8 @@
     UnknownOutcome,
     /// At least one live box does not have the revision in force.
     NotInForce,
-    /// The platform or the box did not respond; nothing was changed.
+    /// The platform or the box did not respond. No edit of the settings was committed, but a request
+    /// to release a suspect may still have been applied.
     NoAnswer,
 }
 
--- a/cli/src/log_files.rs
+++ b/cli/src/log_files.rs
@@ -28,13 +28,13 @@
 ///
 /// Returns an error if the file can't be read.
 pub fn read(path: &Path, mut on_line: impl FnMut(Option<LogLine>)) -> CommandResult {
-    let failed = |cause: std::io::Error| {
+    let read_error = |cause: std::io::Error| {
         let message = format!("failed to read {}: {cause}", path.display());
         CommandError::new(Failure::Refused, message)
     };
-    let file = File::open(path).map_err(failed)?;
+    let file = File::open(path).map_err(read_error)?;
     for line in BufReader::new(file).split(b'\n') {
-        let line = line.map_err(failed)?;
+        let line = line.map_err(read_error)?;
         on_line(parse(&String::from_utf8_lossy(&line)));
     }
     Ok(())
--- a/cli/src/session.rs
+++ b/cli/src/session.rs
@@ -72,7 +72,7 @@
 }
 
 impl Session {
-    /// Creates a session; `timeout` bounds the commit of an edit.
+    /// Creates a session; `timeout` limits the whole commit of an edit, with its retries.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self {
             platform: HttpPlatform::new(address, CALL_TIMEOUT),
@@ -98,7 +98,7 @@
 
     /// Reads the head and its checkpoint, and builds the tree.
     pub async fn read_settings(&self) -> Result<CurrentSettings, CommandError> {
-        let unusable = |cause: &dyn std::fmt::Display| {
+        let read_error = |cause: &dyn std::fmt::Display| {
             CommandError::new(
                 Failure::Refused,
                 format!("failed to read the settings: {cause}"),
@@ -107,7 +107,7 @@
         for _ in 0..MAX_READ_ATTEMPTS {
             let found = self.platform.read(HEAD_KEY).await;
             let found = found.map_err(|NoAnswer| self.no_response_error("read the settings"))?;
-            let head = read_head(&found).map_err(|cause| unusable(&cause))?;
+            let head = read_head(&found).map_err(|cause| read_error(&cause))?;
             let checkpoint = match &head.checkpoint {
                 None => None,
                 Some(reference) => match self.checkpoint(&reference.key).await? {
@@ -117,14 +117,14 @@
             };
             let tree = head
                 .tree(checkpoint.as_ref())
-                .map_err(|cause| unusable(&cause))?;
+                .map_err(|cause| read_error(&cause))?;
             return Ok(CurrentSettings {
                 head,
                 checkpoint,
                 tree,
             });
         }
-        Err(unusable(&"the checkpoint that the head names is gone"))
+        Err(read_error(&"the checkpoint that the head names is gone"))
     }
 
     /// Reads a checkpoint; `None` if it was removed.
@@ -171,6 +171,7 @@
         }
     }
 
+    /// Executes an action of the commit state machine and returns the resulting event.
     async fn perform(&self, action: CommitAction) -> CommitEvent {
         match action {
             CommitAction::ReadHead => CommitEvent::Read(self.platform.read(HEAD_KEY).await),
@@ -187,6 +188,7 @@
                 tokio::time::sleep(duration).await;
                 CommitEvent::BackoffElapsed
             }
+            // Not reached: `commit` returns on `Done`.
             CommitAction::Done(_) => CommitEvent::BackoffElapsed,
         }
     }
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Removes all but the newest `KEPT_CHECKPOINTS` checkpoints.
+    /// Removes all checkpoints but the newest `KEPT_CHECKPOINTS`.
     async fn remove_old_checkpoints(&self) -> Result<(), NoAnswer> {
         let keys = self.platform.list(CHECKPOINT_PREFIX).await?;
         for key in prunable_checkpoints(keys, KEPT_CHECKPOINTS) {
--- a/cli/tests/test_output.rs
+++ b/cli/tests/test_output.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn missing_platform_is_told_with_a_hint() {
+fn missing_platform_is_reported_with_a_hint() {
     insta::assert_snapshot!(text(&run(&["settings", "show"])));
 }
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn unsound_file_is_told_fault_by_fault() {
+fn all_errors_of_an_invalid_tree_are_reported() {
     let path = std::env::temp_dir().join(format!("badgerferry-tree-{}.json", std::process::id()));
     let tree = r#"{"nodes": {
         "fleet": {"kind": "root", "set": {"request.priority": "soon"}},
@@ -54,8 +54,8 @@
     let output = run(&["settings", "check", &path.display().to_string()]);
 
     std::fs::remove_file(&path).expect("the file is there");
-    let told = text(&output).replace(&path.display().to_string(), "FILE");
-    insta::assert_snapshot!(told);
+    let masked = text(&output).replace(&path.display().to_string(), "FILE");
+    insta::assert_snapshot!(masked);
 }
 
 fn call_line(id: &str, tokens: u64, first_event_ms: u64, waited_ms: u64) -> String {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn lost_calls_are_told_by_size_and_cause() {
+fn lost_calls_are_reported_by_size_and_cause() {
     let path = std::env::temp_dir().join(format!("badgerferry-log-{}.json", std::process::id()));
     let lines = [
         call_line("a1", 180_000, 5_000, 3_900),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn engines_are_told_by_second_with_the_lines_that_were_skipped() {
+fn engines_are_reported_by_second_with_the_count_of_skipped_lines() {
     let path = std::env::temp_dir().join(format!("badgerferry-engines-{}.log", std::process::id()));
     let log = [
         r#"{"timestamp":"2026-03-07T04:57:50.000000Z","message":"daemon started"}"#,
@@ -97,7 +97,7 @@
     std::fs::write(&path, log.join("\n")).expect("the file can be written");
     let plot = path.with_extension("svg");
 
-    let told = run(&["engines", &path.display().to_string()]);
+    let table = run(&["engines", &path.display().to_string()]);
     let json = run(&["engines", "--json", &path.display().to_string()]);
     let drawn = run(&[
         "engines",
@@ -111,7 +111,7 @@
         std::fs::remove_file(file).expect("the file is there");
     }
     assert!(drawn.status.success() && svg.contains("prompts waiting"));
-    insta::assert_snapshot!(text(&told) + &text(&json));
+    insta::assert_snapshot!(text(&table) + &text(&json));
 }
 
 #[test]
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn limited_servers_are_told_from_the_lines_of_several_boxes() {
+fn limited_servers_are_aggregated_over_the_logs_of_several_boxes() {
     let path = std::env::temp_dir().join(format!("badgerferry-limits-{}.log", std::process::id()));
     let lines = [
         r#"{"timestamp":"2026-03-01T00:00:08.02Z","message":"server names a limit","server":"i-1","limit":1.5,"source":"box-2"}"#,
--- a/cli/tests/test_suspects.rs
+++ b/cli/tests/test_suspects.rs
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn suspects_failures_set_the_exit_code() -> anyhow::Result<()> {
+async fn invalid_fingerprint_and_unreachable_store_set_the_exit_code() -> anyhow::Result<()> {
     let store = Store::start().await?;
 
     let malformed_fingerprint = badgerferry(store.address, &["suspects", "--release", "zz"]).await;
