--- a/daemon/src/placement_control.rs
+++ b/daemon/src/placement_control.rs
@@ -89,7 +89,8 @@
     };
     let observed = observed_engines(traffic);
     for order in placement.reconcile(now, term, &desired, &observed) {
-        // Checked again for each order, since the lease may have expired in the meantime.
+        // Checked again for each order, since the validity of the lease may have ended in the
+        // meantime. It ends a margin before the TTL has elapsed.
         let Some(fence) = lease.fence(traffic.clock.now()) else {
             tracing::warn!(server = %order.server, "order not sent: lease expired");
             return;
--- a/daemon/src/relay/gossip.rs
+++ b/daemon/src/relay/gossip.rs
@@ -244,8 +244,8 @@
     }
 }
 
-/// Waits for a change or the next heartbeat, for at least `min_interval`. An urgent change ends the
-/// wait at once, and true is returned.
+/// Waits for a change or the next heartbeat, for at least `min_interval`. A change within that
+/// interval is sent at its end. An urgent change ends the wait at once, and true is returned.
 async fn wait_for_change(relay: &Relay, min_interval: Duration, heartbeat: Duration) -> bool {
     let changed = async {
         tokio::time::sleep(min_interval).await;
--- a/daemon/src/relay/log_rate_limit.rs
+++ b/daemon/src/relay/log_rate_limit.rs
@@ -23,7 +23,8 @@
 
 /// Rate limit for calls that were served on time.
 pub static ON_TIME_LINES: LogRateLimit = LogRateLimit::new(ON_TIME_LINES_PER_SECOND);
-/// Rate limit for calls that were late, or that no server accepted at once.
+/// Rate limit for calls that were late, and for refusals: no server accepted the call, or a limited
+/// server had no quota left for it.
 pub static LATE_LINES: LogRateLimit = LogRateLimit::new(LATE_LINES_PER_SECOND);
 
 impl LogRateLimit {
--- a/daemon/src/relay/pulls.rs
+++ b/daemon/src/relay/pulls.rs
@@ -44,7 +44,7 @@
 /// have received the table announce it at once, so more boxes can be asked by then.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Maximum number of busy boxes asked in one [`catch_up`]. After these, the next datagram that
-/// announces newer state starts another one.
+/// announces newer state starts another one; by then that state is newer than the one sought here.
 const MAX_PULL_ATTEMPTS: u32 = 8;
 
 /// The other box already serves its maximum number of pulls.
--- a/edges/src/http_client.rs
+++ b/edges/src/http_client.rs
@@ -1,8 +1,9 @@
 //! HTTP calls: requests over a new connection each, and control calls over pooled connections.
 //!
-//! Callers' requests use a new connection each. A failure to connect then proves that the
-//! request was not started, and no connection pool can send a request a second time. Control
-//! calls are idempotent and use a connection pool, with its automatic retries disabled.
+//! Generations, prefills and service calls use a new connection each. A failure to connect then
+//! proves that the request was not started, and no connection pool can send a request a second
+//! time. Control calls are idempotent and use a connection pool, with its automatic retries
+//! disabled.
 
 use std::time::Duration;
 
