--- a/lib/src/backoff.rs
+++ b/lib/src/backoff.rs
@@ -1,4 +1,5 @@
-//! Exponential backoff with an upper bound and jitter.
+//! Exponential backoff with an upper bound and jitter: each pause is drawn from 10 % to 100 % of
+//! its bound.
 //!
 //! The jitter prevents boxes that lost the platform at the same instant from all reconnecting at
 //! the same instant.
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -4,10 +4,11 @@
 //! returns typed actions. Clocks, randomness and identity are passed in. The same code runs in
 //! the daemon, in scripted scenarios and in seeded simulations.
 //!
-//! The request path and the settings are implemented separately. In the request path, [`exchange`]
-//! carries one request to its [`outcome`], and [`dispatcher`] schedules all requests of a box. For
-//! the settings, [`settings_commit`] commits edits of a [`settings_tree`], and
-//! [`settings_follower`] applies the committed revisions on each box.
+//! The request path and the settings are implemented in separate modules, none of which belongs to
+//! both. In the request path, [`exchange`] carries one request to its [`outcome`], and
+//! [`dispatcher`] schedules all requests of a box. For the settings, [`settings_commit`] commits
+//! edits of a [`settings_tree`], and [`settings_follower`] applies the committed revisions on each
+//! box.
 
 pub mod backoff;
 pub mod breaker;
--- a/lib/src/long_prompt_engines.rs
+++ b/lib/src/long_prompt_engines.rs
@@ -17,7 +17,7 @@
 /// Share of an engine's memory available to all its long prompts together, in percent. The rest
 /// is kept for short calls, which would otherwise wait until a long prompt ends.
 pub const LONG_MEMORY_PERCENT: u64 = 85;
-/// Half-life of the demand that determines the number of engines for long prompts.
+/// Half-life of the demand that determines the number of engines for long prompts, in seconds.
 const DEMAND_HALF_LIFE_S: f64 = 60.0;
 /// Capacity for long prompts as a multiple of their share of demand; avoids queues at their
 /// engines.
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -3,10 +3,10 @@
 //! Level-triggered: each reconciliation compares the desired state from the settings with the
 //! state that engines report, and issues at most one load or unload per engine. After a lost order
 //! the difference is still there, and the order is issued again. A difference must persist before
-//! the controller acts, so that flapping reports have no effect. Loads are spaced evenly to
-//! respect the rate limit of the weight store. A new holder of the lease waits for one interval
-//! between loads before its first load, so that the rate limit also holds across a change of
-//! holder.
+//! the controller acts, so that flapping reports have no effect. Loads are spaced evenly
+//! within the weight store's limit of loads per minute. A new holder of the lease waits for one
+//! interval between loads before its first load, so that the rate limit also holds across a change
+//! of holder.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/lib/src/relay/engine_utilization.rs
+++ b/lib/src/relay/engine_utilization.rs
@@ -185,7 +185,7 @@
     pub seconds: Vec<EngineSecond>,
     /// Utilization while prompts were queued; `None` if none ever were.
     pub while_waiting: Option<EngineUtilization>,
-    /// Estimates by engine, worst first.
+    /// Estimates by engine; those exceeded most come first.
     pub estimates: Vec<EngineEstimate>,
 }
 
--- a/lib/src/relay/server_tracker.rs
+++ b/lib/src/relay/server_tracker.rs
@@ -70,7 +70,7 @@
     /// The server failed, did not respond, or could not be reached.
     Failure,
     /// The server refused the connection, or its address belongs to another server now: calls to it
-    /// can't succeed.
+    /// can't succeed at present.
     Unreachable,
     /// The connection attempt got no answer; the path to the hall may be cut.
     ConnectTimeout,
--- a/lib/src/token_estimator.rs
+++ b/lib/src/token_estimator.rs
@@ -10,7 +10,8 @@
 
 /// Weight of one report in the moving average; small, so that one unusual prompt has little effect.
 const REPORT_WEIGHT: f64 = 0.05;
-/// Bounds that a reported ratio of bytes per token is clamped to.
+/// Bounds that a reported ratio of bytes per token is clamped to; a ratio outside them is not
+/// plausible.
 const RATIO_BOUNDS: (f64, f64) = (0.5, 32.0);
 
 /// Bytes per token of each model, corrected by the counts of engines.
