--- a/lib/src/relay/long_prompt_queue.rs
+++ b/lib/src/relay/long_prompt_queue.rs
@@ -98,7 +98,8 @@
 
     /// Whether the first event is late even if the maximum number of engines starts now.
     ///
-    /// Such a prompt starts after those that can still be on time.
+    /// Such a prompt starts after those that can still be on time, so that no engine time is spent on
+    /// it at their expense.
     fn will_be_late(&self, now: Time) -> bool {
         now + self.prefill / MAX_PREFILL_ENGINES > self.due
     }
