--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -18,31 +18,33 @@
 use crate::ledger::CallKind;
 use crate::ledger::CallRecord;
 
-/// Deadline that callers send to the box.
+/// Deadline that each call states to the box.
 const CALL_DEADLINE: Duration = Duration::from_secs(5);
-/// Client-side timeout; the ledger reports a call that took that long as hung.
+/// Timeout of connecting, and of reading a response. It exceeds the ledger's limit on the duration
+/// of a call, so that a call that times out is reported as hung.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Request body that crashes the servers that run it.
+/// Request body that crashes the fragile servers.
 pub const CRASHING_PROMPT: &str = "a prompt that ends whoever reads it";
 /// Pause between two calls of one caller.
 const CALL_INTERVAL_MS: std::ops::Range<u64> = 5..60;
 
-/// Records of all callers.
+/// Records of the calls of all callers.
 pub type CallRecords = Arc<Mutex<Vec<CallRecord>>>;
 
-/// Runs one caller, which calls random boxes until `stop` is set.
+/// Runs one caller until `stop` is set. Each call draws its kind and box; an open connection is
+/// reused whichever box was drawn.
 pub async fn run(
-    name: usize,
+    caller_index: usize,
     fronts: Vec<SocketAddr>,
     mut rng: ChaCha8Rng,
     records: CallRecords,
     stop: Arc<AtomicBool>,
 ) {
     let mut connection: Option<Caller> = None;
-    let mut number = 0;
+    let mut call_number = 0;
     while !stop.load(Ordering::SeqCst) {
-        number += 1;
-        let id = format!("c{name}-{number}");
+        call_number += 1;
+        let id = format!("c{caller_index}-{call_number}");
         let kind = match rng.random_range(0..10) {
             0..=2 => CallKind::NonRepeatable,
             3..=5 => CallKind::Repeatable,
@@ -73,7 +75,8 @@
         CallKind::NonRepeatable => call("POST", "/once/a", id, "", "body"),
         CallKind::Repeatable => call("GET", "/again/a", id, "", ""),
         CallKind::Stream => call("POST", "/stream/a", id, "", "prompt"),
-        // All fragile calls have the same body, and so have all crashing calls.
+        // Apart from their ids, all fragile calls are the same request, and so are all crashing
+        // calls.
         CallKind::Fragile => call("POST", "/stream/fragile/a", id, "", "prompt"),
         CallKind::Crashing => call("POST", "/stream/fragile/a", id, "", CRASHING_PROMPT),
     }
@@ -82,7 +85,7 @@
 async fn send_call(
     connection: &mut Option<Caller>,
     front: SocketAddr,
-    text: &str,
+    request: &str,
 ) -> Option<badgerferry_standin::caller::RawResponse> {
     let mut caller = match connection.take() {
         Some(caller) => caller,
@@ -91,13 +94,13 @@
             .ok()?
             .ok()?,
     };
-    caller.send(text).await.ok()?;
+    caller.send(request).await.ok()?;
     let response = timeout(CLIENT_TIMEOUT, caller.read_response())
         .await
         .ok()?
         .ok()?;
-    let closes = response.header("connection") == Some("close") || !response.is_complete;
-    if !closes {
+    let must_close = response.header("connection") == Some("close") || !response.is_complete;
+    if !must_close {
         *connection = Some(caller);
     }
     Some(response)
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -12,32 +12,32 @@
 /// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Changes the link to a server.
+    /// The link to a server changes.
     ServerLink(usize, Link),
-    /// Changes the link to the store.
+    /// The link to the store changes.
     StoreLink(Link),
-    /// Switches the store to another response mode.
+    /// The store switches to another response mode.
     StoreMode(Mode),
-    /// The store applies this many writes but drops their responses.
+    /// The store applies writes but drops their responses; the field counts them.
     LoseAnswers(u32),
     /// The store compacts its history.
     ForgetHistory,
     /// The store is restored from a backup taken when the fault began; the writes of operators and
     /// servers since then are replayed some time later.
     ReturnFromCopy,
-    /// A server's entry expires and is published again.
+    /// A server's entry disappears from the store, as if it had expired, and is published again.
     Lapse(usize),
     /// A server is marked as draining in the store, and as ready again later.
     Leave(usize),
     /// A server announces in its responses that it leaves, stops, and restarts under its name.
     SayLeaving(usize),
-    /// A server rejects all calls and asks for a pause each time.
+    /// A server rejects its calls and asks for a pause in each response.
     Shed(usize),
-    /// A server shows this behaviour on its next calls; the last field counts them.
+    /// A server misbehaves in this way on its next calls; the last field counts them.
     Misbehave(usize, Behaviour, usize),
-    /// A box is killed and started again.
+    /// A box is killed (SIGKILL) and started again.
     Kill(usize),
-    /// A box is stopped gracefully and started again.
+    /// A box is stopped gracefully (SIGTERM) and started again.
     Terminate(usize),
     /// A box is suspended (SIGSTOP) and resumed.
     Freeze(usize),
@@ -48,7 +48,7 @@
 }
 
 impl Fault {
-    /// Whether a box restarts and so loses its state in memory.
+    /// Whether the fault restarts a box, which then loses its state in memory.
     pub const fn restarts_box(self) -> bool {
         matches!(self, Self::Kill(_) | Self::Terminate(_))
     }
@@ -61,20 +61,20 @@
     pub at: Duration,
     /// The fault to inject.
     pub fault: Fault,
-    /// Duration, for faults that are undone.
+    /// Time until the fault is undone; faults that are not undone ignore it.
     pub lasts: Duration,
 }
 
-/// Faults a second.
-const FAULT_RATE: f64 = 3.0;
-/// Additional faults a second where a server announces that it leaves or asks for pauses.
-const NOTICE_RATE: f64 = 0.7;
-/// Additional restores of the store from a backup a second.
-const RETURN_RATE: f64 = 0.3;
+/// Faults per second, without notices and restores.
+const FAULTS_PER_SECOND: f64 = 3.0;
+/// Additional faults per second in which a server announces that it leaves or asks for pauses.
+const NOTICES_PER_SECOND: f64 = 0.7;
+/// Additional restores of the store from a backup per second.
+const RESTORES_PER_SECOND: f64 = 0.3;
 
-/// Draws a plan, sorted by start. The order of draws determines what a seed stands for.
+/// Draws a plan, sorted by start. Any change to the order of draws changes the plan of every seed.
 pub fn plan(rng: &mut ChaCha8Rng, length: Duration, boxes: usize, servers: usize) -> Vec<Planned> {
-    let count = (length.as_secs_f64() * FAULT_RATE).ceil() as usize;
+    let count = (length.as_secs_f64() * FAULTS_PER_SECOND).ceil() as usize;
     let mut plan: Vec<Planned> = (0..count)
         .map(|_| Planned {
             at: length.mul_f64(rng.random()),
@@ -82,15 +82,15 @@
             lasts: Duration::from_millis(rng.random_range(100..2_500)),
         })
         .collect();
-    // Drawn after the other faults, so that a seed keeps those unchanged.
-    let notices = (length.as_secs_f64() * NOTICE_RATE).ceil() as usize;
+    // Notices and restores are drawn last, so that the other faults of a seed stay the same.
+    let notices = (length.as_secs_f64() * NOTICES_PER_SECOND).ceil() as usize;
     plan.extend((0..notices).map(|_| Planned {
         at: length.mul_f64(rng.random()),
         fault: draw_notice(rng, servers),
         lasts: Duration::from_millis(rng.random_range(500..4_000)),
     }));
-    let returns = (length.as_secs_f64() * RETURN_RATE).ceil() as usize;
-    plan.extend((0..returns).map(|_| Planned {
+    let restores = (length.as_secs_f64() * RESTORES_PER_SECOND).ceil() as usize;
+    plan.extend((0..restores).map(|_| Planned {
         at: length.mul_f64(rng.random()),
         fault: Fault::ReturnFromCopy,
         lasts: Duration::from_millis(rng.random_range(100..3_000)),
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Records of calls, and the invariants that they are checked against.
+//! Records of calls, and the checks of invariants on them and on what servers received.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,9 +17,9 @@
     Repeatable,
     /// A stream that may be resumed on another server.
     Stream,
-    /// A resumable stream of servers that crashing calls also reach.
+    /// A resumable stream on the fragile servers, which crashing calls also reach.
     Fragile,
-    /// A stream whose request crashes the servers that run it.
+    /// A stream on the fragile servers whose request crashes each server that runs it.
     Crashing,
 }
 
@@ -51,11 +51,11 @@
     let sent: BTreeSet<&str> = records.iter().map(|record| record.id.as_str()).collect();
     for seen in servers.iter().flat_map(Server::received_calls) {
         let id = seen.id();
-        let known = id.starts_with("recovery-") || sent.contains(id);
-        let line = &seen.request_line;
+        let expected = id.starts_with("recovery-") || sent.contains(id);
+        let request_line = &seen.request_line;
         anyhow::ensure!(
-            known,
-            "a server received call {id}, which no caller sent: {line}"
+            expected,
+            "a server received call {id}, which no caller sent: {request_line}"
         );
         *runs.entry(id.to_owned()).or_default() += usize::from(seen.ran);
     }
@@ -66,21 +66,24 @@
     Ok(())
 }
 
-/// Server crashes that one run of a box may allow per request. Without other boxes and the store,
-/// each box can only count the crashes that it sees itself.
+/// Server crashes that one request may cause per start of a box. A box that reaches neither other
+/// boxes nor the store can only count the crashes that it sees itself, and loses that count when it
+/// restarts.
 const MAX_CRASHES_PER_BOX_START: usize = 3;
 
-/// Grace period from the server's first call, whose response announces the limit.
+/// Time from the server's first request that is not checked, as only a response announces the
+/// limit.
 const LIMIT_WARM_UP: Duration = Duration::from_secs(3);
-/// Sliding window over which a limit is checked.
+/// Length of the sliding window in which requests are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 
-/// Checks the calls that a server received against its announced limit a second. Each window
-/// allows 1.5 times the limit plus five calls, for boxes that stop, start and are suspended.
+/// Checks the requests that a server received against its announced limit in calls per second. A
+/// window may hold 1.5 times the limit plus five requests, to allow for boxes that stop, start and
+/// are suspended.
 ///
 /// # Errors
 ///
-/// A window has more calls than that.
+/// A window holds more requests than that.
 pub fn check_limit(server: &Server, limit: f64) -> anyhow::Result<()> {
     let mut arrivals = server.arrivals();
     arrivals.sort_unstable();
@@ -89,22 +92,24 @@
     };
     let from = arrivals.partition_point(|at| *at < first + LIMIT_WARM_UP);
     let counted = &arrivals[from..];
-    let max = (limit * LIMIT_WINDOW.as_secs_f64()).mul_add(1.5, 5.0) as usize;
-    for (at, start) in counted.iter().enumerate() {
-        let got = counted[at..].partition_point(|other| *other < *start + LIMIT_WINDOW);
+    let max_requests = (limit * LIMIT_WINDOW.as_secs_f64()).mul_add(1.5, 5.0) as usize;
+    for (index, start) in counted.iter().enumerate() {
+        let received = counted[index..].partition_point(|other| *other < *start + LIMIT_WINDOW);
         anyhow::ensure!(
-            got <= max,
-            "server limited to {limit} calls/s received {got} in {LIMIT_WINDOW:?}, at most {max} allowed"
+            received <= max_requests,
+            "server limited to {limit} calls/s received {received} requests in {LIMIT_WINDOW:?}, \
+             at most {max_requests} allowed"
         );
     }
     Ok(())
 }
 
-/// Requests that a box may send to a server within a pause that the server asked for.
+/// Calls that a box may send to a server within a pause that the server asked for, per start of
+/// the box.
 const MAX_CALLS_PER_PAUSE: usize = 2;
 
-/// Checks rejected calls against the pauses that servers asked for. In any window of that length
-/// each caller may have one call in flight, and each run of a box two more.
+/// Checks the calls that servers rejected against the pauses that they asked for. In any window as
+/// long as the pause, a server may reject one call in flight per caller and two per start of a box.
 ///
 /// # Errors
 ///
@@ -115,16 +120,17 @@
     callers: usize,
     box_starts: usize,
 ) -> anyhow::Result<()> {
-    let max = callers + MAX_CALLS_PER_PAUSE * box_starts;
+    let max_rejected = callers + MAX_CALLS_PER_PAUSE * box_starts;
     for server in servers {
         let seen = server.received_calls();
-        let asked = seen.iter().filter(|seen| seen.sent_retry_after);
-        let times: Vec<Instant> = asked.filter_map(|seen| seen.received_at).collect();
-        for (at, start) in times.iter().enumerate() {
-            let got = times[at..].partition_point(|other| *other < *start + pause);
+        let rejected = seen.iter().filter(|seen| seen.sent_retry_after);
+        let times: Vec<Instant> = rejected.filter_map(|seen| seen.received_at).collect();
+        for (index, start) in times.iter().enumerate() {
+            let count = times[index..].partition_point(|other| *other < *start + pause);
             anyhow::ensure!(
-                got <= max,
-                "{} rejected {got} calls within a pause that it asked for, at most {max} allowed",
+                count <= max_rejected,
+                "server {} rejected {count} calls within a pause that it asked for, \
+                 at most {max_rejected} allowed",
                 server.name
             );
         }
@@ -132,22 +138,22 @@
     Ok(())
 }
 
-/// Checks the servers crashed by one request against what this many runs of boxes may allow.
+/// Checks the crashes caused by one request against the maximum for this many starts of boxes.
 ///
 /// # Errors
 ///
-/// More servers crashed.
+/// Servers crashed more often than that.
 pub fn check_crashes(servers: &[Server], box_starts: usize) -> anyhow::Result<()> {
     let crashes: usize = servers.iter().map(Server::times_crashed).sum();
-    let max = MAX_CRASHES_PER_BOX_START * box_starts;
+    let max_crashes = MAX_CRASHES_PER_BOX_START * box_starts;
     anyhow::ensure!(
-        crashes <= max,
-        "servers crashed {crashes} times, at most {max} allowed"
+        crashes <= max_crashes,
+        "servers crashed {crashes} times, at most {max_crashes} allowed"
     );
     Ok(())
 }
 
-/// Whether one request has crashed enough servers to be held.
+/// Whether one request has crashed enough servers that every box must hold it.
 pub fn crash_limit_reached(servers: &[Server]) -> bool {
     servers.iter().map(Server::times_crashed).sum::<usize>() >= MAX_CRASHES_PER_BOX_START
 }
@@ -160,7 +166,7 @@
     );
     anyhow::ensure!(
         record.elapsed <= record.deadline + HANG_GRACE,
-        "call {id} hung for {:?}",
+        "call {id} hung: it took {:?}",
         record.elapsed
     );
     let Some(response) = &record.response else {
@@ -185,7 +191,9 @@
             "call {id} got the wrong response: {}",
             response.body
         ),
-        (401 | 403 | 404, _) => anyhow::bail!("call {id} was denied: {}", response.status),
+        (401 | 403 | 404, _) => {
+            anyhow::bail!("call {id} was denied with status {}", response.status)
+        }
         _ => {}
     }
     Ok(())
@@ -195,12 +203,12 @@
     let frames: Vec<String> = (0..events)
         .map(|at| format!("id: {at}\ndata: piece {at}\n\n"))
         .collect();
-    let all = frames.concat();
-    let matches =
-        all.starts_with(&response.body) && (!response.is_complete || response.body == all);
+    let expected = frames.concat();
+    let matches = expected.starts_with(&response.body)
+        && (!response.is_complete || response.body == expected);
     anyhow::ensure!(
         matches,
-        "stream {id} has unexpected content, complete: {}: {:?}",
+        "stream {id} has unexpected content (complete: {}): {:?}",
         response.is_complete,
         response.body
     );
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,8 +1,9 @@
-//! Soaks the real daemon: starts processes on this machine, injects faults from outside,
-//! and checks invariants from what callers and servers observe.
+//! Soak test of the real daemon: starts boxes as processes on this machine, injects faults from
+//! outside, and checks invariants on what callers and servers observe.
 //!
-//! A seed determines the fault plan: kind, target, start and duration of each fault. Faults
-//! overlap and come in series. The timing of the processes themselves does not depend on the seed.
+//! A seed determines the fault plan: kind, target, start and duration of each fault. Faults overlap
+//! and follow one another closely. The timing of the processes does not depend on the seed, so a
+//! seed may fail in some of its runs only.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -19,7 +20,7 @@
 mod proxy;
 mod run;
 
-/// Seeds that failed before, each with its cause; they run before all others.
+/// Seeds that failed before, one a line, each followed by its cause. They run before all others.
 const REGRESSIONS: &str = include_str!("../regressions.txt");
 
 /// Soak the daemon under seeded faults.
@@ -46,8 +47,9 @@
 }
 
 fn regressions() -> Vec<u64> {
-    let rows = REGRESSIONS.lines().filter(|line| !line.starts_with('#'));
-    rows.filter_map(|line| line.split_whitespace().next()?.parse().ok())
+    let lines = REGRESSIONS.lines().filter(|line| !line.starts_with('#'));
+    lines
+        .filter_map(|line| line.split_whitespace().next()?.parse().ok())
         .collect()
 }
 
@@ -82,10 +84,10 @@
         let size = run::Size {
             boxes: args.boxes,
             servers: args.servers,
-            faults_for: Duration::from_secs(args.seconds),
+            fault_duration: Duration::from_secs(args.seconds),
         };
-        // Dropping a run kills its boxes. Orphaned boxes would keep polling their store at an
-        // address that a server of another run may get.
+        // On a signal the run is dropped, which kills its boxes. Orphaned boxes would keep polling
+        // their store at an address that a server of another run may get.
         let result = tokio::select! {
             result = run::run(*seed, size) => result,
             () = wait_for_stop_signal(&mut term, &mut interrupt) => {
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -23,7 +23,7 @@
     Open,
     /// Forwards each read after this delay.
     Delayed(Duration),
-    /// Closes open and new connections.
+    /// Closes open and new connections at once.
     Reset,
     /// Holds the bytes towards the listener.
     CutThere,
@@ -95,7 +95,7 @@
             loop {
                 match self.link() {
                     link if link == cut || link == Link::Silent => self.changed.notified().await,
-                    Link::Delayed(by) => break tokio::time::sleep(by).await,
+                    Link::Delayed(delay) => break tokio::time::sleep(delay).await,
                     _ => break,
                 }
             }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -33,28 +33,31 @@
 use crate::proxy::Proxy;
 
 const CALLERS_PER_BOX: usize = 4;
-/// Servers that crash on [`callers::CRASHING_PROMPT`], and their downtime after each crash.
+/// Number of servers that crash on [`callers::CRASHING_PROMPT`].
 const FRAGILE_SERVERS: usize = 16;
+/// Downtime of a fragile server after each crash.
 const CRASH_DOWNTIME: Duration = Duration::from_secs(2);
 /// Slightly more than the time that the settings of a box allow for a graceful stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(9);
-/// Limit that the first server announces throughout the run.
+/// Limit that the first server announces throughout the run, in calls per second.
 const CALLS_PER_SECOND: f64 = 3.0;
-/// Pause that shedding servers ask for, in seconds and as a duration.
+/// `Retry-After` value of shedding servers, in seconds.
 const RETRY_AFTER: &str = "1";
+/// The same pause as a duration.
 const PAUSE: Duration = Duration::from_secs(1);
-/// Downtime of a server that announced that it leaves.
+/// Time from the crash of a leaving server until its entry is published again.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
-/// Time after the faults within which all boxes must know which calls crash servers.
+/// Time after recovery within which all boxes must know which request crashes servers.
 const CRASH_REPORT_PROPAGATION: Duration = Duration::from_secs(2);
 /// Delay between a restore of the store and the replay of the lost writes.
 const REPLAY_DELAY: Duration = Duration::from_millis(300);
-/// Time within which new routes take effect at all boxes that reach each other and the store.
+/// Time within which new routes must take effect at all boxes, once these reach each other and
+/// the store.
 const ROUTES_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Attempts to be served after the faults, 100 ms apart, before the run fails.
+/// Attempts to get a call served by each box after the faults, 100 ms apart, before the run fails.
 const RECOVERY_ATTEMPTS: usize = 200;
 
-/// Exit code reported for a process that was killed by a signal.
+/// Exit code that [`RelayBox::exit_code`] reports for a process killed by a signal.
 const KILLED_BY_SIGNAL: i32 = -1;
 
 /// Size of a run.
@@ -65,7 +68,7 @@
     /// Number of servers, without the fragile ones.
     pub servers: usize,
     /// Length of the fault phase.
-    pub faults_for: Duration,
+    pub fault_duration: Duration,
 }
 
 /// Counts of a successful run.
@@ -91,30 +94,30 @@
     store: Store,
     store_proxy: Proxy,
     servers: Vec<Server>,
-    proxies: Vec<Proxy>,
+    server_proxies: Vec<Proxy>,
     /// Reached without a proxy, so that connections are refused while they are down.
     fragile: Vec<Server>,
     boxes: Vec<Mutex<RelayBox>>,
-    version: AtomicU64,
+    routes_version: AtomicU64,
 }
 
 /// Runs a seed.
 ///
 /// # Errors
 ///
-/// An invariant is violated, or a process or a fault could not be started.
+/// An invariant is violated, a box did not recover, or a process or a fault could not be started.
 pub async fn run(seed: u64, size: Size) -> anyhow::Result<Summary> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let plan = faults::plan(&mut rng, size.faults_for, size.boxes, size.servers);
+    let plan = faults::plan(&mut rng, size.fault_duration, size.boxes, size.servers);
     let cluster = Arc::new(Cluster::start(size).await?);
     let records = CallRecords::default();
     let stop = Arc::new(AtomicBool::new(false));
     let fronts = cluster.fronts().await;
     let callers: Vec<_> = (0..CALLERS_PER_BOX * size.boxes)
-        .map(|name| {
-            let rng = ChaCha8Rng::seed_from_u64(seed ^ (name as u64 + 1));
+        .map(|index| {
+            let rng = ChaCha8Rng::seed_from_u64(seed ^ (index as u64 + 1));
             let (records, stop) = (Arc::clone(&records), Arc::clone(&stop));
-            tokio::spawn(callers::run(name, fronts.clone(), rng, records, stop))
+            tokio::spawn(callers::run(index, fronts.clone(), rng, records, stop))
         })
         .collect();
     let started = tokio::time::Instant::now();
@@ -128,7 +131,7 @@
         })
         .collect();
     for fault in faults {
-        fault.await?.context("fault could not be injected")?;
+        fault.await?.context("failed to inject a fault")?;
     }
     cluster.clear_faults();
     let recovered = cluster.wait_until_served(&fronts).await;
@@ -183,20 +186,20 @@
         let store = Store::start().await?;
         store.put_routes(&desired_state(1, &["key-1"]));
         let store_proxy = Proxy::start(store.address).await?;
-        let (mut servers, mut proxies) = (Vec::new(), Vec::new());
-        for at in 0..size.servers {
+        let (mut servers, mut server_proxies) = (Vec::new(), Vec::new());
+        for index in 0..size.servers {
             let pace = Duration::from_millis(15);
-            let server = Server::start(&format!("i-{at}"), "boards", pace).await?;
+            let server = Server::start(&format!("i-{index}"), "boards", pace).await?;
             let proxy = Proxy::start(server.address).await?;
             store.put(&server.key(), &server.entry_at("ready", proxy.address));
             servers.push(server);
-            proxies.push(proxy);
+            server_proxies.push(proxy);
         }
         servers[0].announce_limit(Some(&CALLS_PER_SECOND.to_string()));
         let mut fragile = Vec::new();
-        for at in 0..FRAGILE_SERVERS {
+        for index in 0..FRAGILE_SERVERS {
             let pace = Duration::from_millis(15);
-            let server = Server::start(&format!("f-{at}"), "fragile", pace).await?;
+            let server = Server::start(&format!("f-{index}"), "fragile", pace).await?;
             server.set_crash_rule(CrashRule::on_body(
                 callers::CRASHING_PROMPT,
                 CRASH_DOWNTIME,
@@ -207,9 +210,9 @@
         }
         let ips: Vec<_> = (0..size.boxes).map(|_| random_loopback_ip()).collect();
         let mut boxes = Vec::new();
-        for (at, ip) in ips.iter().enumerate() {
+        for (index, ip) in ips.iter().enumerate() {
             let seeds = &ips[..ips.len().min(3)];
-            let name = format!("box-{at}");
+            let name = format!("box-{index}");
             let started = RelayBox::start_at(&name, *ip, store_proxy.address, seeds)?;
             boxes.push(Mutex::new(started));
         }
@@ -220,10 +223,10 @@
             store,
             store_proxy,
             servers,
-            proxies,
+            server_proxies,
             fragile,
             boxes,
-            version: AtomicU64::new(1),
+            routes_version: AtomicU64::new(1),
         })
     }
 
@@ -238,10 +241,10 @@
     async fn inject(&self, planned: Planned) -> anyhow::Result<()> {
         let wait = || tokio::time::sleep(planned.lasts);
         match planned.fault {
-            Fault::ServerLink(at, link) => {
-                self.proxies[at].set(link);
+            Fault::ServerLink(index, link) => {
+                self.server_proxies[index].set(link);
                 wait().await;
-                self.proxies[at].set(Link::Open);
+                self.server_proxies[index].set(Link::Open);
             }
             Fault::StoreLink(link) => {
                 self.store_proxy.set(link);
@@ -262,95 +265,98 @@
                 tokio::time::sleep(REPLAY_DELAY).await;
                 self.store.replay_lost_writes(before);
             }
-            Fault::Lapse(at) => {
-                self.store.remove(&self.servers[at].key());
+            Fault::Lapse(index) => {
+                self.store.remove(&self.servers[index].key());
                 wait().await;
-                self.publish_entry(at, "ready");
+                self.publish_entry(index, "ready");
             }
-            Fault::Leave(at) => {
-                self.publish_entry(at, "draining");
+            Fault::Leave(index) => {
+                self.publish_entry(index, "draining");
                 wait().await;
-                self.publish_entry(at, "ready");
+                self.publish_entry(index, "ready");
             }
-            Fault::SayLeaving(at) => self.announce_leaving(at, planned.lasts).await,
-            Fault::Shed(at) => {
-                self.servers[at].shed(Some(RETRY_AFTER));
+            Fault::SayLeaving(index) => self.announce_leaving(index, planned.lasts).await,
+            Fault::Shed(index) => {
+                self.servers[index].shed(Some(RETRY_AFTER));
                 wait().await;
-                self.servers[at].shed(None);
+                self.servers[index].shed(None);
             }
-            Fault::Misbehave(at, behaviour, count) => {
-                self.servers[at].queue_behaviours(&vec![behaviour; count]);
+            Fault::Misbehave(index, behaviour, count) => {
+                self.servers[index].queue_behaviours(&vec![behaviour; count]);
             }
-            Fault::Kill(at) => self.boxes[at].lock().await.restart()?,
-            Fault::Terminate(at) => self.stop_gracefully(at).await?,
-            Fault::Freeze(at) => {
-                let a_box = self.boxes[at].lock().await;
+            Fault::Kill(index) => self.boxes[index].lock().await.restart()?,
+            Fault::Terminate(index) => self.stop_gracefully(index).await?,
+            Fault::Freeze(index) => {
+                let a_box = self.boxes[index].lock().await;
                 a_box.signal("STOP")?;
                 wait().await;
                 a_box.signal("CONT")?;
             }
-            Fault::Hangup(at) => self.boxes[at].lock().await.signal("HUP")?,
+            Fault::Hangup(index) => self.boxes[index].lock().await.signal("HUP")?,
             Fault::NewRoutes => {
-                let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
+                let version = self.routes_version.fetch_add(1, Ordering::SeqCst) + 1;
                 self.store.put_routes(&desired_state(version, &["key-1"]));
             }
         }
         Ok(())
     }
 
-    /// Announces the departure only in responses for a while, then removes the entry and crashes.
-    async fn announce_leaving(&self, at: usize, lasts: Duration) {
-        let server = &self.servers[at];
+    /// Announces for `lasts`, in responses only, that the server leaves; then removes its entry,
+    /// crashes it and publishes the entry again.
+    async fn announce_leaving(&self, index: usize, lasts: Duration) {
+        let server = &self.servers[index];
         server.announce_leaving(Some("1"));
         tokio::time::sleep(lasts).await;
         self.store.remove(&server.key());
         server.crash();
         tokio::time::sleep(RESTART_DELAY).await;
-        self.publish_entry(at, "ready");
+        self.publish_entry(index, "ready");
     }
 
-    fn publish_entry(&self, at: usize, state: &str) {
-        let server = &self.servers[at];
-        let entry = server.entry_at(state, self.proxies[at].address);
+    fn publish_entry(&self, index: usize, state: &str) {
+        let server = &self.servers[index];
+        let entry = server.entry_at(state, self.server_proxies[index].address);
         self.store.put(&server.key(), &entry);
     }
 
-    async fn stop_gracefully(&self, at: usize) -> anyhow::Result<()> {
-        let mut a_box = self.boxes[at].lock().await;
+    async fn stop_gracefully(&self, index: usize) -> anyhow::Result<()> {
+        let mut a_box = self.boxes[index].lock().await;
         a_box.signal("TERM")?;
         let started = tokio::time::Instant::now();
         while a_box.exit_code()?.is_none() {
             anyhow::ensure!(
                 started.elapsed() < STOP_TIMEOUT,
-                "box {at} did not stop in time"
+                "box {index} did not stop within {STOP_TIMEOUT:?} of SIGTERM"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let code = a_box.exit_code()?;
-        let early = code == Some(KILLED_BY_SIGNAL) && !a_box.handles_signals();
+        let killed_early = code == Some(KILLED_BY_SIGNAL) && !a_box.handles_signals();
         anyhow::ensure!(
-            code == Some(0) || early,
-            "box {at} stopped with exit code {code:?}"
+            code == Some(0) || killed_early,
+            "box {index} exited with code {code:?} after SIGTERM"
         );
         a_box.restart()
     }
 
     fn clear_faults(&self) {
-        self.proxies.iter().for_each(|proxy| proxy.set(Link::Open));
+        self.server_proxies
+            .iter()
+            .for_each(|proxy| proxy.set(Link::Open));
         self.store_proxy.set(Link::Open);
         self.store.set_mode(Mode::Serving);
-        (0..self.servers.len()).for_each(|at| self.publish_entry(at, "ready"));
+        (0..self.servers.len()).for_each(|index| self.publish_entry(index, "ready"));
     }
 
     async fn wait_until_served(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
-        for (at, front) in fronts.iter().enumerate() {
-            self.restart_if_killed(at).await?;
+        for (index, front) in fronts.iter().enumerate() {
+            self.restart_if_killed(index).await?;
             let mut served = false;
             for number in 0..RECOVERY_ATTEMPTS {
                 let text = call(
                     "GET",
                     "/again/a",
-                    &format!("recovery-{at}-{number}"),
+                    &format!("recovery-{index}-{number}"),
                     "",
                     "",
                 );
@@ -361,12 +367,16 @@
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
-            anyhow::ensure!(served, "box {at} did not serve after the faults");
+            anyhow::ensure!(
+                served,
+                "box {index} served none of {RECOVERY_ATTEMPTS} calls after the faults"
+            );
         }
         Ok(())
     }
 
-    /// Once boxes reach each other and the store, none forwards a call that has crashed servers.
+    /// Checks that no box forwards the crashing request once boxes reach each other and the store.
+    /// Skipped if the request has not crashed enough servers to be held.
     async fn check_crashing_call_is_held(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
         if !ledger::crash_limit_reached(&self.fragile) {
             return Ok(());
@@ -379,12 +389,12 @@
                 .sum::<usize>()
         };
         let before = crashes();
-        for (at, front) in fronts.iter().enumerate() {
+        for (index, front) in fronts.iter().enumerate() {
             let path = "/stream/fragile/a";
             let text = call(
                 "POST",
                 path,
-                &format!("recovery-held-{at}"),
+                &format!("recovery-held-{index}"),
                 "",
                 callers::CRASHING_PROMPT,
             );
@@ -392,7 +402,7 @@
             let status = response.status;
             anyhow::ensure!(
                 status == 503,
-                "box {at} responded {status} to a call that crashes servers"
+                "box {index} responded {status} to a call that crashes servers, expected 503"
             );
         }
         anyhow::ensure!(
@@ -402,10 +412,11 @@
         Ok(())
     }
 
-    /// After any fault of the store, two successive versions take effect in time at each box.
+    /// Checks that two successive versions of the routes each take effect in time at all boxes,
+    /// whatever faults the store had.
     async fn check_new_routes(&self, fronts: &[SocketAddr]) -> anyhow::Result<()> {
-        for (keys, wanted) in [(&["key-1", "key-new"][..], 200), (&["key-1"][..], 401)] {
-            let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
+        for (keys, expected_status) in [(&["key-1", "key-new"][..], 200), (&["key-1"][..], 401)] {
+            let version = self.routes_version.fetch_add(1, Ordering::SeqCst) + 1;
             self.store.put_routes(&desired_state(version, keys));
             let text = call(
                 "GET",
@@ -415,13 +426,14 @@
                 "",
             );
             let text = text.replace("key-1", "key-new");
-            let until = tokio::time::Instant::now() + ROUTES_PROPAGATION_TIMEOUT;
-            for (at, front) in fronts.iter().enumerate() {
-                while Caller::exchange(*front, &text).await?.status != wanted {
-                    let in_time = tokio::time::Instant::now() < until;
+            let deadline = tokio::time::Instant::now() + ROUTES_PROPAGATION_TIMEOUT;
+            for (index, front) in fronts.iter().enumerate() {
+                while Caller::exchange(*front, &text).await?.status != expected_status {
+                    let before_deadline = tokio::time::Instant::now() < deadline;
                     anyhow::ensure!(
-                        in_time,
-                        "version {version} is not in force at box {at} in time"
+                        before_deadline,
+                        "version {version} of the routes did not take effect at box {index} within \
+                         {ROUTES_PROPAGATION_TIMEOUT:?}"
                     );
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
@@ -430,23 +442,23 @@
         Ok(())
     }
 
-    /// Stands in for the platform, which restarts a process killed before it handled signals.
-    async fn restart_if_killed(&self, at: usize) -> anyhow::Result<()> {
-        let mut a_box = self.boxes[at].lock().await;
+    /// Acts for the platform, which restarts a box that a signal killed before it handled signals.
+    async fn restart_if_killed(&self, index: usize) -> anyhow::Result<()> {
+        let mut a_box = self.boxes[index].lock().await;
         match a_box.exit_code()? {
             None => Ok(()),
             Some(KILLED_BY_SIGNAL) => a_box.restart(),
-            Some(code) => anyhow::bail!("box {at} ended by itself with code {code}"),
+            Some(code) => anyhow::bail!("box {index} exited unexpectedly with code {code}"),
         }
     }
 
     async fn save_logs(&self, seed: u64) -> anyhow::Result<String> {
-        let folder = std::env::temp_dir().join(format!("badgerferry-soak-{seed}"));
-        std::fs::create_dir_all(&folder)?;
-        for (at, a_box) in self.boxes.iter().enumerate() {
+        let dir = std::env::temp_dir().join(format!("badgerferry-soak-{seed}"));
+        std::fs::create_dir_all(&dir)?;
+        for (index, a_box) in self.boxes.iter().enumerate() {
             let log = a_box.lock().await.log();
-            std::fs::write(folder.join(format!("box-{at}.log")), log)?;
+            std::fs::write(dir.join(format!("box-{index}.log")), log)?;
         }
-        Ok(folder.display().to_string())
+        Ok(dir.display().to_string())
     }
 }
--- a/soak/tests/test_stop.rs
+++ b/soak/tests/test_stop.rs
@@ -1,4 +1,4 @@
-//! Guards against orphaned boxes: a soak that gets SIGTERM must stop the boxes it started.
+//! Guards against orphaned boxes: a soak test that gets SIGTERM must kill the boxes it started.
 
 use std::path::Path;
 use std::process::Child;
@@ -10,14 +10,14 @@
 const MAX_POLLS: u32 = 1_500;
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..MAX_POLLS {
         if holds() {
             return;
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    panic!("timed out waiting until {what}");
+    panic!("timed out waiting until {condition}");
 }
 
 fn start_soak() -> Child {
@@ -26,10 +26,10 @@
         .arg("--no-regressions")
         .stdout(Stdio::null())
         .spawn()
-        .expect("the soak can be started")
+        .expect("failed to start the soak test")
 }
 
-fn children(parent: u32) -> Vec<u32> {
+fn child_pids(parent: u32) -> Vec<u32> {
     let path = format!("/proc/{parent}/task/{parent}/children");
     let text = std::fs::read_to_string(path).unwrap_or_default();
     text.split_whitespace()
@@ -38,23 +38,23 @@
 }
 
 #[test]
-fn sigterm_stops_the_boxes_of_a_soak() {
+fn sigterm_kills_the_boxes_of_a_soak() {
     let mut soak = start_soak();
     let mut boxes = Vec::new();
-    wait_until("a box runs", || {
-        boxes = children(soak.id());
+    wait_until("a box is running", || {
+        boxes = child_pids(soak.id());
         !boxes.is_empty()
     });
 
-    let killed = Command::new("kill")
+    let sent = Command::new("kill")
         .args(["-TERM", &soak.id().to_string()])
         .status();
 
-    assert!(killed.is_ok_and(|status| status.success()));
-    wait_until("the soak ends", || {
+    assert!(sent.is_ok_and(|status| status.success()));
+    wait_until("the soak exits", || {
         soak.try_wait().is_ok_and(|status| status.is_some())
     });
-    wait_until("its boxes are gone", || {
+    wait_until("all its boxes have exited", || {
         let gone = |pid: &u32| !Path::new(&format!("/proc/{pid}/exe")).exists();
         boxes.iter().all(gone)
     });
