--- a/daemon/src/relay/request_quarantine.rs
+++ b/daemon/src/relay/request_quarantine.rs
@@ -341,7 +341,7 @@
             tracing::info!(work = %fingerprint, lives = crashes, source, "request is suspect");
         }
         RequestStatus::Quarantined => {
-            tracing::warn!(work = %fingerprint, lives = crashes, source, "work is held: it ends servers");
+            tracing::warn!(work = %fingerprint, lives = crashes, source, "request is quarantined");
         }
         RequestStatus::Cleared => tracing::info!(work = %fingerprint, source, "request cleared"),
     }
--- a/daemon/tests/test_relay_reservations.rs
+++ b/daemon/tests/test_relay_reservations.rs
@@ -103,7 +103,10 @@
         store
             .put_suspects(&[(fingerprint, StoredFact::Quarantined)])
             .await?;
-        world.relay.wait_for_log_line(&["work is held"]).await?;
+        world
+            .relay
+            .wait_for_log_line(&["\"message\":\"request is quarantined\""])
+            .await?;
         for engine in &engines {
             engine.refuse_reservations(0);
         }
