--- a/daemon/src/relay/call_attempt.rs
+++ b/daemon/src/relay/call_attempt.rs
@@ -332,7 +332,7 @@
         workspace: call.workspace.as_ref(),
         strips_key: !call.routes.table().workspaces.is_empty(),
         helpers: &selection.helpers,
-        priority: selection.rank,
+        priority: selection.priority,
         resume_after,
     };
     let mut request = Request::new(Full::new(call.body.clone()));
--- a/daemon/src/relay/server_selection.rs
+++ b/daemon/src/relay/server_selection.rs
@@ -62,7 +62,7 @@
     /// Estimated prefill time of one chunk, by the configured engine model.
     pub chunk_prefill: Option<Duration>,
     /// Priority at the engine, from 0 to 9; `None` for a plain call.
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
     /// Estimated time to the first event.
     pub expected_first_event: Duration,
     /// Time spent in the queue of long prompts, which is ordered over all boxes.
@@ -214,7 +214,7 @@
         address: record.info.address.clone(),
         helpers: Vec::new(),
         chunk_prefill: None,
-        rank: None,
+        priority: None,
         expected_first_event: PLAIN_EXPECTED_RESPONSE,
         waited: Duration::ZERO,
         load_entries: LoadEntries {
@@ -287,7 +287,7 @@
             .assignments
             .first()
             .map(|assignment| assignment.prefill),
-        rank: Some(call.priority.min(MAX_ENGINE_PRIORITY)),
+        priority: Some(call.priority.min(MAX_ENGINE_PRIORITY)),
         expected_first_event: plan.expected_first_event,
         waited,
         load_entries,
