--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -154,7 +154,7 @@
     /// Decides whether a call may be sent.
     ///
     /// `saw_crash` tells that the call's own last run ended with a server crash. Such a call waits
-    /// only for [`REPORT_WAIT`] instead of a start slot, unless another server crashed as well.
+    /// only for one slot interval instead of a start slot, unless another server crashed as well.
     /// `rank` returns this box's position as given by [`rank`].
     pub fn admit(
         &mut self,
