--- a/daemon/src/relay/log_rate_limit.rs
+++ b/daemon/src/relay/log_rate_limit.rs
@@ -10,7 +10,8 @@
 
 /// Limit of log lines per second of calls served on time.
 const ON_TIME_LINES_PER_SECOND: u32 = 100;
-/// Limit of log lines per second of late calls; reached only if the box is overloaded.
+/// Limit of log lines per second of late calls, refused calls and denied permits. Late calls alone
+/// reach it only if the box is overloaded.
 const LATE_LINES_PER_SECOND: u32 = 200;
 
 /// Rate limit on one kind of log line, in intervals of one second.
@@ -23,7 +24,7 @@
 
 /// Rate limit for calls that were served on time.
 pub static ON_TIME_LINES: LogRateLimit = LogRateLimit::new(ON_TIME_LINES_PER_SECOND);
-/// Rate limit for calls that were late, or that no server accepted at once.
+/// Rate limit for calls that were late or refused for want of a server, and for denied permits.
 pub static LATE_LINES: LogRateLimit = LogRateLimit::new(LATE_LINES_PER_SECOND);
 
 impl LogRateLimit {
