--- a/cli/src/exit.rs
+++ b/cli/src/exit.rs
@@ -22,7 +22,7 @@
     Conflict,
     /// It is unknown whether the edit was committed.
     UnknownOutcome,
-    /// At least one live box does not have the revision in force.
+    /// The revision is not active on at least one live box.
     NotInForce,
     /// The platform or the box did not respond. No edit of the settings was committed, but a request
     /// to release a suspect may still have been applied.
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -28,7 +28,7 @@
 /// State of the box as last published by the controllers.
 #[derive(Debug, Default)]
 pub struct ControlStatus {
-    /// Status of the settings in force.
+    /// Status of the active settings.
     pub settings: SettingsStatus,
     /// Time at which the platform last confirmed the settings.
     pub confirmed_at: Option<Time>,
--- a/daemon/src/relay/call.rs
+++ b/daemon/src/relay/call.rs
@@ -61,7 +61,7 @@
 pub struct Call {
     /// Shared state of the daemon.
     pub relay: Arc<Relay>,
-    /// Routes in force when the call arrived.
+    /// Routes that were active when the call arrived.
     pub routes: Arc<RouteIndex>,
     /// Route of the call.
     pub route: Route,
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -49,7 +49,7 @@
 /// A box follows the store if it had a response from it within this time, which is slightly longer
 /// than a watch takes.
 const STORE_CONTACT_TIMEOUT: Duration = Duration::from_secs(4);
-/// A box follows the store itself if it has heard from no peer that does so for this long.
+/// A box follows the store itself if no datagram of a peer that does so has arrived for this long.
 const PEER_FOLLOWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Number of boxes of each hall that always follow the store.
 const FOLLOWERS_PER_HALL: usize = 2;
@@ -230,7 +230,7 @@
     /// Whether this box follows the store itself instead of pulling updates from peers that do.
     ///
     /// Each call to the store is billed, so only the highest-ranked boxes of each hall follow it,
-    /// and boxes that hear from no peer that follows it.
+    /// and boxes that receive no datagrams from a peer that follows it.
     pub fn must_follow_store(&self) -> bool {
         let now = self.clock.now();
         let cluster_view = lock(&self.cluster_view);
--- a/daemon/src/routes.rs
+++ b/daemon/src/routes.rs
@@ -66,7 +66,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time that callers are told to wait before they retry a request refused by a filter.
+/// Retry delay stated to callers whose request a filter refused.
 const FILTER_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Maximum number of bytes to read and discard of a body that is too large.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
--- a/daemon/tests/test_relay_crashes.rs
+++ b/daemon/tests/test_relay_crashes.rs
@@ -78,7 +78,7 @@
                 .wait_for_log_line(&["box entry", &name])
                 .await?;
         }
-        // The other boxes request the list of boxes once they hear from an unknown one.
+        // The other boxes request the list of boxes once they receive a datagram from an unknown one.
         tokio::time::sleep(DISCOVERY_TIME).await;
         Ok(fleet)
     }
--- a/lib/src/priority.rs
+++ b/lib/src/priority.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The rank of a request of this priority; `long` tells whether its prompt is long.
+    /// The rank of a request of this priority; `long` states whether its prompt is long.
     pub const fn rank(self, long: bool) -> Rank {
         match (self, long) {
             (Self::Urgent, false) => Rank(0),
--- a/lib/src/relay/attempts.rs
+++ b/lib/src/relay/attempts.rs
@@ -3,7 +3,7 @@
 //! Three of the ways in which an attempt ends prove that the call did not run: no connection was
 //! made, or the server declined the call, with or without a pause for later calls. The proof is the
 //! [`Unsent`] token of [`crate::outcome`]. Without it, a call that is not repeatable is not sent
-//! again, and the caller is not told that its call did not run.
+//! again, and the response does not state that the call did not run.
 
 use std::time::Duration;
 
--- a/lib/src/relay/engine_load.rs
+++ b/lib/src/relay/engine_load.rs
@@ -235,7 +235,7 @@
         table
     }
 
-    /// Load by engine from this box's hall, to send to other halls. `is_local` tells whether the
+    /// Load by engine from this box's hall, to send to other halls. `is_local` states whether the
     /// named box is in this hall.
     pub fn hall_table(
         &self,
--- a/lib/src/relay/hall_reachability.rs
+++ b/lib/src/relay/hall_reachability.rs
@@ -3,7 +3,8 @@
 //! Boxes gossip several times a second, so a network partition between two halls shows as silence of
 //! all boxes in the other hall, long before each box would detect it by failing calls. An answer from
 //! any server there is evidence against a partition: then the boxes have failed, not the link. A box
-//! that hears no other box at all treats no hall as silent: it is probably cut off itself.
+//! that receives datagrams from no other box treats no hall as silent: it is probably partitioned
+//! itself.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,17 +16,18 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Silence that is tolerated however many boxes a hall has, since datagrams can be lost or late.
 const SILENCE_MARGIN: Duration = Duration::from_millis(250);
-/// A box counts as live if it was heard less than this before the last datagram from its hall.
+/// A box counts as live if its last datagram arrived less than this before the last one from its
+/// hall.
 const LIVE_WINDOW: Duration = Duration::from_millis(1_500);
-/// Time after the last datagram or probe until a call may probe a silent hall. It can be long: boxes
-/// of the hall are heard again as soon as the link is restored.
+/// Time after the last datagram or probe until a call may probe a silent hall. It can be long:
+/// datagrams of the hall arrive again as soon as the link is restored.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
 struct HallState {
-    /// When each of its boxes was last heard.
+    /// Time of the last datagram from each of its boxes.
     boxes: HashMap<String, Time>,
-    /// When any of its boxes was last heard.
+    /// Time of the last datagram from any of its boxes.
     heard_at: Time,
     /// When one of its servers last answered.
     answered_at: Time,
@@ -35,14 +37,14 @@
     was_silent: bool,
 }
 
-/// A hall that became silent or is heard again.
+/// A hall that became silent, or is no longer silent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HallReachabilityChange {
     /// Name of the hall.
     pub hall: HallName,
     /// Whether it is silent now.
     pub is_silent: bool,
-    /// Time since any of its boxes was last heard.
+    /// Time since the last datagram from any of its boxes.
     pub heard_ago: Duration,
     /// Time since one of its servers last answered.
     pub answered_ago: Duration,
@@ -69,8 +71,8 @@
 #[derive(Debug, Default)]
 pub struct HallReachability {
     halls: HashMap<HallName, HallState>,
-    /// When another box of the own hall was last heard, which shows that this box isn't cut off. The
-    /// own hall itself never counts as silent.
+    /// Time of the last datagram from another box of the own hall, which shows that this box isn't
+    /// partitioned. The own hall itself never counts as silent.
     own_hall_heard_at: Option<Time>,
 }
 
@@ -111,7 +113,7 @@
         !self.is_silent(now, hall) || next_probe.is_some_and(|next_probe| now >= next_probe)
     }
 
-    /// Halls that became silent or were heard again since the last call.
+    /// Halls that became silent, or are no longer silent, since the last call.
     pub fn take_changes(&mut self, now: Time) -> Vec<HallReachabilityChange> {
         let silent: Vec<bool> = self
             .halls
--- a/lib/src/relay/peer_liveness.rs
+++ b/lib/src/relay/peer_liveness.rs
@@ -10,8 +10,8 @@
 use crate::relay::state_pull::KnownState;
 use crate::time::Time;
 
-/// A box that was heard within this time is live: two maximum heartbeat intervals, plus one for a lost
-/// datagram.
+/// A box whose last datagram is younger than this is live: two maximum heartbeat intervals, plus one
+/// for a lost datagram.
 pub(crate) const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 #[derive(Debug, Clone, Copy)]
@@ -38,19 +38,19 @@
         );
     }
 
-    /// Time since a box was last heard, or since the start of the clock if it never was.
+    /// Time since the last datagram of a box, or since the start of the clock if there was none.
     pub fn silent_for(&self, now: Time, name: &str) -> Duration {
         let heard_at = self.peers.get(name).map(|peer| peer.heard_at);
         now.since(heard_at.unwrap_or(Time::ZERO))
     }
 
-    /// Whether a box was heard within `LIVENESS_TIMEOUT`.
+    /// Whether a datagram of a box arrived within `LIVENESS_TIMEOUT`.
     pub fn is_live(&self, now: Time, name: &str) -> bool {
         let peer = self.peers.get(name);
         peer.is_some_and(|peer| now.since(peer.heard_at) < LIVENESS_TIMEOUT)
     }
 
-    /// Whether any other box was heard within `LIVENESS_TIMEOUT`.
+    /// Whether a datagram of any other box arrived within `LIVENESS_TIMEOUT`.
     pub fn has_live_peer(&self, now: Time) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| now.since(peer.heard_at) < LIVENESS_TIMEOUT)
--- a/lib/src/relay/quarantine.rs
+++ b/lib/src/relay/quarantine.rs
@@ -153,7 +153,7 @@
 
     /// Decides whether a call may be sent.
     ///
-    /// `saw_crash` tells that the call's own last run ended with a server crash. Such a call waits
+    /// `saw_crash` states that the call's own last run ended with a server crash. Such a call waits
     /// only for one slot interval instead of a start slot, unless another server crashed as well.
     /// `rank` returns this box's position as given by [`rank`].
     pub fn admit(
@@ -480,7 +480,7 @@
     }
 
     /// Facts observed by this box that the store should hold but does not yet: quarantines, and the
-    /// crashes of each request that has more than one. If this box hears no other (`is_alone`),
+    /// crashes of each request that has more than one. If no other box is live (`is_alone`),
     /// single crashes are included too; otherwise they are reported by datagram only, and most of
     /// them are cleared within a second.
     pub fn unstored_facts(
--- a/lib/src/relay/quota_owner.rs
+++ b/lib/src/relay/quota_owner.rs
@@ -72,7 +72,7 @@
             return first.load.parse().map_or(Self::Unknown, Self::Remote);
         }
         if uptime < LIVENESS_TIMEOUT {
-            // This box may not have heard from the previous owner yet.
+            // A datagram of the previous owner may not have arrived yet.
             return Self::Unknown;
         }
         let shares = if first.hall == hall.as_str() {
@@ -85,8 +85,9 @@
     }
 }
 
-/// Upper estimate of the number of partitions of a hall: one, while this box hears most of its
-/// boxes. The others may be partitioned rather than failed, and have an owner of their own.
+/// Upper estimate of the number of partitions of a hall: one, while most of its boxes are
+/// live for this box. The others may be partitioned rather than failed, and have an owner of their
+/// own.
 fn possible_partitions(
     boxes: &Boxes,
     own: &str,
--- a/lib/src/relay/state_pull.rs
+++ b/lib/src/relay/state_pull.rs
@@ -24,7 +24,7 @@
 /// position at which they were read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownState {
-    /// Version of the route table in force, if any.
+    /// Version of the active route table, if any.
     pub routes: Option<u64>,
     /// Store position up to which server entries are known.
     pub servers: StorePosition,
--- a/lib/src/settings_follower.rs
+++ b/lib/src/settings_follower.rs
@@ -3,7 +3,7 @@
 //!
 //! The follower accepts a head from any source only if its revision is newer than the
 //! active one. Revisions are committed one after another by compare-and-swap, so a
-//! revision number identifies the same tree on every box, and a peer's copy is as valid as
+//! revision number identifies the same tree on every box, and the head of a peer is as valid as
 //! the platform's. An invalid value changes nothing: the last valid revision stays active,
 //! and the error is kept for `status`.
 
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -16,7 +16,7 @@
 impl Time {
     /// The origin of the process's monotonic time.
     pub const ZERO: Self = Self(0);
-    /// A time that no process reaches; stands for "no limit".
+    /// A time that no process reaches; means "no limit".
     pub const MAX: Self = Self(u64::MAX);
 
     /// Creates a time from microseconds since the origin.
--- a/lib/tests/test_relay_hall_reachability.rs
+++ b/lib/tests/test_relay_hall_reachability.rs
@@ -11,7 +11,7 @@
     HallName::new(name)
 }
 
-/// Boxes of both halls are heard every 100 ms: those of hall a until `until_ms`, those of hall b only
+/// Boxes of both halls send every 100 ms: those of hall a until `until_ms`, those of hall b only
 /// until [`LAST_HEARD_MS`].
 fn reachability(boxes_in_b: usize, until_ms: u64) -> HallReachability {
     let mut halls = HallReachability::default();
